--- a/crates/borageshore_routing/src/fingerprint.rs
+++ b/crates/borageshore_routing/src/fingerprint.rs
@@ -58,15 +58,15 @@
 
 /// A text is no fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NoFingerprint;
+pub struct ParseFingerprintError;
 
 impl FromStr for Fingerprint {
-    type Err = NoFingerprint;
+    type Err = ParseFingerprintError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let is_whole = text.len() == 2 * BYTES;
         let bits = u128::from_str_radix(text, 16).ok();
-        let bits = bits.filter(|_| is_whole).ok_or(NoFingerprint)?;
+        let bits = bits.filter(|_| is_whole).ok_or(ParseFingerprintError)?;
         Ok(Self(bits.to_be_bytes()))
     }
 }
--- a/crates/borageshore_routing/src/lib.rs
+++ b/crates/borageshore_routing/src/lib.rs
@@ -31,7 +31,7 @@
     choice::{ChoiceRequest, choose_endpoint},
     crash_reports::{CrashReport, CrashReports},
     endpoint::{Endpoint, EndpointListing, EndpointState, EndpointTable, LoadReport},
-    fingerprint::{Fingerprint, NoFingerprint, RequestContent},
+    fingerprint::{Fingerprint, ParseFingerprintError, RequestContent},
     keys::{KeyDecision, KeyPrefix, KeyTable, StoredAnswer},
     quarantine::{Crash, CrashNews, Quarantine, Verdict},
     register::{EndpointRegister, Registered},
--- a/crates/borageshore_routing/tests/fingerprint.rs
+++ b/crates/borageshore_routing/tests/fingerprint.rs
@@ -1,6 +1,6 @@
 //! The name of a request's content.
 
-use borageshore_routing::{Fingerprint, NoFingerprint, RequestContent};
+use borageshore_routing::{Fingerprint, ParseFingerprintError, RequestContent};
 
 const CONTENT: RequestContent<'static> = RequestContent {
     method: "POST",
@@ -40,7 +40,7 @@
 
     other_texts_are_no_names => {
         for text in ["", "12", "x0000000000000000000000000000000", "000000000000000000000000000000000"] {
-            assert_eq!(text.parse::<Fingerprint>(), Err(NoFingerprint), "{text}");
+            assert_eq!(text.parse::<Fingerprint>(), Err(ParseFingerprintError), "{text}");
         }
     }
 }
