--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -19,7 +19,7 @@
 use borageshore_net::{Clock, sleep_ms, within_ms};
 use borageshore_platform::KeyedRecord;
 use borageshore_routing::{
-    Crash, CrashNews, CrashReport, CrashReports, Fingerprint, Quarantine as Table, SilentLosses,
+    Crash, CrashEffect, CrashReport, CrashReports, Fingerprint, Quarantine as Table, SilentLosses,
     Verdict,
 };
 use bytes::Bytes;
@@ -143,7 +143,7 @@
         }
         let content = content();
         match self.verdict(&content) {
-            Verdict::Free => Ok(Leave { trial: None }),
+            Verdict::Allowed => Ok(Leave { trial: None }),
             Verdict::Held { again_ms } => Err(Held { again_ms }),
             Verdict::TrialDue => self.claim(content).await,
         }
@@ -170,7 +170,7 @@
     where
         Content: FnOnce() -> Fingerprint,
     {
-        self.table.borrow().is_empty() || self.verdict(&content()) == Verdict::Free
+        self.table.borrow().is_empty() || self.verdict(&content()) == Verdict::Allowed
     }
 
     /// Follows which endpoints end without a word: what they had not long before may have crashed them.
@@ -195,7 +195,7 @@
             at_ms: self.unix_ms(),
         };
         let report = CrashReport { content, crash };
-        if self.on_crash(report.clone()) == CrashNews::Suspected {
+        if self.on_crash(report.clone()) == CrashEffect::Suspected {
             let crashes = self.table.borrow().crashes(&content);
             log::info!(content:%, instance = &**instance, crashes; "a request is suspected of a crash");
         }
@@ -215,7 +215,7 @@
             return;
         }
         let content = content();
-        let was_held = self.verdict(&content) != Verdict::Free;
+        let was_held = self.verdict(&content) != Verdict::Allowed;
         let Some(mut crashes) = self.table.borrow_mut().on_success(&content) else {
             return;
         };
@@ -263,18 +263,18 @@
         self.table.borrow().verdict(content, self.unix_ms())
     }
 
-    fn on_crash(&self, report: CrashReport) -> CrashNews {
+    fn on_crash(&self, report: CrashReport) -> CrashEffect {
         let CrashReport { content, mut crash } = report;
         // A clock that is ahead must not lengthen a hold.
         crash.at_ms = crash.at_ms.min(self.unix_ms());
         let instance = crash.instance.clone();
         let news = self.table.borrow_mut().on_crash(content, crash);
-        if news == CrashNews::Held {
+        if news == CrashEffect::Held {
             let crashes = self.table.borrow().crashes(&content);
             log::warn!(content:%, instance = &*instance, crashes, verdict:? = self.verdict(&content); "a request is held back");
             self.instruments.count("quarantine", "held");
         }
-        if news != CrashNews::Known {
+        if news != CrashEffect::Known {
             self.note_change();
         }
         news
--- a/crates/borageshore_gateway/src/quarantine/telling.rs
+++ b/crates/borageshore_gateway/src/quarantine/telling.rs
@@ -6,7 +6,7 @@
     EdgeRequest, EdgeResponse, HttpClient, Timeouts, full_body, read_body, sleep_ms,
 };
 use borageshore_platform::{StoreError, Topic};
-use borageshore_routing::{CrashNews, CrashReport, Fingerprint};
+use borageshore_routing::{CrashEffect, CrashReport, Fingerprint};
 use bytes::Bytes;
 use futures_util::future::{Either, join_all, select};
 use http_body_util::Full;
@@ -197,7 +197,7 @@
             log::warn!("a peer's message about crashes cannot be read");
             return status(StatusCode::BAD_REQUEST);
         };
-        let is_news = |report: &CrashReport| self.on_crash(report.clone()) != CrashNews::Known;
+        let is_news = |report: &CrashReport| self.on_crash(report.clone()) != CrashEffect::Known;
         let news: Vec<CrashReport> = reports.into_iter().filter(is_news).collect();
         if !news.is_empty() {
             self.tell_on(&news);
--- a/crates/borageshore_gateway/src/quarantine/trials.rs
+++ b/crates/borageshore_gateway/src/quarantine/trials.rs
@@ -87,7 +87,7 @@
             return Ok(Leave { trial: Some(trial) });
         }
         match self.verdict(&content) {
-            Verdict::Free => Ok(Leave { trial: None }),
+            Verdict::Allowed => Ok(Leave { trial: None }),
             Verdict::Held { again_ms } => Err(Held { again_ms }),
             Verdict::TrialDue if self.members.is_first_for(&content.to_string()) => {
                 Ok(self.try_without_the_store(trial))
@@ -149,9 +149,9 @@
                 table.on_claim(note.content, note.claim, note.number, now_ms);
             }
             TrialState::Made => {
-                table.on_trial_made(&note.content, &note.claim, note.number, over_ms);
+                table.on_trial_finished(&note.content, &note.claim, note.number, over_ms);
             }
-            TrialState::Unmade => table.on_trial_unmade(&note.content, &note.claim, over_ms),
+            TrialState::Unmade => table.on_trial_cancelled(&note.content, &note.claim, over_ms),
         }
     }
 }
--- a/crates/borageshore_routing/src/lib.rs
+++ b/crates/borageshore_routing/src/lib.rs
@@ -33,7 +33,7 @@
     endpoint::{Endpoint, EndpointListing, EndpointState, EndpointTable, LoadReport},
     fingerprint::{Fingerprint, ParseFingerprintError, RequestContent},
     keys::{KeyDecision, KeyPrefix, KeyTable, StoredAnswer},
-    quarantine::{Crash, CrashNews, Quarantine, Verdict},
+    quarantine::{Crash, CrashEffect, Quarantine, Verdict},
     register::{EndpointRegister, Registered},
     request_attempts::RequestAttempts,
     routes::{Route, RouteKind, RouteTable, RouteTarget},
--- a/crates/borageshore_routing/src/quarantine.rs
+++ b/crates/borageshore_routing/src/quarantine.rs
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// It may.
-    Free,
+    Allowed,
     /// It may not.
     Held {
         /// When to come back.
@@ -70,7 +70,7 @@
 
 /// What a crash changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CrashNews {
+pub enum CrashEffect {
     /// It was known.
     Known,
     /// The request is suspected.
@@ -169,7 +169,7 @@
     }
 
     /// Takes over that an endpoint crashed under a request.
-    pub fn on_crash(&mut self, content: Fingerprint, crash: Crash) -> CrashNews {
+    pub fn on_crash(&mut self, content: Fingerprint, crash: Crash) -> CrashEffect {
         if !self.entries.contains_key(&content) {
             self.make_room();
         }
@@ -180,14 +180,14 @@
             .any(|known| known.instance == crash.instance);
         let is_one_more = entry.crashes.len() >= MOST_CRASHES && !crash.is_trial;
         if is_known || is_one_more {
-            return CrashNews::Known;
+            return CrashEffect::Known;
         }
         entry.crashes.push(crash);
         let is_held = entry.is_held();
         self.end_trial(&content);
         match is_held {
-            true => CrashNews::Held,
-            false => CrashNews::Suspected,
+            true => CrashEffect::Held,
+            false => CrashEffect::Suspected,
         }
     }
 
@@ -204,7 +204,7 @@
         let held_until_ms =
             entry.map(|entry| entry.held_until_ms(self.shared_trials(content, entry)));
         let Some(until_ms) = held_until_ms.flatten() else {
-            return Verdict::Free;
+            return Verdict::Allowed;
         };
         // Requests wait for the trial of another one as well.
         let trial = self
@@ -239,7 +239,13 @@
     }
 
     /// Takes over that a trial of a request was made, by its number, whatever came of it.
-    pub fn on_trial_made(&mut self, content: &Fingerprint, claim: &str, number: u64, now_ms: u64) {
+    pub fn on_trial_finished(
+        &mut self,
+        content: &Fingerprint,
+        claim: &str,
+        number: u64,
+        now_ms: u64,
+    ) {
         let trial = self.trial.as_ref();
         let is_another = |trial: &Trial| trial.content == *content && &*trial.claim != claim;
         // One that is told late must not end the trial after it.
@@ -252,7 +258,7 @@
 
     /// Takes over that a trial of a request was not made, as no endpoint was there to send it to, or the claim came
     /// too late for its caller.
-    pub fn on_trial_unmade(&mut self, content: &Fingerprint, claim: &str, now_ms: u64) {
+    pub fn on_trial_cancelled(&mut self, content: &Fingerprint, claim: &str, now_ms: u64) {
         let Some(trial) = self.trial.take_if(|trial| &*trial.claim == claim) else {
             return;
         };
--- a/crates/borageshore_routing/tests/quarantine.rs
+++ b/crates/borageshore_routing/tests/quarantine.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use borageshore_routing::{
-    Crash, CrashNews, CrashReport, CrashReports, Fingerprint, Quarantine, RequestContent,
+    Crash, CrashEffect, CrashReport, CrashReports, Fingerprint, Quarantine, RequestContent,
     SilentLosses, Verdict,
 };
 
@@ -49,11 +49,11 @@
 cases! {
     the_third_endpoint_that_crashes_holds_a_request_back => {
         let mut quarantine = crashed(1, 2);
-        assert_eq!(quarantine.verdict(&content(1), 1_010), Verdict::Free);
-        assert_eq!(quarantine.on_crash(content(1), crash(2, 1_015)), CrashNews::Known);
-        assert_eq!(quarantine.on_crash(content(1), crash(3, 1_020)), CrashNews::Held);
+        assert_eq!(quarantine.verdict(&content(1), 1_010), Verdict::Allowed);
+        assert_eq!(quarantine.on_crash(content(1), crash(2, 1_015)), CrashEffect::Known);
+        assert_eq!(quarantine.on_crash(content(1), crash(3, 1_020)), CrashEffect::Held);
         assert_eq!(quarantine.verdict(&content(1), 1_020), Verdict::Held { again_ms: FIRST_HOLD_MS });
-        assert_eq!(quarantine.verdict(&content(2), 1_020), Verdict::Free);
+        assert_eq!(quarantine.verdict(&content(2), 1_020), Verdict::Allowed);
     }
 
     // Callers of a page that many ask for are refused for a day: a zone lost power with the page under way at
@@ -71,7 +71,7 @@
         quarantine.on_claim(content(1), "vm-1".into(), 1, due_ms);
         assert!(quarantine.has_trial("vm-1"));
         let failed = Crash { is_trial: true, ..crash(4, due_ms + 20) };
-        assert_eq!(quarantine.on_crash(content(1), failed), CrashNews::Held);
+        assert_eq!(quarantine.on_crash(content(1), failed), CrashEffect::Held);
         assert!(!quarantine.has_trial("vm-1"));
         let held = Verdict::Held { again_ms: SECOND_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 20), held);
@@ -82,8 +82,8 @@
     a_request_that_is_answered_once_is_not_held => {
         let mut quarantine = Quarantine::default();
         for instance in 0..10 {
-            assert_eq!(quarantine.on_crash(content(1), crash(2 * instance, 100 * instance)), CrashNews::Suspected);
-            assert_eq!(quarantine.on_crash(content(1), crash(2 * instance + 1, 100 * instance)), CrashNews::Suspected);
+            assert_eq!(quarantine.on_crash(content(1), crash(2 * instance, 100 * instance)), CrashEffect::Suspected);
+            assert_eq!(quarantine.on_crash(content(1), crash(2 * instance + 1, 100 * instance)), CrashEffect::Suspected);
             assert!(quarantine.on_success(&content(1)).is_some());
         }
     }
@@ -94,12 +94,12 @@
         let mut quarantine = crashed(1, 3);
         let due_ms = 1_020 + FIRST_HOLD_MS;
         quarantine.on_claim(content(1), "vm-1".into(), 1, due_ms);
-        quarantine.on_trial_made(&content(1), "vm-1", 1, due_ms + 5);
+        quarantine.on_trial_finished(&content(1), "vm-1", 1, due_ms + 5);
         let held = Verdict::Held { again_ms: UNDECIDED_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 5), held);
         let due_ms = due_ms + 5 + UNDECIDED_HOLD_MS;
         quarantine.on_claim(content(1), "vm-2".into(), 2, due_ms);
-        quarantine.on_trial_made(&content(1), "vm-2", 2, due_ms + 5);
+        quarantine.on_trial_finished(&content(1), "vm-2", 2, due_ms + 5);
         let held = Verdict::Held { again_ms: SECOND_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 5), held);
     }
@@ -110,7 +110,7 @@
         let mut quarantine = crashed(1, 3);
         let due_ms = 1_020 + FIRST_HOLD_MS;
         quarantine.on_claim(content(1), "vm-1".into(), 1, due_ms);
-        quarantine.on_trial_unmade(&content(1), "vm-1", due_ms + 5);
+        quarantine.on_trial_cancelled(&content(1), "vm-1", due_ms + 5);
         assert_eq!(quarantine.trials(&content(1)), 0);
         let held = Verdict::Held { again_ms: UNSENT_PAUSE_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 5), held);
@@ -123,8 +123,8 @@
         let mut quarantine = crashed(1, 3);
         let due_ms = 1_020 + FIRST_HOLD_MS;
         quarantine.on_claim(content(1), "vm-1".into(), 1, due_ms);
-        quarantine.on_trial_unmade(&content(1), "vm-2", due_ms + 5);
-        quarantine.on_trial_made(&content(1), "vm-3", 1, due_ms + 5);
+        quarantine.on_trial_cancelled(&content(1), "vm-2", due_ms + 5);
+        quarantine.on_trial_finished(&content(1), "vm-3", 1, due_ms + 5);
         assert!(quarantine.has_trial("vm-1"));
         assert_eq!(quarantine.trials(&content(1)), 1);
     }
@@ -132,7 +132,7 @@
     // A daemon that starts reads the newest record of each key: of several trials the last one.
     trials_are_counted_by_a_daemon_that_starts_later => {
         let mut quarantine = crashed(1, 3);
-        quarantine.on_trial_made(&content(1), "vm-2", 2, 20_000);
+        quarantine.on_trial_finished(&content(1), "vm-2", 2, 20_000);
         assert_eq!(quarantine.trials(&content(1)), 2);
         let held = Verdict::Held { again_ms: SECOND_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), 20_000), held);
@@ -147,7 +147,7 @@
         quarantine.on_crash(content(2), crash(4, due_ms + 10));
         let lost = Crash { is_trial: true, ..crash(4, due_ms + 20) };
         quarantine.on_crash(content(1), lost);
-        quarantine.on_trial_made(&content(1), "vm-1", 1, due_ms + 20);
+        quarantine.on_trial_finished(&content(1), "vm-1", 1, due_ms + 20);
         let held = Verdict::Held { again_ms: FIRST_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 20), held);
         assert_eq!(quarantine.verdict(&content(1), due_ms + 20 + FIRST_HOLD_MS), Verdict::TrialDue);
@@ -180,7 +180,7 @@
                     quarantine.on_claim(content(1), "vm-1".into(), trials, now_ms);
                     quarantine.on_crash(content(1 + trials), crash(3 + trials, now_ms));
                     quarantine.on_crash(content(1), Crash { is_trial: true, ..crash(3 + trials, now_ms) });
-                    quarantine.on_trial_made(&content(1), "vm-1", trials, now_ms);
+                    quarantine.on_trial_finished(&content(1), "vm-1", trials, now_ms);
                     1
                 }
             };
