--- a/crates/borageshore_gateway/src/endpoints/listing.rs
+++ b/crates/borageshore_gateway/src/endpoints/listing.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use borageshore_platform::{EndpointEntry, KeyedRecord, decode_endpoint};
-use borageshore_routing::{LoadReport, Registered};
+use borageshore_routing::{EntryEffect, LoadReport};
 
 use super::{Endpoints, target};
 use crate::follow::Fold;
@@ -23,8 +23,8 @@
             register.on_entry(id, entry.started_at_ms, entry.clone())
         };
         match registered {
-            Registered::Taken => {}
-            Registered::StartedAgain => {
+            EntryEffect::Accepted => {}
+            EntryEffect::Restarted => {
                 let before = known.as_ref().map_or("", |known| &*known.listing.address);
                 log::info!(id = &**id, started_at_ms = entry.started_at_ms; "endpoint started again");
                 self.client.forget(before);
@@ -32,11 +32,11 @@
                     self.note_ended(&known.listing);
                 }
             }
-            Registered::Late => {
+            EntryEffect::Stale => {
                 log::info!(id = &**id, started_at_ms = entry.started_at_ms; "entry of an earlier incarnation left out");
                 return;
             }
-            Registered::Foreign => return self.on_foreign(id, "it names no start any more"),
+            EntryEffect::Foreign => return self.on_foreign(id, "it names no start any more"),
         }
         self.lapsed.borrow_mut().remove(id);
         let instance = &entry.listing.name;
--- a/crates/borageshore_gateway/src/endpoints/mod.rs
+++ b/crates/borageshore_gateway/src/endpoints/mod.rs
@@ -14,7 +14,7 @@
 use borageshore_net::Clock;
 use borageshore_platform::{EndpointClient, EndpointEntry, Target};
 use borageshore_routing::{
-    ChoiceRequest, EndpointListing, EndpointRegister, EndpointState, EndpointTable, choose_endpoint,
+    ChoiceRequest, EndpointListing, EndpointRegistry, EndpointState, EndpointTable, choose_endpoint,
 };
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -45,7 +45,7 @@
     mechanisms: Rc<Mechanisms>,
     routes: Rc<Routes>,
     client: EndpointClient,
-    register: RefCell<EndpointRegister<EndpointEntry>>,
+    register: RefCell<EndpointRegistry<EndpointEntry>>,
     /// After a gap: endpoints that were known before and have not been listed since.
     unconfirmed: RefCell<Option<Vec<Arc<str>>>>,
     /// Entries that lapsed during or right after an outage, with when they count as gone.
--- a/crates/borageshore_routing/src/lib.rs
+++ b/crates/borageshore_routing/src/lib.rs
@@ -18,7 +18,7 @@
 mod fingerprint;
 mod keys;
 mod quarantine;
-mod register;
+mod registry;
 mod request_attempts;
 mod routes;
 mod silent_losses;
@@ -34,7 +34,7 @@
     fingerprint::{Fingerprint, ParseFingerprintError, RequestContent},
     keys::{KeyDecision, KeyPrefix, KeyTable, StoredAnswer},
     quarantine::{Crash, CrashEffect, Quarantine, Verdict},
-    register::{EndpointRegister, Registered},
+    registry::{EndpointRegistry, EntryEffect},
     request_attempts::RequestAttempts,
     routes::{Route, RouteKind, RouteTable, RouteTarget},
     silent_losses::SilentLosses,
--- a/crates/borageshore_routing/src/register.rs
+++ b/crates/borageshore_routing/src/registry.rs
@@ -9,13 +9,13 @@
 
 /// What an endpoint's entry changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Registered {
+pub enum EntryEffect {
     /// It holds from now on; an earlier one of the same incarnation may have held.
-    Taken,
+    Accepted,
     /// It holds, and the endpoint has started again since the entry before.
-    StartedAgain,
+    Restarted,
     /// It is of an earlier incarnation than one that was heard of, and changes nothing.
-    Late,
+    Stale,
     /// It names no start, though the endpoint has named one: another writer's.
     Foreign,
 }
@@ -33,7 +33,7 @@
 /// writer left, which cannot be read or lacks fields: the endpoint would get calls at an address that
 /// nobody vouches for. From that moment the id names no endpoint, whatever it named before.
 #[derive(Debug)]
-pub struct EndpointRegister<Entry> {
+pub struct EndpointRegistry<Entry> {
     held: SortedMap<Arc<str>, Held<Entry>>,
     /// The newest start of each endpoint; one that never named any has none.
     starts: SortedMap<Arc<str>, u64>,
@@ -41,7 +41,7 @@
     foreign: SortedMap<Arc<str>, ()>,
 }
 
-impl<Entry> Default for EndpointRegister<Entry> {
+impl<Entry> Default for EndpointRegistry<Entry> {
     fn default() -> Self {
         Self {
             held: SortedMap::default(),
@@ -51,20 +51,20 @@
     }
 }
 
-impl<Entry> EndpointRegister<Entry> {
+impl<Entry> EndpointRegistry<Entry> {
     /// Takes over an entry that was read; `started_at_ms` is when the endpoint says it started.
     pub fn on_entry(
         &mut self,
         id: &Arc<str>,
         started_at_ms: Option<u64>,
         entry: Entry,
-    ) -> Registered {
+    ) -> EntryEffect {
         let newest_start = self.starts.get(id).copied();
         if newest_start.is_some() && started_at_ms.is_none() {
-            return Registered::Foreign;
+            return EntryEffect::Foreign;
         }
         if started_at_ms < newest_start {
-            return Registered::Late;
+            return EntryEffect::Stale;
         }
         if let Some(started_at_ms) = started_at_ms {
             self.remember(id, started_at_ms);
@@ -78,8 +78,8 @@
             },
         );
         match before {
-            Some(before) if before.started_at_ms != started_at_ms => Registered::StartedAgain,
-            _ => Registered::Taken,
+            Some(before) if before.started_at_ms != started_at_ms => EntryEffect::Restarted,
+            _ => EntryEffect::Accepted,
         }
     }
 
--- /dev/null
+++ b/crates/borageshore_routing/tests/registry.rs
@@ -0,0 +1,66 @@
+//! The registry of endpoints: restarts under the same id, late entries and those of other writers.
+
+use std::sync::Arc;
+
+use borageshore_routing::{EndpointRegistry, EntryEffect};
+
+fn id() -> Arc<str> {
+    "i-1".into()
+}
+
+macro_rules! cases {
+    ($($name:ident => $body:block)*) => {
+        $(#[test] fn $name() $body)*
+    };
+}
+
+cases! {
+    an_endpoint_without_a_start_is_taken => {
+        let mut registry = EndpointRegistry::default();
+        assert_eq!(registry.on_entry(&id(), None, "a"), EntryEffect::Accepted);
+        assert_eq!(registry.on_entry(&id(), None, "b"), EntryEffect::Accepted);
+        assert_eq!(registry.get("i-1"), Some(&"b"));
+    }
+
+    // A step waits for an engine that knows nothing of it any more.
+    // The engine crashed behind a cut and started again under its id before its entry lapsed; its load and
+    // weights were taken for those of the incarnation before.
+    a_restart_under_the_same_id_is_told => {
+        let mut registry = EndpointRegistry::default();
+        registry.on_entry(&id(), Some(1_000), "first");
+        assert_eq!(registry.on_entry(&id(), Some(1_000), "first"), EntryEffect::Accepted);
+        assert_eq!(registry.on_entry(&id(), Some(2_000), "second"), EntryEffect::Restarted);
+        assert_eq!(registry.get("i-1"), Some(&"second"));
+    }
+
+    // A call goes to an address where nobody listens.
+    // The endpoint started again; the last heartbeat of its earlier incarnation reached the store late.
+    an_entry_of_an_earlier_incarnation_changes_nothing => {
+        let mut registry = EndpointRegistry::default();
+        registry.on_entry(&id(), Some(2_000), "second");
+        assert_eq!(registry.on_entry(&id(), Some(1_000), "first"), EntryEffect::Stale);
+        assert_eq!(registry.get("i-1"), Some(&"second"));
+        registry.remove(&id());
+        assert_eq!(registry.on_entry(&id(), Some(1_000), "first"), EntryEffect::Stale);
+        assert_eq!(registry.get("i-1"), None);
+    }
+
+    an_entry_that_lost_its_start_is_of_another_writer => {
+        let mut registry = EndpointRegistry::default();
+        registry.on_entry(&id(), Some(1_000), "own");
+        assert_eq!(registry.on_entry(&id(), None, "other"), EntryEffect::Foreign);
+    }
+
+    // A call goes to an endpoint that nobody vouches for any more.
+    // Another writer replaced its entry by one that cannot be read; the entry before stayed in use.
+    a_foreign_entry_ends_the_use_until_a_sound_one_comes => {
+        let mut registry = EndpointRegistry::default();
+        registry.on_entry(&id(), Some(1_000), "own");
+        assert!(registry.on_foreign(&id()));
+        assert_eq!(registry.get("i-1"), None);
+        assert!(!registry.on_foreign(&id()), "told once");
+        assert_eq!(registry.on_entry(&id(), Some(1_000), "own"), EntryEffect::Accepted);
+        assert_eq!(registry.get("i-1"), Some(&"own"));
+        assert!(registry.on_foreign(&id()));
+    }
+}
