--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -19,8 +19,8 @@
 use borageshore_net::{Clock, sleep_ms, within_ms};
 use borageshore_platform::KeyedRecord;
 use borageshore_routing::{
-    Crash, CrashEffect, CrashReport, CrashReports, Fingerprint, Quarantine as Table, SilentLosses,
-    Verdict,
+    AbandonedAttempts, Crash, CrashEffect, CrashReport, CrashReports, Fingerprint,
+    Quarantine as Table, Verdict,
 };
 use bytes::Bytes;
 use tokio::sync::Notify;
@@ -58,7 +58,7 @@
     members: Rc<Members>,
     instruments: Rc<Instruments>,
     table: RefCell<Table>,
-    silent_losses: RefCell<SilentLosses>,
+    silent_losses: RefCell<AbandonedAttempts>,
     reports: RefCell<CrashReports>,
     /// Records for the store that no budget holds back; those without a value are removals.
     notes: RefCell<Vec<(Arc<str>, Bytes)>>,
@@ -179,7 +179,10 @@
             endpoints.has_ended.notified().await;
             for instance in endpoints.take_ended() {
                 let now_ms = self.unix_ms();
-                let suspects = self.silent_losses.borrow_mut().on_ended(&instance, now_ms);
+                let suspects = self
+                    .silent_losses
+                    .borrow_mut()
+                    .on_endpoint_ended(&instance, now_ms);
                 for (content, is_trial) in suspects {
                     self.on_broken(content, &instance, is_trial);
                 }
--- a/crates/borageshore_routing/src/silent_losses.rs
+++ b/crates/borageshore_routing/src/abandoned_attempts.rs
@@ -6,12 +6,12 @@
 
 /// An endpoint that ends under an attempt is missed this long after it at the most: its entry lapses after three
 /// heartbeats of 1.2 s, and it may have run for a route's usual timeout of 2 s before it ended.
-const REMEMBERED_MS: u64 = 6_000;
+const RETENTION_MS: u64 = 6_000;
 /// Attempts that are remembered; an overloaded service loses more, of which the newest tell most.
-const MOST_REMEMBERED: usize = 256;
+const MAX_ATTEMPTS: usize = 256;
 
 #[derive(Debug)]
-struct SilentLoss {
+struct AbandonedAttempt {
     content: Fingerprint,
     instance: Arc<str>,
     is_trial: bool,
@@ -23,19 +23,19 @@
 /// Guards against a request that runs for longer than its caller waits before its endpoint crashes: the connection is
 /// closed by then, and 17 endpoints of six crashed in 24 s without one attempt that was seen to be broken off.
 #[derive(Debug, Default)]
-pub struct SilentLosses {
-    losses: Vec<SilentLoss>,
+pub struct AbandonedAttempts {
+    attempts: Vec<AbandonedAttempt>,
 }
 
-impl SilentLosses {
+impl AbandonedAttempts {
     /// Notes an attempt that was given up.
     pub fn push(&mut self, content: Fingerprint, instance: &Arc<str>, is_trial: bool, now_ms: u64) {
-        self.losses
-            .retain(|loss| now_ms < loss.at_ms + REMEMBERED_MS);
-        if self.losses.len() >= MOST_REMEMBERED {
-            self.losses.remove(0);
+        self.attempts
+            .retain(|attempt| now_ms < attempt.at_ms + RETENTION_MS);
+        if self.attempts.len() >= MAX_ATTEMPTS {
+            self.attempts.remove(0);
         }
-        self.losses.push(SilentLoss {
+        self.attempts.push(AbandonedAttempt {
             content,
             instance: instance.clone(),
             is_trial,
@@ -44,12 +44,12 @@
     }
 
     /// The requests, and whether they were on trial, that an endpoint had not long before it ended.
-    pub fn on_ended(&mut self, instance: &str, now_ms: u64) -> Vec<(Fingerprint, bool)> {
-        let is_its = |loss: &mut SilentLoss| &*loss.instance == instance;
-        let ended = self.losses.extract_if(.., is_its);
+    pub fn on_endpoint_ended(&mut self, instance: &str, now_ms: u64) -> Vec<(Fingerprint, bool)> {
+        let is_of_instance = |attempt: &mut AbandonedAttempt| &*attempt.instance == instance;
+        let ended = self.attempts.extract_if(.., is_of_instance);
         ended
-            .filter(|loss| now_ms < loss.at_ms + REMEMBERED_MS)
-            .map(|loss| (loss.content, loss.is_trial))
+            .filter(|attempt| now_ms < attempt.at_ms + RETENTION_MS)
+            .map(|attempt| (attempt.content, attempt.is_trial))
             .collect()
     }
 }
--- a/crates/borageshore_routing/src/lib.rs
+++ b/crates/borageshore_routing/src/lib.rs
@@ -9,6 +9,7 @@
 //! assert!(budget.try_retry(), "a budget starts with a small reserve");
 //! ```
 
+mod abandoned_attempts;
 mod admission;
 mod attempt;
 mod budget;
@@ -21,10 +22,10 @@
 mod registry;
 mod request_attempts;
 mod routes;
-mod silent_losses;
 mod subset;
 
 pub use self::{
+    abandoned_attempts::AbandonedAttempts,
     admission::{Admission, AdmissionLimits, Admitted, Ticket, TicketId, Workload},
     attempt::{Attempt, AttemptEvent, AttemptState, Idempotent, Outcome, attempt_chart},
     budget::RetryBudget,
@@ -37,6 +38,5 @@
     registry::{EndpointRegistry, EntryEffect},
     request_attempts::RequestAttempts,
     routes::{Route, RouteKind, RouteTable, RouteTarget},
-    silent_losses::SilentLosses,
     subset::subset_of,
 };
--- a/crates/borageshore_routing/tests/quarantine.rs
+++ b/crates/borageshore_routing/tests/quarantine.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use borageshore_routing::{
-    Crash, CrashEffect, CrashReport, CrashReports, Fingerprint, Quarantine, RequestContent,
-    SilentLosses, Verdict,
+    AbandonedAttempts, Crash, CrashEffect, CrashReport, CrashReports, Fingerprint, Quarantine,
+    RequestContent, Verdict,
 };
 
 const FIRST_HOLD_MS: u64 = 1_000;
@@ -274,13 +274,13 @@
 
     // A request that ran for longer than its caller waits is not suspected, though its endpoint crashed under it.
     an_endpoint_that_ends_soon_after_an_attempt_was_given_up_counts_as_crashed => {
-        let mut losses = SilentLosses::default();
+        let mut losses = AbandonedAttempts::default();
         let (one, other): (Arc<str>, Arc<str>) = ("endpoint-1".into(), "endpoint-2".into());
         losses.push(content(1), &one, false, 1_000);
         losses.push(content(2), &other, true, 2_000);
-        assert_eq!(losses.on_ended("endpoint-2", 7_999), [(content(2), true)]);
-        assert!(losses.on_ended("endpoint-2", 7_999).is_empty());
-        assert!(losses.on_ended("endpoint-1", 7_999).is_empty(), "too long ago");
+        assert_eq!(losses.on_endpoint_ended("endpoint-2", 7_999), [(content(2), true)]);
+        assert!(losses.on_endpoint_ended("endpoint-2", 7_999).is_empty());
+        assert!(losses.on_endpoint_ended("endpoint-1", 7_999).is_empty(), "too long ago");
     }
 
     reports_that_were_not_taken_are_told_again => {
