--- a/crates/borageshore_daemon/src/gate.rs
+++ b/crates/borageshore_daemon/src/gate.rs
@@ -8,7 +8,9 @@
 
 use borageshore_base::{Fault, ResultCode, SortedMap};
 use borageshore_net::within_ms;
-use borageshore_routing::{Admission, AdmissionLimits, Admitted, Ticket, TicketId, Workload};
+use borageshore_routing::{
+    Admission, AdmissionDecision, AdmissionLimits, Ticket, TicketId, Workload,
+};
 use tokio::sync::oneshot;
 
 use crate::daemon::Daemon;
@@ -97,12 +99,12 @@
         };
         let admitted = self.admission.borrow_mut().offer(ticket);
         match admitted {
-            Admitted::Start => Ok(self.slot(daemon, workload)),
-            Admitted::Refused { retry_after_ms } => Err(GateRefusal {
+            AdmissionDecision::Start => Ok(self.slot(daemon, workload)),
+            AdmissionDecision::Refused { retry_after_ms } => Err(GateRefusal {
                 fault: Fault::new(ResultCode::QueueFull, &*node),
                 retry_after_ms,
             }),
-            Admitted::Queued => {
+            AdmissionDecision::Queued => {
                 self.wait_turn(daemon, id, workload, node, deadline_ms)
                     .await
             }
--- a/crates/borageshore_routing/src/admission.rs
+++ b/crates/borageshore_routing/src/admission.rs
@@ -42,7 +42,7 @@
 
 /// The answer to a request for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admitted {
+pub enum AdmissionDecision {
     /// It starts now.
     Start,
     /// It waits; `Admission::start_next` names it later.
@@ -87,13 +87,13 @@
     }
 
     /// Asks for a slot.
-    pub fn offer(&mut self, ticket: Ticket) -> Admitted {
+    pub fn offer(&mut self, ticket: Ticket) -> AdmissionDecision {
         let overtaken = self.waiting.iter().any(|waiting| {
             waiting.workload == ticket.workload && waiting.importance >= ticket.importance
         });
         if !overtaken && self.has_slot(ticket.workload) {
             self.take_slot(ticket.workload);
-            return Admitted::Start;
+            return AdmissionDecision::Start;
         }
         let ahead = self
             .waiting
@@ -101,7 +101,7 @@
             .filter(|waiting| waiting.node == ticket.node)
             .count() as u64;
         if ahead >= self.limits.queue_limit_requests {
-            return Admitted::Refused {
+            return AdmissionDecision::Refused {
                 retry_after_ms: self.retry_after_ms(ahead),
             };
         }
@@ -109,7 +109,7 @@
             .waiting
             .partition_point(|waiting| waiting.importance >= ticket.importance);
         self.waiting.insert(at, ticket);
-        Admitted::Queued
+        AdmissionDecision::Queued
     }
 
     /// Starts the next waiting request for which there is a slot.
--- a/crates/borageshore_routing/src/lib.rs
+++ b/crates/borageshore_routing/src/lib.rs
@@ -26,7 +26,7 @@
 
 pub use self::{
     abandoned_attempts::AbandonedAttempts,
-    admission::{Admission, AdmissionLimits, Admitted, Ticket, TicketId, Workload},
+    admission::{Admission, AdmissionDecision, AdmissionLimits, Ticket, TicketId, Workload},
     attempt::{Attempt, AttemptEvent, AttemptState, Idempotent, Outcome, attempt_chart},
     budget::RetryBudget,
     choice::{ChoiceRequest, choose_endpoint},
--- a/crates/borageshore_routing/tests/routing.rs
+++ b/crates/borageshore_routing/tests/routing.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use borageshore_routing::{
-    Admission, AdmissionLimits, Admitted, AttemptEvent, AttemptState, ChoiceRequest,
+    Admission, AdmissionDecision, AdmissionLimits, AttemptEvent, AttemptState, ChoiceRequest,
     EndpointListing, EndpointState, EndpointTable, LoadReport, RetryBudget, Ticket, Workload,
     attempt_chart, choose_endpoint, subset_of,
 };
@@ -139,9 +139,9 @@
     // A burst of unimportant requests waits; a clerk comes last and is served first.
     importance_goes_first: {
         let mut admission = admission(1, 0);
-        assert_eq!(admission.offer(ticket(1, 10, Workload::Live)), Admitted::Start);
-        assert_eq!(admission.offer(ticket(2, 10, Workload::Live)), Admitted::Queued);
-        assert_eq!(admission.offer(ticket(3, 90, Workload::Live)), Admitted::Queued);
+        assert_eq!(admission.offer(ticket(1, 10, Workload::Live)), AdmissionDecision::Start);
+        assert_eq!(admission.offer(ticket(2, 10, Workload::Live)), AdmissionDecision::Queued);
+        assert_eq!(admission.offer(ticket(3, 90, Workload::Live)), AdmissionDecision::Queued);
         admission.finish(Workload::Live, 10);
         assert_eq!(admission.start_next().map(|ticket| ticket.id), Some(3));
     };
@@ -153,8 +153,8 @@
             admission.offer(ticket(id, 90, Workload::Live));
         }
         assert_eq!(admission.running(Workload::Live), 3);
-        assert_eq!(admission.offer(ticket(9, 10, Workload::Training)), Admitted::Start);
-        assert_eq!(admission.offer(ticket(10, 10, Workload::Training)), Admitted::Queued);
+        assert_eq!(admission.offer(ticket(9, 10, Workload::Training)), AdmissionDecision::Start);
+        assert_eq!(admission.offer(ticket(10, 10, Workload::Training)), AdmissionDecision::Queued);
     };
 
     // The queue is full. The answer comes at once and says when to come back.
@@ -164,7 +164,7 @@
             admission.offer(ticket(id, 10, Workload::Live));
         }
         let refused = admission.offer(ticket(6, 10, Workload::Live));
-        assert!(matches!(refused, Admitted::Refused { retry_after_ms } if retry_after_ms > 0));
+        assert!(matches!(refused, AdmissionDecision::Refused { retry_after_ms } if retry_after_ms > 0));
         assert_eq!(admission.expire(1_000).len(), 4);
     };
 
