--- a/crates/borageshore_daemon/src/generation.rs
+++ b/crates/borageshore_daemon/src/generation.rs
@@ -233,11 +233,11 @@
         connect_ms: CONNECT_MS,
         first_byte_ms,
     };
-    attempt.on(AttemptEvent::Start);
-    attempt.on(AttemptEvent::Connected);
+    attempt.on_event(AttemptEvent::Start);
+    attempt.on_event(AttemptEvent::Connected);
     let mut chunks = match daemon.engine.generate(&address, &request, timeouts).await {
         Ok((chunks, report)) => {
-            attempt.on(AttemptEvent::Sent);
+            attempt.on_event(AttemptEvent::Sent);
             if let Some(report) = report {
                 daemon
                     .endpoints
@@ -248,7 +248,7 @@
         }
         Err(error) => {
             if !matches!(error, CallError::NotSent(_)) {
-                attempt.on(AttemptEvent::Sent);
+                attempt.on_event(AttemptEvent::Sent);
             }
             return AttemptEnd::Failed(error);
         }
@@ -266,7 +266,7 @@
             Ok(Some(chunk)) => {
                 if let Some(end) = on_chunk(daemon, generation, chunk, produced, sink).await {
                     if matches!(end, AttemptEnd::Finished) {
-                        attempt.on(AttemptEvent::Answered);
+                        attempt.on_event(AttemptEvent::Answered);
                         chunks.release();
                     }
                     return end;
--- a/crates/borageshore_daemon/src/platform/plain.rs
+++ b/crates/borageshore_daemon/src/platform/plain.rs
@@ -50,7 +50,7 @@
     timeouts: Timeouts,
     attempt: &mut Attempt,
 ) -> Result<PlainAnswer, CallError> {
-    attempt.on(AttemptEvent::Start);
+    attempt.on_event(AttemptEvent::Start);
     let request = Request::builder()
         .method(&*call.method)
         .uri(&*call.path)
@@ -63,10 +63,10 @@
         ConnectionUse::Pooled => http.connect(address, timeouts).await?,
         ConnectionUse::Fresh => http.connect_new(address, timeouts).await?,
     };
-    attempt.on(AttemptEvent::Connected);
+    attempt.on_event(AttemptEvent::Connected);
     let sent = http.send(&mut sender, request, timeouts).await;
     if !matches!(sent, Err(CallError::NotSent(_))) {
-        attempt.on(AttemptEvent::Sent);
+        attempt.on_event(AttemptEvent::Sent);
     }
     let response = sent.inspect_err(|_| http.distrust(address))?;
     let status = response.status().as_u16();
@@ -87,10 +87,10 @@
     if is_refusal {
         // The endpoint's own word that nothing ran: a new attempt, refused before hand-over.
         *attempt = Attempt::open();
-        attempt.on(AttemptEvent::Refused);
+        attempt.on_event(AttemptEvent::Refused);
         return Err(CallError::NotSent(format!("refused with status {status}")));
     }
-    attempt.on(AttemptEvent::Answered);
+    attempt.on_event(AttemptEvent::Answered);
     Ok(PlainAnswer {
         status,
         content_type,
--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -309,7 +309,7 @@
         Err(AttemptError::Lost(_) | AttemptError::Broken(_)) => AttemptEvent::Lost,
         Err(AttemptError::NotSent(_) | AttemptError::Refused { .. }) => AttemptEvent::Refused,
     };
-    outcome.attempts.on(number, event);
+    outcome.attempts.on_event(number, event);
     let answer = ended.ok()?;
     if answer.status.is_server_error() {
         // Without a signature it is no answer that the endpoint made.
--- a/crates/borageshore_routing/src/attempt.rs
+++ b/crates/borageshore_routing/src/attempt.rs
@@ -79,7 +79,7 @@
     }
 
     /// Notes an event.
-    pub fn on(&mut self, event: AttemptEvent) {
+    pub fn on_event(&mut self, event: AttemptEvent) {
         self.state = attempt_chart().next(self.state, event);
     }
 
--- a/crates/borageshore_routing/src/request_attempts.rs
+++ b/crates/borageshore_routing/src/request_attempts.rs
@@ -20,7 +20,7 @@
             AttemptEvent::Connected,
             AttemptEvent::Sent,
         ] {
-            attempt.on(event);
+            attempt.on_event(event);
         }
         self.tried.push(endpoint);
         self.attempts.push(attempt);
@@ -28,9 +28,9 @@
     }
 
     /// Notes how an attempt ended.
-    pub fn on(&mut self, number: usize, event: AttemptEvent) {
+    pub fn on_event(&mut self, number: usize, event: AttemptEvent) {
         if let Some(attempt) = self.attempts.get_mut(number) {
-            attempt.on(event);
+            attempt.on_event(event);
         }
     }
 
--- a/crates/borageshore_routing/tests/request_attempts.rs
+++ b/crates/borageshore_routing/tests/request_attempts.rs
@@ -7,7 +7,7 @@
     for (place, event) in events.iter().enumerate() {
         let number = attempts.hand_over(format!("e{place}").into());
         if let Some(event) = event {
-            attempts.on(number, *event);
+            attempts.on_event(number, *event);
         }
     }
     attempts
--- a/crates/borageshore_scenarios/src/world.rs
+++ b/crates/borageshore_scenarios/src/world.rs
@@ -276,12 +276,12 @@
 
     fn run(&mut self, owner: &Arc<str>, key: &str) -> CallReply {
         let mut attempt = Attempt::open();
-        attempt.on(AttemptEvent::Start);
-        attempt.on(AttemptEvent::Connected);
-        attempt.on(AttemptEvent::Sent);
+        attempt.on_event(AttemptEvent::Start);
+        attempt.on_event(AttemptEvent::Connected);
+        attempt.on_event(AttemptEvent::Sent);
         *self.runs.get_or_insert_with(key.into(), || 0) += 1;
         let is_lost = std::mem::take(&mut self.lose_next_run);
-        attempt.on(if is_lost {
+        attempt.on_event(if is_lost {
             AttemptEvent::Lost
         } else {
             AttemptEvent::Answered
