--- a/crates/borageshore_routing/src/endpoint.rs
+++ b/crates/borageshore_routing/src/endpoint.rs
@@ -5,23 +5,23 @@
 use borageshore_base::SortedMap;
 
 /// Failures in a row after which an endpoint is left out for a while.
-const EJECT_AFTER_FAILURES: u32 = 3;
+const EJECT_AFTER_CONSECUTIVE_FAILURES: u32 = 3;
 /// The share of failures, in thousandths, from which an endpoint is left out although some requests
 /// end well there: an endpoint that fails two of five has 400, one that fails one of fifty never
 /// gets there.
-const EJECT_AT_PERMILLE: u64 = 350;
+const EJECT_AT_FAILURE_PERMILLE: u64 = 350;
 /// An endpoint that comes back has this share, so that the next failures eject it again at once.
-const ON_TRIAL_PERMILLE: u64 = 250;
+const READMITTED_PERMILLE: u64 = 250;
 /// Below this share it counts as sound, and a later ejection is a first one again.
-const SOUND_PERMILLE: u64 = 100;
+const HEALTHY_PERMILLE: u64 = 100;
 /// The weight of an outcome in the share: an eighth, so that it follows the last dozen.
-const OUTCOME_WEIGHT: u64 = 8;
+const FAILURE_RATE_WINDOW: u64 = 8;
 /// The first time of an ejection; it doubles with each further one.
-const EJECTION_MS: u64 = 2_000;
+const BASE_EJECTION_MS: u64 = 2_000;
 /// The largest number of doublings.
-const EJECTION_DOUBLINGS: u32 = 5;
+const MAX_EJECTION_DOUBLINGS: u32 = 5;
 /// At most this share of a service's endpoints is ejected at once.
-const EJECTED_AT_MOST_PERCENT: usize = 50;
+const MAX_EJECTED_PERCENT: usize = 50;
 /// After this time half of a load report's weight is gone.
 const REPORT_HALF_LIFE_MS: u64 = 1_000;
 
@@ -69,8 +69,8 @@
     pub report: Option<LoadReport>,
     reported_at_ms: u64,
     in_flight_at_report: u64,
-    failures_in_a_row: u32,
-    failures_permille: u64,
+    consecutive_failures: u32,
+    failure_rate_permille: u64,
     ejections: u32,
     ejected_until_ms: u64,
 }
@@ -83,17 +83,17 @@
             report: None,
             reported_at_ms: 0,
             in_flight_at_report: 0,
-            failures_in_a_row: 0,
-            failures_permille: 0,
+            consecutive_failures: 0,
+            failure_rate_permille: 0,
             ejections: 0,
             ejected_until_ms: 0,
         }
     }
 
     /// Takes an outcome into the share of failures: 0 or 1,000.
-    fn weigh(&mut self, outcome_permille: u64) {
-        let kept = self.failures_permille * (OUTCOME_WEIGHT - 1);
-        self.failures_permille = (kept + outcome_permille) / OUTCOME_WEIGHT;
+    fn update_failure_rate(&mut self, outcome_permille: u64) {
+        let weighted_previous = self.failure_rate_permille * (FAILURE_RATE_WINDOW - 1);
+        self.failure_rate_permille = (weighted_previous + outcome_permille) / FAILURE_RATE_WINDOW;
     }
 
     /// When its last report came; 0 before the first.
@@ -175,9 +175,9 @@
     pub fn on_success(&mut self, name: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-            endpoint.failures_in_a_row = 0;
-            endpoint.weigh(0);
-            if endpoint.failures_permille < SOUND_PERMILLE {
+            endpoint.consecutive_failures = 0;
+            endpoint.update_failure_rate(0);
+            if endpoint.failure_rate_permille < HEALTHY_PERMILLE {
                 endpoint.ejections = 0;
             }
         }
@@ -204,11 +204,11 @@
             return;
         };
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-        endpoint.failures_in_a_row += 1;
-        endpoint.weigh(1_000);
-        let is_bad = endpoint.failures_in_a_row >= EJECT_AFTER_FAILURES
-            || endpoint.failures_permille >= EJECT_AT_PERMILLE;
-        if !is_bad {
+        endpoint.consecutive_failures += 1;
+        endpoint.update_failure_rate(1_000);
+        let is_outlier = endpoint.consecutive_failures >= EJECT_AFTER_CONSECUTIVE_FAILURES
+            || endpoint.failure_rate_permille >= EJECT_AT_FAILURE_PERMILLE;
+        if !is_outlier {
             return;
         }
         let service = endpoint.listing.service.clone();
@@ -220,15 +220,15 @@
         let ejected = of_service()
             .filter(|other| now_ms < other.ejected_until_ms)
             .count();
-        if (ejected + 1) * 100 > of_service().count() * EJECTED_AT_MOST_PERCENT {
+        if (ejected + 1) * 100 > of_service().count() * MAX_EJECTED_PERCENT {
             return;
         }
         let endpoint = self.endpoints.get_mut(name).expect("looked up above");
-        let doublings = endpoint.ejections.min(EJECTION_DOUBLINGS);
-        endpoint.ejected_until_ms = now_ms + (EJECTION_MS << doublings);
+        let doublings = endpoint.ejections.min(MAX_EJECTION_DOUBLINGS);
+        endpoint.ejected_until_ms = now_ms + (BASE_EJECTION_MS << doublings);
         endpoint.ejections += 1;
-        endpoint.failures_in_a_row = 0;
-        endpoint.failures_permille = ON_TRIAL_PERMILLE;
+        endpoint.consecutive_failures = 0;
+        endpoint.failure_rate_permille = READMITTED_PERMILLE;
     }
 
     /// An endpoint.
