--- a/crates/borageshore_routing/src/quarantine.rs
+++ b/crates/borageshore_routing/src/quarantine.rs
@@ -21,27 +21,27 @@
 /// The first is short, for a proper request that met three crashes by bad luck, all at once where many callers ask
 /// the same: its trial clears it. The second is for a trial that showed nothing, at an endpoint that was full. A
 /// request that crashes its endpoints has three trials in the first seven hours, and one a day after that.
-const HOLDS_MS: [u64; 6] = [1_000, 10_000, 600_000, HOUR_MS, 6 * HOUR_MS, 24 * HOUR_MS];
+const HOLD_STEPS_MS: [u64; 6] = [1_000, 10_000, 600_000, HOUR_MS, 6 * HOUR_MS, 24 * HOUR_MS];
 const HOUR_MS: u64 = 3_600_000;
 /// Suspicion ends this long after the last crash: callers repeat a request that failed within minutes.
-const SUSPECTED_MS: u64 = HOUR_MS;
+const SUSPICION_MS: u64 = HOUR_MS;
 /// A request that was held is forgotten when it was not asked for so long after its hold: the software that it
 /// crashed has been replaced by then.
-const FORGOTTEN_MS: u64 = 24 * HOUR_MS;
+const HELD_RETENTION_MS: u64 = 24 * HOUR_MS;
 /// A trial without an outcome is over after this time: longer than a call may take to be answered.
-const TRIAL_MS: u64 = 5_000;
+const TRIAL_TIMEOUT_MS: u64 = 5_000;
 /// A trial that found no endpoint is made again after this time: a caller is kept waiting for no longer than it
 /// takes to see an endpoint that is up again.
-const UNSENT_PAUSE_MS: u64 = 200;
+const UNSENT_TRIAL_DELAY_MS: u64 = 200;
 /// Crashes of one endpoint that are told with times no further apart are one crash: an endpoint takes longer to start.
 const SAME_CRASH_MS: u64 = 2_000;
 /// So many trials are made again as if they had not been made, when another request crashed their endpoints too. A
 /// request that crashes endpoints must not have one after the other.
-const FREE_SHARED_TRIALS: u64 = 1;
+const MAX_UNCOUNTED_SHARED_TRIALS: u64 = 1;
 /// Requests that are remembered: those that 680 daemons lose in seven hours of 240 VM failures a day.
-const MOST_ENTRIES: usize = 4_096;
+const MAX_ENTRIES: usize = 4_096;
 /// Crashes that are remembered of one request, those of its trials not counted.
-const MOST_CRASHES: usize = 8;
+const MAX_CRASHES: usize = 8;
 
 /// An endpoint that crashed under a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -85,7 +85,7 @@
     crashes: Vec<Crash>,
     /// The trials that were made, and when the last one began or was over.
     trials: u64,
-    tried_ms: u64,
+    last_trial_ms: u64,
     /// No trial begins before.
     no_trial_before_ms: u64,
 }
@@ -104,10 +104,10 @@
         let failed = self.failed_trials() - shared_trials;
         let made = self
             .trials
-            .saturating_sub(shared_trials.min(FREE_SHARED_TRIALS));
+            .saturating_sub(shared_trials.min(MAX_UNCOUNTED_SHARED_TRIALS));
         let step = (made.max(failed) + failed) as usize;
-        let hold_ms = HOLDS_MS[step.min(HOLDS_MS.len() - 1)];
-        let until_ms = self.last_ms().max(self.tried_ms) + hold_ms;
+        let hold_ms = HOLD_STEPS_MS[step.min(HOLD_STEPS_MS.len() - 1)];
+        let until_ms = self.last_crash_ms().max(self.last_trial_ms) + hold_ms;
         Some(until_ms.max(self.no_trial_before_ms))
     }
 
@@ -116,15 +116,15 @@
         failed.count() as u64
     }
 
-    fn last_ms(&self) -> u64 {
+    fn last_crash_ms(&self) -> u64 {
         let times = self.crashes.iter().map(|crash| crash.at_ms);
         times.max().unwrap_or(0)
     }
 
-    fn ends_ms(&self) -> u64 {
+    fn expires_at_ms(&self) -> u64 {
         match self.held_until_ms(0) {
-            Some(until_ms) => until_ms + FORGOTTEN_MS,
-            None => self.last_ms() + SUSPECTED_MS,
+            Some(until_ms) => until_ms + HELD_RETENTION_MS,
+            None => self.last_crash_ms() + SUSPICION_MS,
         }
     }
 }
@@ -136,7 +136,7 @@
     claim: Arc<str>,
     began_ms: u64,
     /// When the one before began or was over.
-    tried_before_ms: u64,
+    previous_trial_ms: u64,
 }
 
 /// The requests that lost endpoints, as all daemons tell of them.
@@ -171,15 +171,15 @@
     /// Takes over that an endpoint crashed under a request.
     pub fn on_crash(&mut self, content: Fingerprint, crash: Crash) -> CrashEffect {
         if !self.entries.contains_key(&content) {
-            self.make_room();
+            self.evict_if_full();
         }
         let entry = self.entries.get_or_insert_with(content, Entry::default);
         let is_known = entry
             .crashes
             .iter()
             .any(|known| known.instance == crash.instance);
-        let is_one_more = entry.crashes.len() >= MOST_CRASHES && !crash.is_trial;
-        if is_known || is_one_more {
+        let is_over_limit = entry.crashes.len() >= MAX_CRASHES && !crash.is_trial;
+        if is_known || is_over_limit {
             return CrashEffect::Known;
         }
         entry.crashes.push(crash);
@@ -210,7 +210,7 @@
         let trial = self
             .trial
             .as_ref()
-            .map_or(0, |trial| trial.began_ms + TRIAL_MS);
+            .map_or(0, |trial| trial.began_ms + TRIAL_TIMEOUT_MS);
         match until_ms.max(trial).checked_sub(now_ms) {
             Some(again_ms) if again_ms > 0 => Verdict::Held { again_ms },
             _ => Verdict::TrialDue,
@@ -233,7 +233,7 @@
             content,
             claim,
             began_ms: now_ms,
-            tried_before_ms: entry.map_or(0, |entry| entry.tried_ms),
+            previous_trial_ms: entry.map_or(0, |entry| entry.last_trial_ms),
         });
         self.count_trial(&content, number, now_ms);
     }
@@ -264,8 +264,8 @@
         };
         if let Some(entry) = self.entries.get_mut(content) {
             entry.trials = entry.trials.saturating_sub(1);
-            entry.tried_ms = trial.tried_before_ms;
-            entry.no_trial_before_ms = now_ms + UNSENT_PAUSE_MS;
+            entry.last_trial_ms = trial.previous_trial_ms;
+            entry.no_trial_before_ms = now_ms + UNSENT_TRIAL_DELAY_MS;
         }
     }
 
@@ -274,7 +274,7 @@
             && number >= entry.trials
         {
             entry.trials = number;
-            entry.tried_ms = entry.tried_ms.max(now_ms);
+            entry.last_trial_ms = entry.last_trial_ms.max(now_ms);
         }
     }
 
@@ -292,7 +292,7 @@
     pub fn expire(&mut self, now_ms: u64) -> Vec<(Fingerprint, Vec<Crash>)> {
         let mut ended = Vec::new();
         self.entries.retain(|content, entry| {
-            let stays = now_ms < entry.ends_ms();
+            let stays = now_ms < entry.expires_at_ms();
             if !stays {
                 ended.push((*content, std::mem::take(&mut entry.crashes)));
             }
@@ -341,13 +341,14 @@
     }
 
     /// Forgets the request with the fewest crashes, the oldest of these, if there is no room for another.
-    fn make_room(&mut self) {
-        if self.entries.len() < MOST_ENTRIES {
+    fn evict_if_full(&mut self) {
+        if self.entries.len() < MAX_ENTRIES {
             return;
         }
-        let weight = |(_, entry): &(&Fingerprint, &Entry)| (entry.crashes.len(), entry.last_ms());
-        let least = self.entries.iter().min_by_key(weight);
-        if let Some((content, _)) = least.map(|(content, entry)| (*content, entry)) {
+        let weight =
+            |(_, entry): &(&Fingerprint, &Entry)| (entry.crashes.len(), entry.last_crash_ms());
+        let evicted = self.entries.iter().min_by_key(weight);
+        if let Some((content, _)) = evicted.map(|(content, entry)| (*content, entry)) {
             self.entries.remove(&content);
         }
     }
