--- a/crates/borageshore_routing/src/keys.rs
+++ b/crates/borageshore_routing/src/keys.rs
@@ -26,12 +26,12 @@
     /// Reads the prefix of a key of the form `<daemon>.<incarnation>.<slot>.<caller's part>`.
     pub fn parse(key: &str) -> Option<Self> {
         let mut parts = key.rsplitn(4, '.');
-        let own_part = parts.next()?;
+        let caller_part = parts.next()?;
         let slot = parts.next()?.parse().ok()?;
         let incarnation = parts.next()?.parse().ok()?;
         let daemon = parts.next()?;
-        let complete = !own_part.is_empty() && !daemon.is_empty();
-        complete.then(|| Self {
+        let is_complete = !caller_part.is_empty() && !daemon.is_empty();
+        is_complete.then(|| Self {
             daemon: daemon.into(),
             incarnation,
             slot,
@@ -89,23 +89,23 @@
     daemon: Arc<str>,
     incarnation: u64,
     window_ms: u64,
-    most_bytes: usize,
+    max_bytes: usize,
     bytes: usize,
     /// Slots below this were forgotten and can never be run again, whatever the window becomes.
-    forgotten_below: u64,
+    evicted_below: u64,
     entries: SortedMap<Arc<str>, KeyEntry>,
 }
 
 impl KeyTable {
     /// Opens an empty table for an incarnation.
-    pub fn open(daemon: Arc<str>, incarnation: u64, window_ms: u64, most_bytes: usize) -> Self {
+    pub fn open(daemon: Arc<str>, incarnation: u64, window_ms: u64, max_bytes: usize) -> Self {
         Self {
             daemon,
             incarnation,
             window_ms,
-            most_bytes,
+            max_bytes,
             bytes: 0,
-            forgotten_below: 0,
+            evicted_below: 0,
             entries: SortedMap::default(),
         }
     }
@@ -141,12 +141,12 @@
             Some(KeyEntry { answer: None, .. }) => return KeyDecision::Wait,
             None => {}
         }
-        self.forget(now_ms);
+        self.evict_old_slots(now_ms);
         let is_future = prefix.slot > now_ms / SLOT_MS;
-        if prefix.slot < self.forgotten_below || is_future {
+        if prefix.slot < self.evicted_below || is_future {
             return KeyDecision::Refuse(ResultCode::KeyExpired);
         }
-        if self.bytes + key.len() > self.most_bytes {
+        if self.bytes + key.len() > self.max_bytes {
             return KeyDecision::Refuse(ResultCode::KeyMemoryFull);
         }
         self.bytes += key.len();
@@ -185,12 +185,12 @@
         self.entries.is_empty()
     }
 
-    fn forget(&mut self, now_ms: u64) {
+    fn evict_old_slots(&mut self, now_ms: u64) {
         let oldest_slot = now_ms.saturating_sub(self.window_ms) / SLOT_MS;
-        if oldest_slot <= self.forgotten_below {
+        if oldest_slot <= self.evicted_below {
             return;
         }
-        self.forgotten_below = oldest_slot;
+        self.evicted_below = oldest_slot;
         let mut freed = 0;
         self.entries.retain(|key, entry| {
             let keep = entry.slot >= oldest_slot || entry.answer.is_none();
