--- a/crates/borageshore_routing/src/crash_reports.rs
+++ b/crates/borageshore_routing/src/crash_reports.rs
@@ -9,9 +9,9 @@
 /// which reads them.
 const REPORTS_PER_S: u64 = 40;
 /// Reports of one daemon at once. A crash takes the requests of one endpoint, of which a daemon has a few.
-const MOST_AT_ONCE: u64 = 8;
+const MAX_BURST: u64 = 8;
 /// Reports that wait; the loss of a zone brings more, most of which are answered elsewhere before their turn.
-const MOST_WAITING: usize = 256;
+const MAX_WAITING: usize = 256;
 /// A report in thousandths, so that a large deployment's small share of each second adds up.
 const REPORT_MILLI: u64 = 1_000;
 
@@ -32,15 +32,15 @@
 pub struct CrashReports {
     waiting: Vec<CrashReport>,
     tokens_milli: u64,
-    filled_at_ms: u64,
+    refilled_at_ms: u64,
 }
 
 impl Default for CrashReports {
     fn default() -> Self {
         Self {
             waiting: Vec::new(),
-            tokens_milli: MOST_AT_ONCE * REPORT_MILLI,
-            filled_at_ms: 0,
+            tokens_milli: MAX_BURST * REPORT_MILLI,
+            refilled_at_ms: 0,
         }
     }
 }
@@ -58,7 +58,7 @@
 
     /// Notes a crash; without room, the oldest report goes.
     pub fn push(&mut self, report: CrashReport) {
-        if self.waiting.len() >= MOST_WAITING {
+        if self.waiting.len() >= MAX_WAITING {
             self.waiting.remove(0);
         }
         self.waiting.push(report);
@@ -73,7 +73,7 @@
 
     /// Takes what may be told now, the requests with most crashes first; `daemons` share the budget.
     pub fn take(&mut self, quarantine: &Quarantine, daemons: u64, now_ms: u64) -> Vec<CrashReport> {
-        self.fill(daemons, now_ms);
+        self.refill(daemons, now_ms);
         let count = (self.tokens_milli / REPORT_MILLI) as usize;
         let crashes = |report: &CrashReport| std::cmp::Reverse(quarantine.crashes(&report.content));
         self.waiting.sort_by_key(crashes);
@@ -93,14 +93,14 @@
         }
     }
 
-    fn fill(&mut self, daemons: u64, now_ms: u64) {
-        let passed_ms = now_ms.saturating_sub(self.filled_at_ms);
-        let gained_milli = passed_ms.saturating_mul(REPORTS_PER_S) / daemons.max(1);
+    fn refill(&mut self, daemons: u64, now_ms: u64) {
+        let elapsed_ms = now_ms.saturating_sub(self.refilled_at_ms);
+        let gained_milli = elapsed_ms.saturating_mul(REPORTS_PER_S) / daemons.max(1);
         if gained_milli == 0 {
             return;
         }
-        self.filled_at_ms = now_ms;
-        let most_milli = MOST_AT_ONCE * REPORT_MILLI;
-        self.tokens_milli = most_milli.min(self.tokens_milli.saturating_add(gained_milli));
+        self.refilled_at_ms = now_ms;
+        let max_milli = MAX_BURST * REPORT_MILLI;
+        self.tokens_milli = max_milli.min(self.tokens_milli.saturating_add(gained_milli));
     }
 }
