--- a/crates/borageshore_routing/src/registry.rs
+++ b/crates/borageshore_routing/src/registry.rs
@@ -5,7 +5,7 @@
 use borageshore_base::SortedMap;
 
 /// The ids whose last start is remembered after their entry is gone: some days of 4,400 restarts.
-const MOST_STARTS: usize = 20_000;
+const MAX_REMEMBERED_STARTS: usize = 20_000;
 
 /// What an endpoint's entry changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Held<Entry> {
+struct CurrentEntry<Entry> {
     started_at_ms: Option<u64>,
     entry: Entry,
 }
@@ -34,7 +34,7 @@
 /// nobody vouches for. From that moment the id names no endpoint, whatever it named before.
 #[derive(Debug)]
 pub struct EndpointRegistry<Entry> {
-    held: SortedMap<Arc<str>, Held<Entry>>,
+    current: SortedMap<Arc<str>, CurrentEntry<Entry>>,
     /// The newest start of each endpoint; one that never named any has none.
     starts: SortedMap<Arc<str>, u64>,
     /// The ids whose newest entry is a foreign one.
@@ -44,7 +44,7 @@
 impl<Entry> Default for EndpointRegistry<Entry> {
     fn default() -> Self {
         Self {
-            held: SortedMap::default(),
+            current: SortedMap::default(),
             starts: SortedMap::default(),
             foreign: SortedMap::default(),
         }
@@ -67,12 +67,12 @@
             return EntryEffect::Stale;
         }
         if let Some(started_at_ms) = started_at_ms {
-            self.remember(id, started_at_ms);
+            self.record_start(id, started_at_ms);
         }
         self.foreign.remove(id);
-        let before = self.held.insert(
+        let before = self.current.insert(
             id.clone(),
-            Held {
+            CurrentEntry {
                 started_at_ms,
                 entry,
             },
@@ -85,39 +85,39 @@
 
     /// Takes over an entry that names no endpoint; says whether that is news.
     pub fn on_foreign(&mut self, id: &Arc<str>) -> bool {
-        let is_news = self.foreign.insert(id.clone(), ()).is_none();
-        self.held.remove(id).is_some() || is_news
+        let is_new = self.foreign.insert(id.clone(), ()).is_none();
+        self.current.remove(id).is_some() || is_new
     }
 
     /// Takes an entry out; says whether there was one.
     pub fn remove(&mut self, id: &Arc<str>) -> bool {
         self.foreign.remove(id);
-        self.held.remove(id).is_some()
+        self.current.remove(id).is_some()
     }
 
     /// The entry that holds for an id.
     pub fn get(&self, id: &str) -> Option<&Entry> {
-        self.held.get(id).map(|held| &held.entry)
+        self.current.get(id).map(|current| &current.entry)
     }
 
     /// The ids with an entry that holds.
     pub fn ids(&self) -> impl Iterator<Item = &Arc<str>> {
-        self.held.keys()
+        self.current.keys()
     }
 
     /// The entries that hold, by id.
     pub fn values(&self) -> impl Iterator<Item = &Entry> {
-        self.held.values().map(|held| &held.entry)
+        self.current.values().map(|current| &current.entry)
     }
 
     /// Says whether no entry holds.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.current.is_empty()
     }
 
-    fn remember(&mut self, id: &Arc<str>, started_at_ms: u64) {
+    fn record_start(&mut self, id: &Arc<str>, started_at_ms: u64) {
         self.starts.insert(id.clone(), started_at_ms);
-        if self.starts.len() > MOST_STARTS {
+        if self.starts.len() > MAX_REMEMBERED_STARTS {
             let oldest = self.starts.iter().min_by_key(|(_, start)| **start);
             if let Some(oldest) = oldest.map(|(id, _)| id.clone()) {
                 self.starts.remove(&oldest);
