--- a/crates/borageshore_routing/src/choice.rs
+++ b/crates/borageshore_routing/src/choice.rs
@@ -11,7 +11,7 @@
 /// prefix cannot heap all its requests on one endpoint.
 const AFFINITY_BONUS_PERCENT: u64 = 50;
 /// What another availability zone costs, in percent of an endpoint's slots.
-const OTHER_ZONE_PERCENT: u64 = 25;
+const CROSS_ZONE_COST_PERCENT: u64 = 25;
 
 /// What the choice depends on.
 #[derive(Debug, Clone, Copy)]
@@ -39,40 +39,40 @@
 where
     Random: Rng,
 {
-    let fresh = |endpoint: &&Endpoint| !request.tried.contains(&endpoint.listing.name);
+    let is_untried = |endpoint: &&Endpoint| !request.tried.contains(&endpoint.listing.name);
     let usable: Vec<&Endpoint> = table
         .usable(request.service, now_ms)
-        .filter(fresh)
+        .filter(is_untried)
         .collect();
     if usable.is_empty() {
         return None;
     }
-    let holder = prefix_holder(&usable, request.prefix);
+    let preferred = affinity_endpoint(&usable, request.prefix);
     let count = usable.len() as u64;
     let first = usable[(random.next_u64() % count) as usize];
     let second = usable[(random.next_u64() % count) as usize];
-    let candidates = [first, second].into_iter().chain(holder);
-    let cost = |endpoint: &&Endpoint| cost_of(endpoint, request.zone, holder, now_ms);
+    let candidates = [first, second].into_iter().chain(preferred);
+    let cost = |endpoint: &&Endpoint| cost_of(endpoint, request.zone, preferred, now_ms);
     candidates
         .min_by_key(cost)
         .map(|endpoint| endpoint.listing.name.clone())
 }
 
 /// The endpoint that most likely has the prefix cached: requests of one prefix meet there.
-fn prefix_holder<'e>(usable: &[&'e Endpoint], prefix: Option<&str>) -> Option<&'e Endpoint> {
+fn affinity_endpoint<'e>(usable: &[&'e Endpoint], prefix: Option<&str>) -> Option<&'e Endpoint> {
     let prefix = prefix?;
     let weight = |endpoint: &&&Endpoint| rendezvous_weight(prefix, &endpoint.listing.name);
     usable.iter().max_by_key(weight).copied()
 }
 
 /// Load in thousandths of the slots, less the bonus, plus the price of distance.
-fn cost_of(endpoint: &Endpoint, zone: &str, holder: Option<&Endpoint>, now_ms: u64) -> u64 {
+fn cost_of(endpoint: &Endpoint, zone: &str, preferred: Option<&Endpoint>, now_ms: u64) -> u64 {
     let mut cost = 10 * AFFINITY_BONUS_PERCENT + endpoint.load(now_ms) * 1_000 / endpoint.slots();
-    if holder.is_some_and(|holder| holder.listing.name == endpoint.listing.name) {
+    if preferred.is_some_and(|preferred| preferred.listing.name == endpoint.listing.name) {
         cost -= 10 * AFFINITY_BONUS_PERCENT;
     }
     if &*endpoint.listing.zone != zone {
-        cost += 10 * OTHER_ZONE_PERCENT;
+        cost += 10 * CROSS_ZONE_COST_PERCENT;
     }
     cost
 }
