--- a/crates/borageshore_routing/src/admission.rs
+++ b/crates/borageshore_routing/src/admission.rs
@@ -88,10 +88,10 @@
 
     /// Asks for a slot.
     pub fn offer(&mut self, ticket: Ticket) -> AdmissionDecision {
-        let overtaken = self.waiting.iter().any(|waiting| {
+        let is_preceded = self.waiting.iter().any(|waiting| {
             waiting.workload == ticket.workload && waiting.importance >= ticket.importance
         });
-        if !overtaken && self.has_slot(ticket.workload) {
+        if !is_preceded && self.has_slot(ticket.workload) {
             self.take_slot(ticket.workload);
             return AdmissionDecision::Start;
         }
@@ -105,20 +105,20 @@
                 retry_after_ms: self.retry_after_ms(ahead),
             };
         }
-        let at = self
+        let index = self
             .waiting
             .partition_point(|waiting| waiting.importance >= ticket.importance);
-        self.waiting.insert(at, ticket);
+        self.waiting.insert(index, ticket);
         AdmissionDecision::Queued
     }
 
     /// Starts the next waiting request for which there is a slot.
     pub fn start_next(&mut self) -> Option<Ticket> {
-        let at = self
+        let index = self
             .waiting
             .iter()
             .position(|waiting| self.has_slot(waiting.workload))?;
-        let ticket = self.waiting.remove(at);
+        let ticket = self.waiting.remove(index);
         self.take_slot(ticket.workload);
         Some(ticket)
     }
--- a/crates/borageshore_routing/src/budget.rs
+++ b/crates/borageshore_routing/src/budget.rs
@@ -3,7 +3,7 @@
 /// What one request earns or a retry costs, in hundredths, so that a percentage is exact.
 const RETRY_COST: u64 = 100;
 /// The most that can be saved up.
-const RESERVE: u64 = 10 * RETRY_COST;
+const MAX_BALANCE: u64 = 10 * RETRY_COST;
 
 /// Allows retries as a share of requests.
 ///
@@ -12,7 +12,7 @@
 #[derive(Debug)]
 pub struct RetryBudget {
     percent: u64,
-    saved: u64,
+    balance: u64,
 }
 
 impl RetryBudget {
@@ -20,7 +20,7 @@
     pub fn open(percent: u64) -> Self {
         Self {
             percent,
-            saved: RESERVE,
+            balance: MAX_BALANCE,
         }
     }
 
@@ -31,15 +31,15 @@
 
     /// Earns a request's share.
     pub fn on_request(&mut self) {
-        self.saved = (self.saved + self.percent).min(RESERVE);
+        self.balance = (self.balance + self.percent).min(MAX_BALANCE);
     }
 
     /// Spends a retry if there is one.
     pub fn try_retry(&mut self) -> bool {
-        if self.saved < RETRY_COST {
+        if self.balance < RETRY_COST {
             return false;
         }
-        self.saved -= RETRY_COST;
+        self.balance -= RETRY_COST;
         true
     }
 }
