--- a/crates/borageshore_routing/src/fingerprint.rs
+++ b/crates/borageshore_routing/src/fingerprint.rs
@@ -64,9 +64,11 @@
     type Err = ParseFingerprintError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let is_whole = text.len() == 2 * BYTES;
+        let has_full_length = text.len() == 2 * BYTES;
         let bits = u128::from_str_radix(text, 16).ok();
-        let bits = bits.filter(|_| is_whole).ok_or(ParseFingerprintError)?;
+        let bits = bits
+            .filter(|_| has_full_length)
+            .ok_or(ParseFingerprintError)?;
         Ok(Self(bits.to_be_bytes()))
     }
 }
--- a/crates/borageshore_routing/src/routes.rs
+++ b/crates/borageshore_routing/src/routes.rs
@@ -68,12 +68,12 @@
     /// The service for one request; `random` is any number.
     pub fn service_for(&self, random: u64) -> Option<&Arc<str>> {
         let total: u64 = self.targets.iter().map(|target| target.weight).sum();
-        let mut left = random % total.max(1);
+        let mut remaining = random % total.max(1);
         for target in &self.targets {
-            if left < target.weight {
+            if remaining < target.weight {
                 return Some(&target.service);
             }
-            left -= target.weight;
+            remaining -= target.weight;
         }
         self.targets.first().map(|target| &target.service)
     }
@@ -128,8 +128,8 @@
 
     /// The route of a host whose prefix is the longest that begins the path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let from = self.routes.partition_point(|route| &*route.host < host);
-        self.routes[from..]
+        let start = self.routes.partition_point(|route| &*route.host < host);
+        self.routes[start..]
             .iter()
             .take_while(|route| &*route.host == host)
             .filter(|route| path.starts_with(&*route.path_prefix))
--- a/crates/borageshore_routing/src/subset.rs
+++ b/crates/borageshore_routing/src/subset.rs
@@ -5,7 +5,7 @@
 use crate::endpoint::EndpointListing;
 
 /// Up to this many endpoints are observed by every daemon.
-const SMALL_DEPLOYMENT: usize = 64;
+const MAX_OBSERVED_BY_ALL: usize = 64;
 
 /// The endpoints that `own` observes of a list.
 ///
@@ -19,7 +19,7 @@
     peers: &[&str],
     observers: usize,
 ) -> Vec<EndpointListing> {
-    if listed.len() <= SMALL_DEPLOYMENT {
+    if listed.len() <= MAX_OBSERVED_BY_ALL {
         return listed;
     }
     let is_observed = |listing: &EndpointListing| {
