--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -144,7 +144,9 @@
         let content = content();
         match self.verdict(&content) {
             Verdict::Allowed => Ok(Leave { trial: None }),
-            Verdict::Held { again_ms } => Err(Held { again_ms }),
+            Verdict::Held { retry_after_ms } => Err(Held {
+                again_ms: retry_after_ms,
+            }),
             Verdict::TrialDue => self.claim(content).await,
         }
     }
@@ -157,8 +159,8 @@
         loop {
             let left_ms = until_ms.saturating_sub(self.clock.now_ms());
             match self.verdict(&content) {
-                Verdict::Held { again_ms } if left_ms > 0 => {
-                    within_ms(again_ms.min(left_ms), self.changed.notified()).await;
+                Verdict::Held { retry_after_ms } if left_ms > 0 => {
+                    within_ms(retry_after_ms.min(left_ms), self.changed.notified()).await;
                 }
                 _ => return,
             }
--- a/crates/borageshore_gateway/src/quarantine/trials.rs
+++ b/crates/borageshore_gateway/src/quarantine/trials.rs
@@ -88,7 +88,9 @@
         }
         match self.verdict(&content) {
             Verdict::Allowed => Ok(Leave { trial: None }),
-            Verdict::Held { again_ms } => Err(Held { again_ms }),
+            Verdict::Held { retry_after_ms } => Err(Held {
+                again_ms: retry_after_ms,
+            }),
             Verdict::TrialDue if self.members.is_first_for(&content.to_string()) => {
                 Ok(self.try_without_the_store(trial))
             }
--- a/crates/borageshore_routing/src/quarantine.rs
+++ b/crates/borageshore_routing/src/quarantine.rs
@@ -62,7 +62,7 @@
     /// It may not.
     Held {
         /// When to come back.
-        again_ms: u64,
+        retry_after_ms: u64,
     },
     /// One send may show whether it crashes endpoints still; who makes it must be agreed on.
     TrialDue,
@@ -212,7 +212,7 @@
             .as_ref()
             .map_or(0, |trial| trial.began_ms + TRIAL_TIMEOUT_MS);
         match until_ms.max(trial).checked_sub(now_ms) {
-            Some(again_ms) if again_ms > 0 => Verdict::Held { again_ms },
+            Some(retry_after_ms) if retry_after_ms > 0 => Verdict::Held { retry_after_ms },
             _ => Verdict::TrialDue,
         }
     }
--- a/crates/borageshore_routing/tests/quarantine.rs
+++ b/crates/borageshore_routing/tests/quarantine.rs
@@ -52,7 +52,7 @@
         assert_eq!(quarantine.verdict(&content(1), 1_010), Verdict::Allowed);
         assert_eq!(quarantine.on_crash(content(1), crash(2, 1_015)), CrashEffect::Known);
         assert_eq!(quarantine.on_crash(content(1), crash(3, 1_020)), CrashEffect::Held);
-        assert_eq!(quarantine.verdict(&content(1), 1_020), Verdict::Held { again_ms: FIRST_HOLD_MS });
+        assert_eq!(quarantine.verdict(&content(1), 1_020), Verdict::Held { retry_after_ms: FIRST_HOLD_MS });
         assert_eq!(quarantine.verdict(&content(2), 1_020), Verdict::Allowed);
     }
 
@@ -73,7 +73,7 @@
         let failed = Crash { is_trial: true, ..crash(4, due_ms + 20) };
         assert_eq!(quarantine.on_crash(content(1), failed), CrashEffect::Held);
         assert!(!quarantine.has_trial("vm-1"));
-        let held = Verdict::Held { again_ms: SECOND_HOLD_MS };
+        let held = Verdict::Held { retry_after_ms: SECOND_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 20), held);
     }
 
@@ -95,12 +95,12 @@
         let due_ms = 1_020 + FIRST_HOLD_MS;
         quarantine.on_claim(content(1), "vm-1".into(), 1, due_ms);
         quarantine.on_trial_finished(&content(1), "vm-1", 1, due_ms + 5);
-        let held = Verdict::Held { again_ms: UNDECIDED_HOLD_MS };
+        let held = Verdict::Held { retry_after_ms: UNDECIDED_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 5), held);
         let due_ms = due_ms + 5 + UNDECIDED_HOLD_MS;
         quarantine.on_claim(content(1), "vm-2".into(), 2, due_ms);
         quarantine.on_trial_finished(&content(1), "vm-2", 2, due_ms + 5);
-        let held = Verdict::Held { again_ms: SECOND_HOLD_MS };
+        let held = Verdict::Held { retry_after_ms: SECOND_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 5), held);
     }
 
@@ -112,7 +112,7 @@
         quarantine.on_claim(content(1), "vm-1".into(), 1, due_ms);
         quarantine.on_trial_cancelled(&content(1), "vm-1", due_ms + 5);
         assert_eq!(quarantine.trials(&content(1)), 0);
-        let held = Verdict::Held { again_ms: UNSENT_TRIAL_DELAY_MS };
+        let held = Verdict::Held { retry_after_ms: UNSENT_TRIAL_DELAY_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 5), held);
         assert_eq!(quarantine.verdict(&content(1), due_ms + 5 + UNSENT_TRIAL_DELAY_MS), Verdict::TrialDue);
     }
@@ -134,7 +134,7 @@
         let mut quarantine = crashed(1, 3);
         quarantine.on_trial_finished(&content(1), "vm-2", 2, 20_000);
         assert_eq!(quarantine.trials(&content(1)), 2);
-        let held = Verdict::Held { again_ms: SECOND_HOLD_MS };
+        let held = Verdict::Held { retry_after_ms: SECOND_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), 20_000), held);
     }
 
@@ -148,7 +148,7 @@
         let lost = Crash { is_trial: true, ..crash(4, due_ms + 20) };
         quarantine.on_crash(content(1), lost);
         quarantine.on_trial_finished(&content(1), "vm-1", 1, due_ms + 20);
-        let held = Verdict::Held { again_ms: FIRST_HOLD_MS };
+        let held = Verdict::Held { retry_after_ms: FIRST_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 20), held);
         assert_eq!(quarantine.verdict(&content(1), due_ms + 20 + FIRST_HOLD_MS), Verdict::TrialDue);
     }
@@ -163,7 +163,7 @@
         quarantine.on_crash(content(2), crash(4, due_ms + 25));
         assert_eq!(quarantine.verdict(&content(1), due_ms + 20 + FIRST_HOLD_MS), Verdict::TrialDue);
         quarantine.on_success(&content(2));
-        let held = Verdict::Held { again_ms: SECOND_HOLD_MS };
+        let held = Verdict::Held { retry_after_ms: SECOND_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 20), held);
     }
 
@@ -174,7 +174,7 @@
         let mut trials = 0;
         while now_ms < SECOND_HOLD_MS {
             now_ms += match quarantine.verdict(&content(1), now_ms) {
-                Verdict::Held { again_ms } => again_ms,
+                Verdict::Held { retry_after_ms } => retry_after_ms,
                 _ => {
                     trials += 1;
                     quarantine.on_claim(content(1), "vm-1".into(), trials, now_ms);
