--- a/crates/borageshore_routing/src/quarantine.rs
+++ b/crates/borageshore_routing/src/quarantine.rs
@@ -1,10 +1,8 @@
-//! Requests that crash the endpoints which run them: who is suspected, what is held back and when it is tried
-//! again.
+//! Detection and quarantine of requests that crash the endpoints which run them.
 //!
-//! A request that crashes its endpoint looks like any other whose endpoint crashed. What tells it from those
-//! is that it is never answered: it takes down each endpoint that begins to run it, while the requests which shared an
-//! endpoint with it are answered elsewhere. So crashes count in a row, over different endpoints, and one success
-//! ends all suspicion.
+//! Such a request is never answered: it crashes every endpoint that starts it, while the requests that shared an
+//! endpoint with it succeed elsewhere. So only consecutive crashes on different endpoints count, and one success
+//! clears a request.
 
 use std::sync::Arc;
 
@@ -12,81 +10,82 @@
 
 use crate::fingerprint::Fingerprint;
 
-/// Crashes of different endpoints in a row after which a request is held back. A proper request meets two when the
-/// endpoint of its second attempt goes as well, as in the loss of a zone.
+/// Consecutive crashes on different endpoints after which a request is held. Two may be chance: in the loss
+/// of a zone the endpoint of a second attempt can crash as well.
 const CRASHES_TO_HOLD: usize = 3;
-/// How long a request is held back before one send may show whether it crashes endpoints still. A trial counts as one
-/// step, one that crashed its endpoint as two.
+/// How long a request is held before its next trial, by step. A trial advances by one step, one that crashed
+/// its endpoint by two.
 ///
-/// The first is short, for a proper request that met three crashes by bad luck, all at once where many callers ask
-/// the same: its trial clears it. The second is for a trial that showed nothing, at an endpoint that was full. A
-/// request that crashes its endpoints has three trials in the first seven hours, and one a day after that.
+/// The first step is short so that a harmless request with three coincidental crashes is cleared soon. The
+/// second follows a trial without a result, for example on a full endpoint. The last one limits a request
+/// that keeps crashing endpoints to one trial a day.
 const HOLD_STEPS_MS: [u64; 6] = [1_000, 10_000, 600_000, HOUR_MS, 6 * HOUR_MS, 24 * HOUR_MS];
 const HOUR_MS: u64 = 3_600_000;
-/// Suspicion ends this long after the last crash: callers repeat a request that failed within minutes.
+/// Time after the last crash at which a suspected request is forgotten. Callers repeat a failed request
+/// within minutes.
 const SUSPICION_MS: u64 = HOUR_MS;
-/// A request that was held is forgotten when it was not asked for so long after its hold: the software that it
-/// crashed has been replaced by then.
+/// Time after the end of its hold at which a held request that was not sent again is forgotten. The software that it
+/// crashed is assumed to be replaced by then.
 const HELD_RETENTION_MS: u64 = 24 * HOUR_MS;
-/// A trial without an outcome is over after this time: longer than a call may take to be answered.
+/// Time after which a trial without a result is over. Longer than any call may take.
 const TRIAL_TIMEOUT_MS: u64 = 5_000;
-/// A trial that found no endpoint is made again after this time: a caller is kept waiting for no longer than it
-/// takes to see an endpoint that is up again.
+/// Delay before a cancelled trial is due again. Short, as a caller may be waiting for an endpoint to come up.
 const UNSENT_TRIAL_DELAY_MS: u64 = 200;
-/// Crashes of one endpoint that are told with times no further apart are one crash: an endpoint takes longer to start.
+/// Reports of crashes of one endpoint less than this apart describe the same crash: an endpoint takes longer
+/// than this to restart.
 const SAME_CRASH_MS: u64 = 2_000;
-/// So many trials are made again as if they had not been made, when another request crashed their endpoints too. A
-/// request that crashes endpoints must not have one after the other.
+/// How many trials do not count because another request crashed the same endpoint. Bounded, so that a request
+/// that does crash endpoints cannot be tried without end.
 const MAX_UNCOUNTED_SHARED_TRIALS: u64 = 1;
-/// Requests that are remembered: those that 680 daemons lose in seven hours of 240 VM failures a day.
+/// Capacity of the quarantine in requests. Sized for 680 daemons with 240 VM failures a day over seven hours.
 const MAX_ENTRIES: usize = 4_096;
-/// Crashes that are remembered of one request, those of its trials not counted.
+/// Crashes that are kept for each request. Those of its trials are always kept.
 const MAX_CRASHES: usize = 8;
 
-/// An endpoint that crashed under a request.
+/// The crash of an endpoint while it ran a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Crash {
-    /// The endpoint.
+    /// The name of the endpoint.
     pub instance: Arc<str>,
-    /// Whether the request was on trial there.
+    /// Whether the request was sent there as a trial.
     pub is_trial: bool,
-    /// When it crashed.
+    /// When it crashed, in Unix time.
     pub at_ms: u64,
 }
 
 /// Whether a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It may.
+    /// It may be sent.
     Allowed,
-    /// It may not.
+    /// It is held and may not be sent.
     Held {
-        /// When to come back.
+        /// How long to wait before asking again.
         retry_after_ms: u64,
     },
-    /// One send may show whether it crashes endpoints still; who makes it must be agreed on.
+    /// Its hold is over: one daemon, which has to claim the trial first, may send it once.
     TrialDue,
 }
 
-/// What a crash changed.
+/// The effect of a crash report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashEffect {
-    /// It was known.
+    /// None: the crash was known, or the limit of crashes for the request is reached.
     Known,
-    /// The request is suspected.
+    /// The request is suspected but may still be sent.
     Suspected,
-    /// The request is held back from now on, or for longer.
+    /// The request is held, or held for longer than before.
     Held,
 }
 
 #[derive(Debug, Default)]
 struct Entry {
-    /// The crashes of different endpoints since its last success.
+    /// The crashes of different endpoints since the last success.
     crashes: Vec<Crash>,
-    /// The trials that were made, and when the last one began or was over.
     trials: u64,
+    /// When the last trial began or ended.
     last_trial_ms: u64,
-    /// No trial begins before.
+    /// The earliest time of the next trial.
     no_trial_before_ms: u64,
 }
 
@@ -95,8 +94,8 @@
         self.crashes.len() >= CRASHES_TO_HOLD
     }
 
-    /// Until when it is held back, if so many of its trials show nothing as another request crashed their
-    /// endpoints too; `None` if it is only suspected.
+    /// The end of the hold, or `None` if the request is only suspected. `shared_trials` is the number of trials whose
+    /// endpoint another request crashed at the same time; they prove nothing.
     fn held_until_ms(&self, shared_trials: u64) -> Option<u64> {
         if !self.is_held() {
             return None;
@@ -129,46 +128,45 @@
     }
 }
 
-/// The one send that may show whether a held request crashes endpoints still.
+/// The trial in progress: a single send of a held request to see whether it still crashes endpoints.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Trial {
     content: Fingerprint,
     claim: Arc<str>,
     began_ms: u64,
-    /// When the one before began or was over.
+    /// When the trial before this one began or ended.
     previous_trial_ms: u64,
 }
 
-/// The requests that lost endpoints, as all daemons tell of them.
+/// The requests that are suspected of crashing endpoints, as reported by all daemons.
 ///
-/// Guards against a request that crashes each endpoint which begins to run it and comes again at any daemon: 36
-/// endpoints of four crashed in 12 s under one such request, and all other calls were refused meanwhile. Daemons
-/// that take over the same news in the same order hold the same requests back.
+/// Guards against a request that is repeated at any daemon and crashes one endpoint after another until none
+/// is left for other calls. Daemons that apply the same reports in the same order hold the same requests.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     entries: SortedMap<Fingerprint, Entry>,
-    /// One at a time: two suspects that are tried together cannot be told apart.
+    /// At most one at a time: if two requests share an endpoint that crashes, either may be the cause.
     trial: Option<Trial>,
 }
 
 impl Quarantine {
-    /// Says whether nothing is suspected, as on any calm day.
+    /// Returns whether no request is suspected or held.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Says whether a request is suspected or held back.
+    /// Returns whether a request is suspected or held.
     pub fn is_suspected(&self, content: &Fingerprint) -> bool {
         self.entries.contains_key(content)
     }
 
-    /// The crashes of different endpoints under a request since its last success.
+    /// The number of endpoints that a request has crashed since its last success.
     pub fn crashes(&self, content: &Fingerprint) -> usize {
         let entry = self.entries.get(content);
         entry.map_or(0, |entry| entry.crashes.len())
     }
 
-    /// Takes over that an endpoint crashed under a request.
+    /// Records that an endpoint crashed while it ran a request.
     pub fn on_crash(&mut self, content: Fingerprint, crash: Crash) -> CrashEffect {
         if !self.entries.contains_key(&content) {
             self.evict_if_full();
@@ -191,14 +189,14 @@
         }
     }
 
-    /// Takes over that a request was answered with success: whatever crashed before was not its doing. Returns the
-    /// crashes that were held against it; `None` if there was no suspicion.
+    /// Records that a request succeeded, which clears it. Returns the crashes that had been counted against
+    /// it, or `None` if it was not suspected.
     pub fn on_success(&mut self, content: &Fingerprint) -> Option<Vec<Crash>> {
         self.end_trial(content);
         Some(self.entries.remove(content)?.crashes)
     }
 
-    /// Says whether a request may be sent now.
+    /// Returns whether a request may be sent now.
     pub fn verdict(&self, content: &Fingerprint, now_ms: u64) -> Verdict {
         let entry = self.entries.get(content);
         let held_until_ms =
@@ -206,7 +204,7 @@
         let Some(until_ms) = held_until_ms.flatten() else {
             return Verdict::Allowed;
         };
-        // Requests wait for the trial of another one as well.
+        // A trial in progress, also that of another request, delays all others.
         let trial = self
             .trial
             .as_ref()
@@ -217,13 +215,13 @@
         }
     }
 
-    /// The trials of a request so far.
+    /// The number of trials of a request so far.
     pub fn trials(&self, content: &Fingerprint) -> u64 {
         let entry = self.entries.get(content);
         entry.map_or(0, |entry| entry.trials)
     }
 
-    /// Takes over that a daemon claims a trial of a request, by its number. Of several claims the first counts.
+    /// Records that a daemon claims trial `number` of a request. The first of several claims wins.
     pub fn on_claim(&mut self, content: Fingerprint, claim: Arc<str>, number: u64, now_ms: u64) {
         if self.verdict(&content, now_ms) != Verdict::TrialDue {
             return;
@@ -238,7 +236,7 @@
         self.count_trial(&content, number, now_ms);
     }
 
-    /// Takes over that a trial of a request was made, by its number, whatever came of it.
+    /// Records that trial `number` of a request is over, whatever its result.
     pub fn on_trial_finished(
         &mut self,
         content: &Fingerprint,
@@ -248,7 +246,7 @@
     ) {
         let trial = self.trial.as_ref();
         let is_another = |trial: &Trial| trial.content == *content && &*trial.claim != claim;
-        // One that is told late must not end the trial after it.
+        // A late report of an earlier trial must not end the current one.
         if trial.is_some_and(is_another) {
             return;
         }
@@ -256,8 +254,8 @@
         self.count_trial(content, number, now_ms);
     }
 
-    /// Takes over that a trial of a request was not made, as no endpoint was there to send it to, or the claim came
-    /// too late for its caller.
+    /// Records that a claimed trial was not sent, because no endpoint was available or its caller's deadline
+    /// had passed.
     pub fn on_trial_cancelled(&mut self, content: &Fingerprint, claim: &str, now_ms: u64) {
         let Some(trial) = self.trial.take_if(|trial| &*trial.claim == claim) else {
             return;
@@ -278,7 +276,7 @@
         }
     }
 
-    /// Says whether a claim has the trial.
+    /// Returns whether the trial in progress belongs to a claim.
     pub fn has_trial(&self, claim: &str) -> bool {
         let trial = self.trial.as_ref();
         trial.is_some_and(|trial| &*trial.claim == claim)
@@ -288,7 +286,7 @@
         self.trial.take_if(|trial| trial.content == *content);
     }
 
-    /// Forgets what ends by itself; returns it with the crashes that were held against it.
+    /// Removes the requests whose retention is over and returns them with their crashes.
     pub fn expire(&mut self, now_ms: u64) -> Vec<(Fingerprint, Vec<Crash>)> {
         let mut ended = Vec::new();
         self.entries.retain(|content, entry| {
@@ -301,25 +299,25 @@
         ended
     }
 
-    /// Forgets the requests that are not among some.
+    /// Removes all requests but those in `contents`.
     pub fn keep_only(&mut self, contents: &[Fingerprint]) {
         self.entries.retain(|content, _| contents.contains(content));
     }
 
-    /// The requests that are held back or wait for a trial.
+    /// The number of requests that are held or due for a trial.
     pub fn held_count(&self) -> usize {
         let entries = self.entries.values();
         entries.filter(|entry| entry.is_held()).count()
     }
 
-    /// The endpoints that crashed under any request not long ago.
+    /// The endpoints that crashed under any request within the last two seconds.
     pub fn crashed_lately(&self, now_ms: u64) -> Vec<Arc<str>> {
         let crashes = self.entries.values().flat_map(|entry| &entry.crashes);
         let lately = crashes.filter(|crash| now_ms < crash.at_ms + SAME_CRASH_MS);
         lately.map(|crash| crash.instance.clone()).collect()
     }
 
-    /// The trials of a request whose endpoints crashed under another one at the same time.
+    /// The number of a request's failed trials in which another request crashed the same endpoint.
     fn shared_trials(&self, content: &Fingerprint, entry: &Entry) -> u64 {
         let trials = entry.crashes.iter().filter(|crash| crash.is_trial);
         trials
@@ -335,12 +333,12 @@
         })
     }
 
-    /// The requests that are remembered.
+    /// The number of requests that are suspected or held.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Forgets the request with the fewest crashes, the oldest of these, if there is no room for another.
+    /// Evicts the request with the fewest crashes, of several the one that crashed longest ago, if the table is full.
     fn evict_if_full(&mut self) {
         if self.entries.len() < MAX_ENTRIES {
             return;
