--- a/crates/borageshore_routing/src/endpoint.rs
+++ b/crates/borageshore_routing/src/endpoint.rs
@@ -1,71 +1,70 @@
-//! What a daemon knows of the endpoints it observes.
+//! The endpoints that a daemon observes: load, failure rate and outlier ejection.
 
 use std::sync::Arc;
 
 use borageshore_base::SortedMap;
 
-/// Failures in a row after which an endpoint is left out for a while.
+/// Consecutive failures after which an endpoint is ejected.
 const EJECT_AFTER_CONSECUTIVE_FAILURES: u32 = 3;
-/// The share of failures, in thousandths, from which an endpoint is left out although some requests
-/// end well there: an endpoint that fails two of five has 400, one that fails one of fifty never
-/// gets there.
+/// Failure rate, in thousandths, at which an endpoint is ejected although some of its requests succeed.
 const EJECT_AT_FAILURE_PERMILLE: u64 = 350;
-/// An endpoint that comes back has this share, so that the next failures eject it again at once.
+/// Failure rate given to an endpoint when it is ejected, high enough that a few failures after its return eject
+/// it again.
 const READMITTED_PERMILLE: u64 = 250;
-/// Below this share it counts as sound, and a later ejection is a first one again.
+/// Failure rate below which a success resets the ejection backoff.
 const HEALTHY_PERMILLE: u64 = 100;
-/// The weight of an outcome in the share: an eighth, so that it follows the last dozen.
+/// The failure rate is a moving average in which a new outcome has the weight 1 / `FAILURE_RATE_WINDOW`.
 const FAILURE_RATE_WINDOW: u64 = 8;
-/// The first time of an ejection; it doubles with each further one.
+/// Duration of the first ejection; each further one lasts twice as long.
 const BASE_EJECTION_MS: u64 = 2_000;
-/// The largest number of doublings.
+/// Limit of the doublings.
 const MAX_EJECTION_DOUBLINGS: u32 = 5;
-/// At most this share of a service's endpoints is ejected at once.
+/// Largest share of a service's endpoints that may be ejected at the same time.
 const MAX_EJECTED_PERCENT: usize = 50;
-/// After this time half of a load report's weight is gone.
+/// Half-life of a load report.
 const REPORT_HALF_LIFE_MS: u64 = 1_000;
 
-/// Whether an endpoint may get new work, as the VM list has it.
+/// Whether the VM list lets an endpoint receive new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It may.
+    /// It accepts new work.
     Live,
-    /// Its VM is leaving: it finishes what it has.
+    /// Its VM is shutting down; running requests may finish.
     Leaving,
 }
 
-/// An endpoint as the VM list has it.
+/// An endpoint's entry in the VM list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointListing {
-    /// Its name.
+    /// The unique name of the endpoint.
     pub name: Arc<str>,
     /// The service it belongs to.
     pub service: Arc<str>,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// Where to connect.
+    /// The address to connect to, with the port.
     pub address: Arc<str>,
-    /// Whether it may get new work.
+    /// Whether it accepts new work.
     pub state: EndpointState,
 }
 
-/// What an endpoint says of its load.
+/// The load that an endpoint reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests running and queued, from all daemons.
+    /// Running and queued requests of all daemons.
     pub requests: u64,
-    /// Requests it can run at once.
+    /// How many requests it can run concurrently.
     pub slots: u64,
 }
 
-/// An endpoint with what this daemon observed of it.
+/// An endpoint with this daemon's observations of it.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// What the VM list says.
+    /// Its entry in the VM list.
     pub listing: EndpointListing,
-    /// This daemon's own requests at it now.
+    /// This daemon's requests that are in flight to it.
     pub in_flight: u64,
-    /// Its last report.
+    /// Its last load report.
     pub report: Option<LoadReport>,
     reported_at_ms: u64,
     in_flight_at_report: u64,
@@ -90,24 +89,24 @@
         }
     }
 
-    /// Takes an outcome into the share of failures: 0 or 1,000.
+    /// Adds an outcome to the moving average: 0 for a success, 1,000 for a failure.
     fn update_failure_rate(&mut self, outcome_permille: u64) {
         let weighted_previous = self.failure_rate_permille * (FAILURE_RATE_WINDOW - 1);
         self.failure_rate_permille = (weighted_previous + outcome_permille) / FAILURE_RATE_WINDOW;
     }
 
-    /// When its last report came; 0 before the first.
+    /// When the last load report arrived; 0 before the first.
     pub fn reported_at_ms(&self) -> u64 {
         self.reported_at_ms
     }
 
-    /// Says whether new work may go here.
+    /// Returns whether it may receive new work.
     pub fn is_usable(&self, now_ms: u64) -> bool {
         self.listing.state == EndpointState::Live && now_ms >= self.ejected_until_ms
     }
 
-    /// Others' requests by the last report, fading with its age, so that an old report neither
-    /// draws nor scares off work for ever.
+    /// The requests of other daemons by the last report. Decays with the age of the report, so that an old
+    /// one does not attract or repel work indefinitely.
     pub fn others_load(&self, now_ms: u64) -> u64 {
         let Some(report) = self.report else {
             return 0;
@@ -117,12 +116,12 @@
         others >> half_lives.min(63)
     }
 
-    /// The estimated number of requests at it.
+    /// The estimated number of its running and queued requests.
     pub fn load(&self, now_ms: u64) -> u64 {
         self.in_flight + self.others_load(now_ms)
     }
 
-    /// Its number of slots; one until it has reported.
+    /// Its number of slots; 1 before the first load report.
     pub fn slots(&self) -> u64 {
         self.report.map_or(1, |report| report.slots.max(1))
     }
@@ -135,8 +134,8 @@
 }
 
 impl EndpointTable {
-    /// Takes over a VM list: new endpoints come in, listed ones keep what was observed of them,
-    /// missing ones go once nothing of ours runs there.
+    /// Applies a VM list. Known endpoints keep their observations unless their address changed; endpoints
+    /// that are not listed any more are removed once this daemon has no requests in flight to them.
     pub fn on_listing(&mut self, listings: Vec<EndpointListing>) {
         for (_, endpoint) in self.endpoints.iter_mut() {
             endpoint.listing.state = EndpointState::Leaving;
@@ -155,7 +154,7 @@
         });
     }
 
-    /// Takes over a load report.
+    /// Records a load report.
     pub fn on_report(&mut self, name: &str, report: LoadReport, now_ms: u64) {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             endpoint.report = Some(report);
@@ -164,14 +163,14 @@
         }
     }
 
-    /// Counts a request that is being handed over.
+    /// Counts a request that is about to be sent.
     pub fn on_start(&mut self, name: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             endpoint.in_flight += 1;
         }
     }
 
-    /// Counts a request that ended well.
+    /// Counts a request that succeeded.
     pub fn on_success(&mut self, name: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
@@ -183,22 +182,21 @@
         }
     }
 
-    /// Counts a request that ended without telling anything of the endpoint's health.
+    /// Counts a request that ended without saying anything about the endpoint's health.
     pub fn on_cancelled(&mut self, name: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
         }
     }
 
-    /// Counts a request that failed, and ejects the endpoint after some in a row, or when it fails a
-    /// large share.
+    /// Counts a request that failed. Ejects the endpoint after several consecutive failures or at a high
+    /// failure rate.
     ///
-    /// The share guards against an endpoint that fails part of its requests: with successes between
-    /// them it never fails three in a row, and callers pay with a second attempt for as long as it
-    /// lasts. It is ejected for longer each time until it was sound for some ten requests.
+    /// The rate catches an endpoint that fails only part of its requests and so never reaches the consecutive
+    /// limit. Each ejection lasts longer than the one before until the failure rate has recovered.
     ///
-    /// Guards against a fault of the observer's own side (a bad link, a full queue) that makes every
-    /// endpoint look bad: no more than a share of a service is ejected at once.
+    /// At most `MAX_EJECTED_PERCENT` of a service is ejected at once: when all endpoints seem to fail, the
+    /// cause is likely on this daemon's side, such as a bad link.
     pub fn on_failure(&mut self, name: &str, now_ms: u64) {
         let Some(endpoint) = self.endpoints.get_mut(name) else {
             return;
@@ -231,7 +229,7 @@
         endpoint.failure_rate_permille = READMITTED_PERMILLE;
     }
 
-    /// An endpoint.
+    /// Looks up an endpoint by name.
     pub fn get(&self, name: &str) -> Option<&Endpoint> {
         self.endpoints.get(name)
     }
@@ -241,7 +239,7 @@
         self.endpoints.values()
     }
 
-    /// The endpoints of a service that may get new work.
+    /// The endpoints of a service that may receive new work.
     pub fn usable<'t>(
         &'t self,
         service: &'t str,
