--- a/crates/borageshore_routing/src/admission.rs
+++ b/crates/borageshore_routing/src/admission.rs
@@ -1,64 +1,64 @@
-//! Which waiting request of a service starts next, and which is refused.
+//! Admission control: which request of a service starts, waits or is refused.
 
 use std::sync::Arc;
 
-/// Names a request within one [`Admission`].
+/// Identifies a request within one [`Admission`].
 pub type TicketId = u64;
 
-/// Whose work a request is.
+/// The kind of work that a request belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Workload {
-    /// A caller waits for it.
+    /// A caller is waiting for the answer.
     Live,
-    /// It makes a sample for a trainer.
+    /// It generates a sample for a trainer.
     Training,
 }
 
-/// A request that asks for a slot.
+/// A request for a slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Ticket {
-    /// Its name.
+    /// The identifier of the request.
     pub id: TicketId,
     /// The settings node it runs under.
     pub node: Arc<str>,
-    /// Higher goes first.
+    /// The priority: higher values start first.
     pub importance: u64,
-    /// Whose work it is.
+    /// The kind of work.
     pub workload: Workload,
-    /// When it is no longer worth starting.
+    /// The time from which it must not be started any more.
     pub deadline_ms: u64,
 }
 
-/// The limits in force.
+/// The limits of an [`Admission`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdmissionLimits {
-    /// Slots that this daemon may fill.
+    /// Slots that this daemon may occupy.
     pub slots: u64,
-    /// Slots of these that live requests leave to training.
+    /// How many of them are reserved for training.
     pub training_slots: u64,
-    /// How many requests of one node may wait.
+    /// How many requests of one settings node may wait.
     pub queue_limit_requests: u64,
 }
 
 /// The answer to a request for a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It starts now.
+    /// It may start now.
     Start,
-    /// It waits; `Admission::start_next` names it later.
+    /// It waits until [`Admission::start_next`] returns it.
     Queued,
-    /// The queue of its node is full. It may come back after this time.
+    /// The queue of its node is full.
     Refused {
-        /// When a place is likely to be free.
+        /// The estimated time until the queue has room.
         retry_after_ms: u64,
     },
 }
 
 /// Slots and queues of one service in one daemon.
 ///
-/// Live requests start in strict order of importance and do not wait for running samples: engines
-/// honour priorities, so a live request beside a sample is served first. Training gets what live
-/// requests leave, and never less than its minimum, so that a trainer cannot starve.
+/// Live requests start in strict order of importance and do not wait for running samples: engines honour
+/// priorities, so a live request is served before a sample. Training gets the slots that live requests leave,
+/// but never fewer than its reserved ones, so that live traffic cannot starve a trainer.
 #[derive(Debug)]
 pub struct Admission {
     limits: AdmissionLimits,
@@ -70,7 +70,7 @@
 }
 
 impl Admission {
-    /// Opens an empty admission.
+    /// Creates an admission without running or waiting requests.
     pub fn open(limits: AdmissionLimits) -> Self {
         Self {
             limits,
@@ -81,12 +81,12 @@
         }
     }
 
-    /// Follows a change of limits.
+    /// Replaces the limits; running requests are not affected.
     pub fn set_limits(&mut self, limits: AdmissionLimits) {
         self.limits = limits;
     }
 
-    /// Asks for a slot.
+    /// Requests a slot.
     pub fn offer(&mut self, ticket: Ticket) -> AdmissionDecision {
         let is_preceded = self.waiting.iter().any(|waiting| {
             waiting.workload == ticket.workload && waiting.importance >= ticket.importance
@@ -123,7 +123,7 @@
         Some(ticket)
     }
 
-    /// Gives a slot back after `service_ms`.
+    /// Releases the slot of a request that ran for `service_ms`.
     pub fn finish(&mut self, workload: Workload, service_ms: u64) {
         let running = self.running_mut(workload);
         *running = running.saturating_sub(1);
@@ -132,14 +132,14 @@
         }
     }
 
-    /// Takes back a waiting request, for instance because its caller went away.
+    /// Removes a waiting request, for example because its caller disconnected; returns whether it was waiting.
     pub fn cancel(&mut self, id: TicketId) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|waiting| waiting.id != id);
         self.waiting.len() < before
     }
 
-    /// Removes the waiting requests whose deadline has come.
+    /// Removes and returns the waiting requests whose deadline has passed.
     pub fn expire(&mut self, now_ms: u64) -> Vec<Ticket> {
         self.waiting
             .extract_if(.., |waiting| now_ms >= waiting.deadline_ms)
@@ -185,7 +185,7 @@
         }
     }
 
-    /// The time that the requests ahead are likely to take.
+    /// Estimates how long the requests ahead and a new one take.
     fn retry_after_ms(&self, ahead: u64) -> u64 {
         self.mean_service_ms * (ahead + 1) / self.limits.slots.max(1)
     }
