--- a/crates/borageshore_routing/src/budget.rs
+++ b/crates/borageshore_routing/src/budget.rs
@@ -1,14 +1,14 @@
-//! A budget of retries.
+//! A retry budget: retries are limited to a share of the requests.
 
-/// What one request earns or a retry costs, in hundredths, so that a percentage is exact.
+/// The cost of one retry. A request adds its percentage to the balance, so the unit is a hundredth of a retry.
 const RETRY_COST: u64 = 100;
-/// The most that can be saved up.
+/// Limit of the balance: ten retries.
 const MAX_BALANCE: u64 = 10 * RETRY_COST;
 
-/// Allows retries as a share of requests.
+/// Allows retries as a share of the requests.
 ///
-/// Guards against a retry storm: when endpoints fail together, a fixed number of retries a request
-/// multiplies the load just when it can least be carried; a share of requests cannot.
+/// Guards against a retry storm: with a fixed number of retries for each request, endpoints that fail
+/// together would get a multiple of the normal load.
 #[derive(Debug)]
 pub struct RetryBudget {
     percent: u64,
@@ -16,7 +16,7 @@
 }
 
 impl RetryBudget {
-    /// Opens a budget with a full reserve.
+    /// Creates a budget with a full balance.
     pub fn open(percent: u64) -> Self {
         Self {
             percent,
@@ -24,17 +24,17 @@
         }
     }
 
-    /// Follows a change of settings.
+    /// Changes the share of requests that may be retried.
     pub fn set_percent(&mut self, percent: u64) {
         self.percent = percent;
     }
 
-    /// Earns a request's share.
+    /// Adds the share of one request to the balance.
     pub fn on_request(&mut self) {
         self.balance = (self.balance + self.percent).min(MAX_BALANCE);
     }
 
-    /// Spends a retry if there is one.
+    /// Takes one retry from the balance; returns whether there was one.
     pub fn try_retry(&mut self) -> bool {
         if self.balance < RETRY_COST {
             return false;
