--- a/crates/borageshore_routing/src/choice.rs
+++ b/crates/borageshore_routing/src/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint for one request.
+//! Load balancing: the choice of an endpoint for one request.
 
 use std::sync::Arc;
 
@@ -7,29 +7,29 @@
 
 use crate::endpoint::{Endpoint, EndpointTable};
 
-/// What a cached prefix is worth, in percent of an endpoint's slots. Bounded, so that a popular
-/// prefix cannot heap all its requests on one endpoint.
+/// Bonus of an endpoint with a cached prefix, in percent of its slots. Bounded, so that a popular prefix does
+/// not overload one endpoint.
 const AFFINITY_BONUS_PERCENT: u64 = 50;
-/// What another availability zone costs, in percent of an endpoint's slots.
+/// Penalty of an endpoint in another availability zone, in percent of its slots.
 const CROSS_ZONE_COST_PERCENT: u64 = 25;
 
-/// What the choice depends on.
+/// The properties of a request that its endpoint is chosen by.
 #[derive(Debug, Clone, Copy)]
 pub struct ChoiceRequest<'r> {
     /// The service.
     pub service: &'r str,
-    /// The caller's prompt prefix, if the request has one.
+    /// The prompt prefix, if the request has one.
     pub prefix: Option<&'r str>,
     /// The availability zone of this daemon.
     pub zone: &'r str,
-    /// Endpoints that were tried already.
+    /// The endpoints that earlier attempts were sent to.
     pub tried: &'r [Arc<str>],
 }
 
 /// Chooses the better of two random endpoints, with a bounded bonus for a cached prefix.
 ///
-/// Two choices suffice to keep queues short even though reports lag; taking the least loaded by a
-/// lagging report would send every daemon to the same endpoint at once.
+/// Load reports lag. If each daemon took the endpoint with the lowest reported load, all of them would choose
+/// the same one; two random choices keep queues short without that.
 pub fn choose_endpoint<Random>(
     table: &EndpointTable,
     request: ChoiceRequest<'_>,
@@ -58,14 +58,14 @@
         .map(|endpoint| endpoint.listing.name.clone())
 }
 
-/// The endpoint that most likely has the prefix cached: requests of one prefix meet there.
+/// The endpoint that most likely has the prefix cached, by rendezvous hashing.
 fn affinity_endpoint<'e>(usable: &[&'e Endpoint], prefix: Option<&str>) -> Option<&'e Endpoint> {
     let prefix = prefix?;
     let weight = |endpoint: &&&Endpoint| rendezvous_weight(prefix, &endpoint.listing.name);
     usable.iter().max_by_key(weight).copied()
 }
 
-/// Load in thousandths of the slots, less the bonus, plus the price of distance.
+/// Load in thousandths of the slots, less the bonus for a cached prefix, plus the penalty for another zone.
 fn cost_of(endpoint: &Endpoint, zone: &str, preferred: Option<&Endpoint>, now_ms: u64) -> u64 {
     let mut cost = 10 * AFFINITY_BONUS_PERCENT + endpoint.load(now_ms) * 1_000 / endpoint.slots();
     if preferred.is_some_and(|preferred| preferred.listing.name == endpoint.listing.name) {
