--- a/crates/borageshore_routing/src/crash_reports.rs
+++ b/crates/borageshore_routing/src/crash_reports.rs
@@ -1,33 +1,35 @@
-//! What a daemon has yet to tell the others of crashes, within a bound on what all of them have to read.
+//! The crash reports that a daemon has not sent to the other daemons yet, with a rate limit on all daemons together.
 
 use crate::{
     fingerprint::Fingerprint,
     quarantine::{Crash, Quarantine},
 };
 
-/// Reports of all daemons together: 150 bytes each, half of the 12 KB a second that control may cost each daemon
-/// which reads them.
+/// Rate limit of all daemons together. With 150 bytes a report, it takes half of the 12 KB/s that control traffic may
+/// cost each daemon, as every daemon reads all reports.
 const REPORTS_PER_S: u64 = 40;
-/// Reports of one daemon at once. A crash takes the requests of one endpoint, of which a daemon has a few.
+/// Burst of one daemon. The crash of an endpoint affects few requests of each daemon.
 const MAX_BURST: u64 = 8;
-/// Reports that wait; the loss of a zone brings more, most of which are answered elsewhere before their turn.
+/// Capacity of the queue. The loss of a zone causes more reports, but most of these requests succeed
+/// elsewhere meanwhile.
 const MAX_WAITING: usize = 256;
-/// A report in thousandths, so that a large deployment's small share of each second adds up.
+/// The cost of one report in tokens of a thousandth, so that the small share of each daemon adds up in a
+/// large deployment.
 const REPORT_MILLI: u64 = 1_000;
 
-/// A crash that the other daemons do not know of yet.
+/// A crash that other daemons are told of.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashReport {
-    /// The request.
+    /// The fingerprint of the request.
     pub content: Fingerprint,
-    /// What crashed under it.
+    /// The crash of the endpoint that ran it.
     pub crash: Crash,
 }
 
-/// The crashes that one daemon has seen and not told of yet.
+/// The crash reports of one daemon that wait to be sent.
 ///
-/// Guards against the loss of a zone, when each daemon loses all requests that it has there at once: what is
-/// told then is a share of the daemons' budget, and requests that crash endpoints repeatedly come first.
+/// Guards against a burst of reports at the loss of a zone, when each daemon loses all its requests there.
+/// Requests with repeated crashes are reported first.
 #[derive(Debug)]
 pub struct CrashReports {
     waiting: Vec<CrashReport>,
@@ -46,17 +48,17 @@
 }
 
 impl CrashReports {
-    /// Says whether nothing waits.
+    /// Returns whether no report waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// What waits, in no order.
+    /// The waiting reports, in no particular order.
     pub fn waiting(&self) -> &[CrashReport] {
         &self.waiting
     }
 
-    /// Notes a crash; without room, the oldest report goes.
+    /// Adds a report; if the queue is full, the first one is dropped.
     pub fn push(&mut self, report: CrashReport) {
         if self.waiting.len() >= MAX_WAITING {
             self.waiting.remove(0);
@@ -64,14 +66,15 @@
         self.waiting.push(report);
     }
 
-    /// Drops the reports of a request that was answered, as nobody needs to know; returns the crashes.
+    /// Removes the reports of a request that has succeeded; returns their crashes.
     pub fn drop_content(&mut self, content: &Fingerprint) -> Vec<Crash> {
         let of_content = |report: &mut CrashReport| report.content == *content;
         let dropped = self.waiting.extract_if(.., of_content);
         dropped.map(|report| report.crash).collect()
     }
 
-    /// Takes what may be told now, the requests with most crashes first; `daemons` share the budget.
+    /// Takes the reports that may be sent now, those of the requests with most crashes first. The rate limit
+    /// is divided by `daemons`.
     pub fn take(&mut self, quarantine: &Quarantine, daemons: u64, now_ms: u64) -> Vec<CrashReport> {
         self.refill(daemons, now_ms);
         let count = (self.tokens_milli / REPORT_MILLI) as usize;
@@ -85,7 +88,7 @@
         taken
     }
 
-    /// Takes reports back that could not be told.
+    /// Returns reports that could not be sent to the queue, and their tokens.
     pub fn put_back(&mut self, reports: Vec<CrashReport>) {
         self.tokens_milli += reports.len() as u64 * REPORT_MILLI;
         for report in reports {
