--- a/crates/borageshore_routing/src/fingerprint.rs
+++ b/crates/borageshore_routing/src/fingerprint.rs
@@ -1,35 +1,35 @@
-//! A name for what a request asks, the same for each of its repeats.
+//! Fingerprints of requests, the same for each repeat of a request.
 
 use std::{fmt, str::FromStr};
 
-/// 128 bits: two different requests of a year never meet, 10^12 of them by a chance of 10^-15.
+/// 128 bits, for which a collision among 10^12 requests has a probability of about 10^-15.
 const BYTES: usize = 16;
 
-/// What an endpoint is asked, whoever passes it on and in whichever attempt.
+/// The parts of a request that its fingerprint is made of.
 ///
-/// The id of the attempt and the time that is left are no part of it: both are new each time.
+/// The id of the attempt and the remaining time are left out, as they differ in each repeat.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestContent<'c> {
-    /// The method.
+    /// The HTTP method.
     pub method: &'c str,
     /// The host of the route.
     pub host: &'c str,
     /// Path and query.
     pub target: &'c str,
-    /// The caller's organisation, which stays the same when its key changes; where none are named, what the caller
-    /// presents instead.
+    /// The name of the caller's organisation, which outlives its keys; without organisations, the caller's
+    /// credentials.
     pub caller: &'c [u8],
     /// The whole body.
     pub body: &'c [u8],
 }
 
-/// The name of a request's content: a cryptographic hash, so that nobody can make up a request that is taken for
-/// another caller's.
+/// A cryptographic hash of a request's content, so that no caller can forge a request with the fingerprint of another
+/// caller's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fingerprint([u8; BYTES]);
 
 impl Fingerprint {
-    /// Names a content.
+    /// Computes the fingerprint of a request.
     pub fn of(content: &RequestContent<'_>) -> Self {
         let mut hasher = blake3::Hasher::new();
         let parts = [
@@ -40,7 +40,7 @@
             content.body,
         ];
         for part in parts {
-            // The length keeps the end of one part from passing for the beginning of the next.
+            // The length prefix keeps different splits of the same bytes apart.
             hasher.update(&(part.len() as u64).to_be_bytes());
             hasher.update(part);
         }
@@ -56,7 +56,7 @@
     }
 }
 
-/// A text is no fingerprint.
+/// The error of parsing a text that is not a fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ParseFingerprintError;
 
