--- a/crates/borageshore_routing/src/endpoint.rs
+++ b/crates/borageshore_routing/src/endpoint.rs
@@ -134,8 +134,8 @@
 }
 
 impl EndpointTable {
-    /// Applies a VM list. Known endpoints keep their observations unless their address changed; endpoints
-    /// that are not listed any more are removed once this daemon has no requests in flight to them.
+    /// Applies a VM list. Known endpoints keep their observations unless their address changed; those that
+    /// are leaving or no longer listed are removed once this daemon has no requests in flight to them.
     pub fn on_listing(&mut self, listings: Vec<EndpointListing>) {
         for (_, endpoint) in self.endpoints.iter_mut() {
             endpoint.listing.state = EndpointState::Leaving;
