--- a/crates/borageshore_routing/src/keys.rs
+++ b/crates/borageshore_routing/src/keys.rs
@@ -1,8 +1,8 @@
-//! At most once without a record per request.
+//! At-most-once execution by request keys, without a stored record for each request.
 //!
-//! A request key starts with a prefix that names one daemon incarnation and the time slot in which
-//! the prefix was given out. Only that incarnation runs the key, and it remembers the key in memory;
-//! when it is gone, the truthful answer is that nobody knows whether the key ran.
+//! A request key starts with a prefix that names a daemon incarnation and the time slot in which it issued
+//! the prefix. Only that incarnation runs the key, and it remembers the key in memory. Once it is gone,
+//! whether the key ran is unknown.
 
 use std::{fmt, sync::Arc};
 
@@ -11,19 +11,19 @@
 /// The length of a prefix's time slot.
 const SLOT_MS: u64 = 10_000;
 
-/// The beginning of a request key: `<daemon>.<incarnation>.<slot>`.
+/// The prefix of a request key: `<daemon>.<incarnation>.<slot>`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeyPrefix {
-    /// The daemon that gave it out.
+    /// The daemon that issued it.
     pub daemon: Arc<str>,
     /// The incarnation of that daemon.
     pub incarnation: u64,
-    /// The time slot, by the incarnation's own clock.
+    /// The time slot, on the clock of that incarnation.
     pub slot: u64,
 }
 
 impl KeyPrefix {
-    /// Reads the prefix of a key of the form `<daemon>.<incarnation>.<slot>.<caller's part>`.
+    /// Parses the prefix of a key of the form `<daemon>.<incarnation>.<slot>.<caller's part>`.
     pub fn parse(key: &str) -> Option<Self> {
         let mut parts = key.rsplitn(4, '.');
         let caller_part = parts.next()?;
@@ -50,26 +50,26 @@
 pub struct StoredAnswer {
     /// The result code.
     pub code: ResultCode,
-    /// The endpoint's HTTP status, or that of the code.
+    /// The HTTP status of the endpoint or of the result code.
     pub status: u16,
-    /// The type of the body.
+    /// The content type of the body.
     pub content_type: Arc<str>,
     /// The body.
     pub body: Vec<u8>,
-    /// The particulars of a failure.
+    /// Details of a failure.
     pub detail: String,
 }
 
 /// What to do with a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyDecision {
-    /// Run it: it is new, and now remembered.
+    /// Run it: it is new and has been added to the table.
     Run,
     /// It is running; wait for its answer.
     Wait,
-    /// It ran; give the same answer again.
+    /// It ran; return the stored answer.
     Replay(StoredAnswer),
-    /// It must not run here, for the reason that the code names.
+    /// It must not run here; the code is the reason.
     Refuse(ResultCode),
 }
 
@@ -81,9 +81,9 @@
 
 /// The keys of one daemon incarnation.
 ///
-/// Guards against a repeated non-idempotent request. A repeat within the window finds its key; one
-/// after the window carries a slot too old to be remembered and is answered as unknown; a full table
-/// refuses new keys rather than forget old ones.
+/// Guards against running a non-idempotent request twice. A repeat within the window finds its key. A later
+/// one has an evicted slot and is refused as expired, as it may have run. A full table refuses new keys
+/// instead of evicting old ones.
 #[derive(Debug)]
 pub struct KeyTable {
     daemon: Arc<str>,
@@ -91,13 +91,13 @@
     window_ms: u64,
     max_bytes: usize,
     bytes: usize,
-    /// Slots below this were forgotten and can never be run again, whatever the window becomes.
+    /// Keys of slots below this were evicted and are refused, even if the window grows later.
     evicted_below: u64,
     entries: SortedMap<Arc<str>, KeyEntry>,
 }
 
 impl KeyTable {
-    /// Opens an empty table for an incarnation.
+    /// Creates an empty table for an incarnation.
     pub fn open(daemon: Arc<str>, incarnation: u64, window_ms: u64, max_bytes: usize) -> Self {
         Self {
             daemon,
@@ -110,12 +110,12 @@
         }
     }
 
-    /// Follows a change of settings.
+    /// Changes the time that keys are remembered.
     pub fn set_window_ms(&mut self, window_ms: u64) {
         self.window_ms = window_ms;
     }
 
-    /// The prefix to give out at `now_ms`, by the incarnation's clock.
+    /// The prefix to issue at `now_ms` on the clock of the incarnation.
     pub fn prefix(&self, now_ms: u64) -> KeyPrefix {
         KeyPrefix {
             daemon: self.daemon.clone(),
@@ -124,12 +124,12 @@
         }
     }
 
-    /// Says whether a prefix is this incarnation's.
+    /// Returns whether this incarnation issued a prefix.
     pub fn owns(&self, prefix: &KeyPrefix) -> bool {
         prefix.daemon == self.daemon && prefix.incarnation == self.incarnation
     }
 
-    /// Decides about a key that this incarnation owns.
+    /// Decides what to do with a key that this incarnation owns.
     pub fn decide(&mut self, key: &str, prefix: &KeyPrefix, now_ms: u64) -> KeyDecision {
         match self.entries.get(key) {
             Some(KeyEntry {
@@ -160,7 +160,7 @@
         KeyDecision::Run
     }
 
-    /// Keeps the answer of a key that ran or may have run.
+    /// Stores the answer of a key that ran or may have run.
     pub fn on_answer(&mut self, key: &str, answer: StoredAnswer) {
         if let Some(entry) = self.entries.get_mut(key) {
             self.bytes += answer.body.len();
@@ -168,19 +168,19 @@
         }
     }
 
-    /// Forgets a key that certainly did not run, so that the caller may try it again.
+    /// Removes a key that certainly did not run, so that the caller may repeat it.
     pub fn on_not_run(&mut self, key: &str) {
         if self.entries.remove(key).is_some() {
             self.bytes = self.bytes.saturating_sub(key.len());
         }
     }
 
-    /// The number of keys remembered.
+    /// The number of remembered keys.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Says whether no key is remembered.
+    /// Returns whether no key is remembered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
