--- a/crates/borageshore_routing/src/registry.rs
+++ b/crates/borageshore_routing/src/registry.rs
@@ -1,22 +1,24 @@
-//! Which entry of each endpoint holds, as entries come from writers that may be late or strangers.
+//! The registry of endpoints, which ignores entries of earlier incarnations and of other writers.
 
 use std::sync::Arc;
 
 use borageshore_base::SortedMap;
 
-/// The ids whose last start is remembered after their entry is gone: some days of 4,400 restarts.
+/// How many start times are kept, also after the entry of an id is removed. Sized for several days at 4,400
+/// restarts a day.
 const MAX_REMEMBERED_STARTS: usize = 20_000;
 
-/// What an endpoint's entry changed.
+/// The effect of an entry on the registry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryEffect {
-    /// It holds from now on; an earlier one of the same incarnation may have held.
+    /// It is the current entry now, as the first one or in place of one of the same incarnation.
     Accepted,
-    /// It holds, and the endpoint has started again since the entry before.
+    /// It is the current entry now, and the endpoint has restarted since the previous one.
     Restarted,
-    /// It is of an earlier incarnation than one that was heard of, and changes nothing.
+    /// It belongs to an earlier incarnation than a known one and is ignored.
     Stale,
-    /// It names no start, though the endpoint has named one: another writer's.
+    /// It has no start time although earlier entries of the endpoint had one, so another writer wrote it. It
+    /// is ignored.
     Foreign,
 }
 
@@ -26,18 +28,17 @@
     entry: Entry,
 }
 
-/// The entries of endpoints by id.
+/// The current entries of endpoints, by id.
 ///
-/// Guards against two kinds of entry. A late one, written before the endpoint started again under its id:
-/// requests would go by the load and the weights of an incarnation that is gone. And one that another
-/// writer left, which cannot be read or lacks fields: the endpoint would get calls at an address that
-/// nobody vouches for. From that moment the id names no endpoint, whatever it named before.
+/// Guards against two kinds of entries: a late one, written before the endpoint restarted under its id, whose
+/// load and weights are outdated; and one of another writer, unreadable or incomplete, whose address cannot
+/// be trusted. The id of the latter has no entry until a valid one arrives.
 #[derive(Debug)]
 pub struct EndpointRegistry<Entry> {
     current: SortedMap<Arc<str>, CurrentEntry<Entry>>,
-    /// The newest start of each endpoint; one that never named any has none.
+    /// The newest start time of each endpoint that reports one.
     starts: SortedMap<Arc<str>, u64>,
-    /// The ids whose newest entry is a foreign one.
+    /// The ids whose newest entry was written by another writer.
     foreign: SortedMap<Arc<str>, ()>,
 }
 
@@ -52,7 +53,7 @@
 }
 
 impl<Entry> EndpointRegistry<Entry> {
-    /// Takes over an entry that was read; `started_at_ms` is when the endpoint says it started.
+    /// Applies an entry; `started_at_ms` is the start time that the endpoint reports.
     pub fn on_entry(
         &mut self,
         id: &Arc<str>,
@@ -83,34 +84,35 @@
         }
     }
 
-    /// Takes over an entry that names no endpoint; says whether that is news.
+    /// Removes the current entry of an id whose newest entry is invalid or another writer's; returns whether
+    /// this changed anything.
     pub fn on_foreign(&mut self, id: &Arc<str>) -> bool {
         let is_new = self.foreign.insert(id.clone(), ()).is_none();
         self.current.remove(id).is_some() || is_new
     }
 
-    /// Takes an entry out; says whether there was one.
+    /// Removes an entry; returns whether there was one.
     pub fn remove(&mut self, id: &Arc<str>) -> bool {
         self.foreign.remove(id);
         self.current.remove(id).is_some()
     }
 
-    /// The entry that holds for an id.
+    /// The current entry of an id.
     pub fn get(&self, id: &str) -> Option<&Entry> {
         self.current.get(id).map(|current| &current.entry)
     }
 
-    /// The ids with an entry that holds.
+    /// The ids that have a current entry.
     pub fn ids(&self) -> impl Iterator<Item = &Arc<str>> {
         self.current.keys()
     }
 
-    /// The entries that hold, by id.
+    /// The current entries, by id.
     pub fn values(&self) -> impl Iterator<Item = &Entry> {
         self.current.values().map(|current| &current.entry)
     }
 
-    /// Says whether no entry holds.
+    /// Returns whether there is no current entry.
     pub fn is_empty(&self) -> bool {
         self.current.is_empty()
     }
