--- a/crates/borageshore_routing/src/request_attempts.rs
+++ b/crates/borageshore_routing/src/request_attempts.rs
@@ -1,10 +1,10 @@
-//! All attempts of one request, some of them under way at the same time.
+//! The attempts of one request, which may run concurrently.
 
 use std::sync::Arc;
 
 use crate::attempt::{Attempt, AttemptEvent, Idempotent, Outcome};
 
-/// The attempts of one request, by the endpoints they went to.
+/// The attempts of one request with the endpoints that they were sent to.
 #[derive(Debug, Default)]
 pub struct RequestAttempts {
     tried: Vec<Arc<str>>,
@@ -12,7 +12,7 @@
 }
 
 impl RequestAttempts {
-    /// Notes an attempt whose bytes may leave from now on; returns its number.
+    /// Adds an attempt that is about to be sent; returns its number.
     pub fn hand_over(&mut self, endpoint: Arc<str>) -> usize {
         let mut attempt = Attempt::open();
         for event in [
@@ -27,20 +27,19 @@
         self.attempts.len() - 1
     }
 
-    /// Notes how an attempt ended.
+    /// Applies an event to an attempt.
     pub fn on_event(&mut self, number: usize, event: AttemptEvent) {
         if let Some(attempt) = self.attempts.get_mut(number) {
             attempt.on_event(event);
         }
     }
 
-    /// The endpoints that were tried, in order.
+    /// The endpoints of all attempts, in order.
     pub fn tried(&self) -> &[Arc<str>] {
         &self.tried
     }
 
-    /// What may truthfully be told of the request if nothing more happens: an attempt that is still
-    /// under way may have run, whatever came of the others.
+    /// The outcome of the request if no further event arrives. An unfinished attempt may have run.
     pub fn outcome(&self) -> Outcome {
         let mut outcomes = self.attempts.iter().map(Attempt::outcome);
         if outcomes.clone().any(|outcome| outcome == Outcome::Done) {
@@ -52,7 +51,7 @@
         }
     }
 
-    /// Says whether another attempt may be made.
+    /// Returns whether another attempt may be made.
     pub fn may_try(&self, idempotent: Idempotent, max_attempts: u64) -> bool {
         let is_allowed = idempotent == Idempotent::Yes || self.outcome() == Outcome::NotRun;
         is_allowed && (self.tried.len() as u64) < max_attempts
