--- a/crates/borageshore_routing/src/routes.rs
+++ b/crates/borageshore_routing/src/routes.rs
@@ -1,60 +1,60 @@
-//! Routes: which service answers a request, and under which terms.
+//! Routes: the service that answers a request, with its retry, timeout and access rules.
 
 use std::sync::Arc;
 
 use borageshore_access::Organisations;
 
-/// What may be done with a request of a route.
+/// How the requests of a route may be run and repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// A call that may run more than once.
     Idempotent,
     /// A call that runs at most once.
     AtMostOnce,
-    /// A stream of events; a resumable one may go on at another endpoint after its last event.
+    /// A stream of events.
     Stream {
-        /// Whether it may go on elsewhere.
+        /// Whether another endpoint may continue it after its last event.
         is_resumable: bool,
     },
-    /// Submissions of many items that run later.
+    /// Submissions of many items, which run asynchronously.
     Batch,
 }
 
-/// A service of a route with its share of the requests.
+/// A service that a route sends requests to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RouteTarget {
     /// The service.
     pub service: Arc<str>,
-    /// Its share, relative to the other targets.
+    /// Its share of the requests, relative to the other targets.
     pub weight: u64,
 }
 
-/// One route.
+/// A route.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
     /// Its name.
     pub name: Arc<str>,
-    /// The host that requests name.
+    /// The host of the requests.
     pub host: Arc<str>,
-    /// What a request's path begins with.
+    /// The prefix of the requests' paths.
     pub path_prefix: Arc<str>,
-    /// What may be done with its requests.
+    /// How its requests may be run and repeated.
     pub kind: RouteKind,
-    /// The longest time that a caller is kept waiting.
+    /// The longest time that a caller waits for an answer.
     pub timeout_ms: u64,
-    /// The time within which an answer has its full value.
+    /// The latency objective: the time within which requests should be answered.
     pub objective_ms: u64,
-    /// The rank among routes, 0 first.
+    /// The priority among routes; 0 is the highest.
     pub priority: u64,
-    /// The most endpoints that one request may be sent to.
+    /// The maximum number of endpoints that one request is sent to.
     pub max_attempts: u64,
-    /// Where requests go.
+    /// The services that requests are sent to.
     pub targets: Vec<RouteTarget>,
-    /// Batch: an item may be given up this long after its submission.
+    /// Batch: time after its submission from which an item may be abandoned.
     pub retention_ms: u64,
-    /// Batch: a result's text is made under one version of the weights.
+    /// Batch: whether a result must be generated with one version of the weights.
     pub is_single_version: bool,
-    /// Whether callers need no key.
+    /// Whether callers may omit the key.
     pub is_public: bool,
 }
 
@@ -65,7 +65,7 @@
         largest.map(|target| &target.service)
     }
 
-    /// The service for one request; `random` is any number.
+    /// Picks a service by weight; `random` is a uniform random number.
     pub fn service_for(&self, random: u64) -> Option<&Arc<str>> {
         let total: u64 = self.targets.iter().map(|target| target.weight).sum();
         let mut remaining = random % total.max(1);
@@ -82,16 +82,16 @@
 /// The routes in force.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
-    /// Rises with each change.
+    /// Increases with each change.
     pub version: u64,
     routes: Vec<Arc<Route>>,
-    /// The services that a route goes to, sorted.
+    /// The services of all routes, sorted.
     services: Vec<Arc<str>>,
     organisations: Organisations,
 }
 
 impl RouteTable {
-    /// Builds a table.
+    /// Creates a table of `routes`.
     pub fn open(version: u64, mut routes: Vec<Route>) -> Self {
         routes.sort_by(|a, b| (&a.host, &a.path_prefix).cmp(&(&b.host, &b.path_prefix)));
         let targets = routes.iter().flat_map(|route| &route.targets);
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Adds the organisations that came with the routes.
+    /// Replaces the organisations.
     pub fn with_organisations(self, organisations: Organisations) -> Self {
         Self {
             organisations,
@@ -114,19 +114,19 @@
         }
     }
 
-    /// The organisations in force with these routes.
+    /// The organisations that may use the routes.
     pub fn organisations(&self) -> &Organisations {
         &self.organisations
     }
 
-    /// Says whether submissions for a host need no key.
+    /// Returns whether submissions for a host need no key.
     pub fn has_public_batch(&self, host: &str) -> bool {
         let of_host = self.routes.iter().filter(|route| &*route.host == host);
         let mut batch = of_host.filter(|route| route.kind == RouteKind::Batch);
         batch.any(|route| route.is_public)
     }
 
-    /// The route of a host whose prefix is the longest that begins the path.
+    /// The route of a host with the longest prefix of the path.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let start = self.routes.partition_point(|route| &*route.host < host);
         self.routes[start..]
@@ -136,7 +136,7 @@
             .max_by_key(|route| route.path_prefix.len())
     }
 
-    /// Says whether a route goes to a service.
+    /// Returns whether a route sends requests to a service.
     pub fn names_service(&self, service: &str) -> bool {
         self.services
             .binary_search_by(|known| (**known).cmp(service))
