--- a/crates/borageshore_routing/src/abandoned_attempts.rs
+++ b/crates/borageshore_routing/src/abandoned_attempts.rs
@@ -1,13 +1,13 @@
-//! Attempts that were given up in silence, until it shows whether their endpoints ended.
+//! Attempts that were abandoned without an answer, kept until it is known whether their endpoints crashed.
 
 use std::sync::Arc;
 
 use crate::fingerprint::Fingerprint;
 
-/// An endpoint that ends under an attempt is missed this long after it at the most: its entry lapses after three
-/// heartbeats of 1.2 s, and it may have run for a route's usual timeout of 2 s before it ended.
+/// How long an attempt is kept. Covers the 3.6 s (three heartbeats) until the entry of a crashed endpoint
+/// lapses, and the usual route timeout of 2 s for which the request may run before the crash.
 const RETENTION_MS: u64 = 6_000;
-/// Attempts that are remembered; an overloaded service loses more, of which the newest tell most.
+/// Capacity; the oldest attempts are dropped first.
 const MAX_ATTEMPTS: usize = 256;
 
 #[derive(Debug)]
@@ -18,17 +18,17 @@
     at_ms: u64,
 }
 
-/// The attempts that a daemon gave up without an answer, not long ago.
+/// The attempts that a daemon abandoned recently without an answer.
 ///
-/// Guards against a request that runs for longer than its caller waits before its endpoint crashes: the connection is
-/// closed by then, and 17 endpoints of six crashed in 24 s without one attempt that was seen to be broken off.
+/// Guards against a request that crashes its endpoint only after its caller's timeout: its connection is
+/// closed by then, so no attempt is seen to break.
 #[derive(Debug, Default)]
 pub struct AbandonedAttempts {
     attempts: Vec<AbandonedAttempt>,
 }
 
 impl AbandonedAttempts {
-    /// Notes an attempt that was given up.
+    /// Adds an attempt.
     pub fn push(&mut self, content: Fingerprint, instance: &Arc<str>, is_trial: bool, now_ms: u64) {
         self.attempts
             .retain(|attempt| now_ms < attempt.at_ms + RETENTION_MS);
@@ -43,7 +43,8 @@
         });
     }
 
-    /// The requests, and whether they were on trial, that an endpoint had not long before it ended.
+    /// Removes and returns the requests that an endpoint had recently when it ended, each with whether it was
+    /// a trial.
     pub fn on_endpoint_ended(&mut self, instance: &str, now_ms: u64) -> Vec<(Fingerprint, bool)> {
         let is_of_instance = |attempt: &mut AbandonedAttempt| &*attempt.instance == instance;
         let ended = self.attempts.extract_if(.., is_of_instance);
