--- a/crates/borageshore_routing/src/subset.rs
+++ b/crates/borageshore_routing/src/subset.rs
@@ -1,17 +1,17 @@
-//! Which endpoints a daemon observes.
+//! Subsetting: the endpoints that a daemon observes.
 
 use borageshore_base::rank_within;
 
 use crate::endpoint::EndpointListing;
 
-/// Up to this many endpoints are observed by every daemon.
+/// Up to this number of endpoints, every daemon observes all of them.
 const MAX_OBSERVED_BY_ALL: usize = 64;
 
-/// The endpoints that `own` observes of a list.
+/// The endpoints of a list that the daemon `own` observes.
 ///
-/// Of a small deployment that is all of them. Of a large one each endpoint is observed by `observers`
-/// daemons of its own zone, by rendezvous hashing: shares are even, and a daemon that comes or goes
-/// moves only its own. The endpoints of a zone whose daemons are all gone get no work meanwhile.
+/// In a small deployment these are all. In a large one each endpoint is observed by `observers` daemons of
+/// its zone, chosen by rendezvous hashing: the load is even, and a daemon that joins or leaves moves only its
+/// own share. Endpoints of a zone without any daemons get no work.
 pub fn subset_of(
     listed: Vec<EndpointListing>,
     own: &str,
