--- a/crates/borageshore_routing/src/lib.rs
+++ b/crates/borageshore_routing/src/lib.rs
@@ -1,6 +1,6 @@
 //! Routing of requests: choice of endpoint, admission, retries, request keys and outcomes.
 //!
-//! Everything here is pure: time and random numbers come in as arguments.
+//! Nothing here does input or output: time and random numbers are arguments.
 //!
 //! ```
 //! use borageshore_routing::RetryBudget;
