--- a/crates/borageshore_routing/src/attempt.rs
+++ b/crates/borageshore_routing/src/attempt.rs
@@ -1,31 +1,31 @@
-//! The outcome of handing a request to an endpoint.
+//! The state of an attempt to run a request at an endpoint.
 
 use std::sync::OnceLock;
 
 use borageshore_chart::Chart;
 use serde::Deserialize;
 
-/// Where an attempt stands; the chart in `charts/attempt.yaml` says what leads where.
+/// The state of an attempt; its transitions are in `charts/attempt.yaml`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptState {
-    /// Not given to any endpoint yet.
+    /// No endpoint is chosen yet.
     Waiting,
     /// A connection is being opened.
     Connecting,
-    /// A connection is there, nothing was sent.
+    /// The connection is open and nothing was sent.
     Connected,
     /// Bytes of the request may have reached the endpoint.
     HandedOver,
-    /// It certainly did not run.
+    /// The request certainly did not run.
     NotRun,
-    /// Nobody can say whether it ran.
+    /// Whether the request ran cannot be known.
     Unknown,
-    /// It ran, and the answer is here.
+    /// The request ran and its answer arrived.
     Done,
 }
 
-/// What happens to an attempt.
+/// An event that changes the state of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AttemptEvent {
@@ -35,17 +35,17 @@
     Connected,
     /// The first byte of the request is about to be sent.
     Sent,
-    /// The endpoint says that it refused the request before running it.
+    /// The endpoint reported that it refused the request without running it.
     Refused,
-    /// The whole answer came.
+    /// The whole answer arrived.
     Answered,
-    /// The connection failed or went silent.
+    /// The connection failed or timed out.
     Lost,
     /// The deadline passed.
     Expired,
 }
 
-/// What may truthfully be told of a request.
+/// What is known of whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// It did not run.
@@ -56,7 +56,7 @@
     Unknown,
 }
 
-/// The chart of an attempt.
+/// The state chart of attempts.
 pub fn attempt_chart() -> &'static Chart<AttemptState, AttemptEvent> {
     static CHART: OnceLock<Chart<AttemptState, AttemptEvent>> = OnceLock::new();
     CHART.get_or_init(|| {
@@ -64,26 +64,26 @@
     })
 }
 
-/// One attempt.
+/// An attempt to run a request at one endpoint.
 #[derive(Debug)]
 pub struct Attempt {
     state: AttemptState,
 }
 
 impl Attempt {
-    /// Opens an attempt that nothing has happened to.
+    /// Creates an attempt in the initial state.
     pub fn open() -> Self {
         Self {
             state: attempt_chart().initial(),
         }
     }
 
-    /// Notes an event.
+    /// Applies an event.
     pub fn on_event(&mut self, event: AttemptEvent) {
         self.state = attempt_chart().next(self.state, event);
     }
 
-    /// What may be told if nothing more happens.
+    /// The outcome if no further event arrives.
     pub fn outcome(&self) -> Outcome {
         match self.state {
             AttemptState::Done => Outcome::Done,
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Says whether another attempt may follow: only when this one certainly did not run, or when
-    /// running twice does no harm.
+    /// Returns whether another attempt may follow: this one certainly did not run, or the request is
+    /// idempotent and the outcome unknown.
     pub fn may_retry(&self, idempotent: Idempotent) -> bool {
         match self.outcome() {
             Outcome::NotRun => true,
