--- a/crates/borageshore_routing/tests/fingerprint.rs
+++ b/crates/borageshore_routing/tests/fingerprint.rs
@@ -17,13 +17,13 @@
 }
 
 cases! {
-    repeats_have_the_same_name => {
-        let name = Fingerprint::of(&CONTENT);
-        assert_eq!(name, Fingerprint::of(&CONTENT));
-        assert_eq!(name.to_string().parse(), Ok(name));
+    repeats_have_the_same_fingerprint => {
+        let fingerprint = Fingerprint::of(&CONTENT);
+        assert_eq!(fingerprint, Fingerprint::of(&CONTENT));
+        assert_eq!(fingerprint.to_string().parse(), Ok(fingerprint));
     }
 
-    each_part_makes_another_request => {
+    each_part_changes_the_fingerprint => {
         let others = [
             RequestContent { method: "PUT", ..CONTENT },
             RequestContent { host: "shop.exampl", ..CONTENT },
@@ -38,7 +38,7 @@
         }
     }
 
-    other_texts_are_no_names => {
+    other_texts_do_not_parse => {
         for text in ["", "12", "x0000000000000000000000000000000", "000000000000000000000000000000000"] {
             assert_eq!(text.parse::<Fingerprint>(), Err(ParseFingerprintError), "{text}");
         }
--- a/crates/borageshore_routing/tests/outliers.rs
+++ b/crates/borageshore_routing/tests/outliers.rs
@@ -7,11 +7,11 @@
 use rand_pcg::Pcg64Mcg;
 
 /// The time between two calls.
-const PACE_MS: u64 = 50;
+const CALL_INTERVAL_MS: u64 = 50;
 
 /// A service of four endpoints; which of them fails a call decides `fails`: number of the endpoint,
 /// of its call, and the time.
-struct Play<Fails> {
+struct Simulation<Fails> {
     table: EndpointTable,
     random: Pcg64Mcg,
     now_ms: u64,
@@ -19,7 +19,7 @@
     fails: Fails,
 }
 
-impl<Fails> Play<Fails>
+impl<Fails> Simulation<Fails>
 where
     Fails: Fn(usize, u64, u64) -> bool,
 {
@@ -46,8 +46,8 @@
     fn run(&mut self, for_ms: u64) -> ([u64; 4], u64) {
         let mut got = [0; 4];
         let mut failed = 0;
-        for _ in 0..for_ms / PACE_MS {
-            self.now_ms += PACE_MS;
+        for _ in 0..for_ms / CALL_INTERVAL_MS {
+            self.now_ms += CALL_INTERVAL_MS;
             let request = ChoiceRequest {
                 service: "s",
                 prefix: None,
@@ -76,8 +76,9 @@
 // in a row, and keeps its share of the calls.
 #[test]
 fn an_endpoint_that_fails_two_of_five_loses_most_of_its_share() {
-    let mut play = Play::open(|number, call, _| number == 0 && matches!(call % 5, 0 | 2));
-    let (got, failed) = play.run(20_000);
+    let mut simulation =
+        Simulation::open(|number, call, _| number == 0 && matches!(call % 5, 0 | 2));
+    let (got, failed) = simulation.run(20_000);
     assert!(got[0] <= 40, "{got:?}");
     // 42 of 400 while only three in a row counted.
     assert!(failed <= 20, "{failed}");
@@ -85,19 +86,19 @@
 
 #[test]
 fn an_endpoint_that_fails_now_and_then_keeps_its_share() {
-    let mut play = Play::open(|number, call, _| number == 0 && call % 25 == 0);
-    let (got, _) = play.run(20_000);
+    let mut simulation = Simulation::open(|number, call, _| number == 0 && call % 25 == 0);
+    let (got, _) = simulation.run(20_000);
     assert!(got[0] >= 70, "{got:?}");
 }
 
 // An endpoint is back, and the others carry its load for a minute more.
 #[test]
-fn an_endpoint_that_is_sound_again_gets_its_share_back() {
-    let mut play = Play::open(|number, call, now_ms| {
+fn an_endpoint_that_has_recovered_gets_its_share_back() {
+    let mut simulation = Simulation::open(|number, call, now_ms| {
         number == 0 && now_ms < 6_500 && matches!(call % 5, 0 | 2)
     });
-    play.run(16_500);
-    let (got, failed) = play.run(10_000);
+    simulation.run(16_500);
+    let (got, failed) = simulation.run(10_000);
     assert_eq!(failed, 0);
     assert!(got[0] >= 30, "{got:?}");
 }
@@ -105,17 +106,18 @@
 // Endpoints that go down and up by turns cost a few attempts each time, and are not lost for good.
 #[test]
 fn an_endpoint_that_goes_down_and_up_gets_less_each_time() {
-    let mut play = Play::open(|number, _, now_ms| number == 0 && now_ms / 1_400 % 2 == 0);
-    let (_, first) = play.run(14_000);
-    let (_, second) = play.run(14_000);
+    let mut simulation =
+        Simulation::open(|number, _, now_ms| number == 0 && now_ms / 1_400 % 2 == 0);
+    let (_, first) = simulation.run(14_000);
+    let (_, second) = simulation.run(14_000);
     assert!(first <= 16, "{first}");
     assert!(second <= first, "{second} after {first}");
 }
 
 // The fault is on the observer's own side: everything fails, and half of the service stays in use.
 #[test]
-fn not_all_endpoints_are_left_out() {
-    let mut play = Play::open(|_, _, _| true);
-    let (got, _) = play.run(5_000);
+fn half_of_the_endpoints_stay_in_use_when_all_fail() {
+    let mut simulation = Simulation::open(|_, _, _| true);
+    let (got, _) = simulation.run(5_000);
     assert_eq!(got.iter().sum::<u64>(), 100);
 }
--- a/crates/borageshore_routing/tests/quarantine.rs
+++ b/crates/borageshore_routing/tests/quarantine.rs
@@ -229,7 +229,7 @@
         assert!(!quarantine.has_trial("vm-1") && !quarantine.has_trial("vm-2"));
     }
 
-    suspicions_and_holds_end_by_themselves => {
+    suspicions_and_holds_expire => {
         let mut quarantine = crashed(1, 2);
         for instance in 1..=3 {
             quarantine.on_crash(content(2), crash(instance, 1_000));
@@ -242,7 +242,7 @@
     }
 
     // Memory grows without bound in the loss of a region, or the one request that is held back is forgotten.
-    what_is_remembered_is_bounded_and_holds_come_last => {
+    capacity_is_bounded_and_held_requests_are_evicted_last => {
         let mut quarantine = crashed(0, 3);
         for number in 1..10_000 {
             quarantine.on_crash(content(number), crash(1, 2_000 + number));
@@ -255,7 +255,7 @@
     // All daemons stop reading for seconds, as each reports the hundreds of requests that it lost with a zone.
     // What is reported is a share of a budget; repeated crashes go first, and what was answered meanwhile
     // is not reported.
-    reports_keep_to_a_budget_and_repeated_crashes_come_first => {
+    reports_are_rate_limited_and_repeated_crashes_come_first => {
         let quarantine = crashed(7, 2);
         let mut reports = CrashReports::default();
         for number in 0..100 {
@@ -274,16 +274,16 @@
 
     // A request that ran for longer than its caller waits is not suspected, though its endpoint crashed under it.
     an_endpoint_that_ends_soon_after_an_attempt_was_given_up_counts_as_crashed => {
-        let mut losses = AbandonedAttempts::default();
+        let mut abandoned = AbandonedAttempts::default();
         let (one, other): (Arc<str>, Arc<str>) = ("endpoint-1".into(), "endpoint-2".into());
-        losses.push(content(1), &one, false, 1_000);
-        losses.push(content(2), &other, true, 2_000);
-        assert_eq!(losses.on_endpoint_ended("endpoint-2", 7_999), [(content(2), true)]);
-        assert!(losses.on_endpoint_ended("endpoint-2", 7_999).is_empty());
-        assert!(losses.on_endpoint_ended("endpoint-1", 7_999).is_empty(), "too long ago");
+        abandoned.push(content(1), &one, false, 1_000);
+        abandoned.push(content(2), &other, true, 2_000);
+        assert_eq!(abandoned.on_endpoint_ended("endpoint-2", 7_999), [(content(2), true)]);
+        assert!(abandoned.on_endpoint_ended("endpoint-2", 7_999).is_empty());
+        assert!(abandoned.on_endpoint_ended("endpoint-1", 7_999).is_empty(), "too long ago");
     }
 
-    reports_that_were_not_taken_are_told_again => {
+    reports_that_were_not_sent_are_sent_again => {
         let quarantine = Quarantine::default();
         let mut reports = CrashReports::default();
         reports.push(CrashReport { content: content(1), crash: crash(1, 1_000) });
--- a/crates/borageshore_routing/tests/registry.rs
+++ b/crates/borageshore_routing/tests/registry.rs
@@ -15,7 +15,7 @@
 }
 
 cases! {
-    an_endpoint_without_a_start_is_taken => {
+    an_entry_without_a_start_time_is_accepted => {
         let mut registry = EndpointRegistry::default();
         assert_eq!(registry.on_entry(&id(), None, "a"), EntryEffect::Accepted);
         assert_eq!(registry.on_entry(&id(), None, "b"), EntryEffect::Accepted);
@@ -25,7 +25,7 @@
     // A step waits for an engine that knows nothing of it any more.
     // The engine crashed behind a cut and started again under its id before its entry lapsed; its load and
     // weights were taken for those of the incarnation before.
-    a_restart_under_the_same_id_is_told => {
+    a_restart_under_the_same_id_is_detected => {
         let mut registry = EndpointRegistry::default();
         registry.on_entry(&id(), Some(1_000), "first");
         assert_eq!(registry.on_entry(&id(), Some(1_000), "first"), EntryEffect::Accepted);
@@ -45,7 +45,7 @@
         assert_eq!(registry.get("i-1"), None);
     }
 
-    an_entry_that_lost_its_start_is_of_another_writer => {
+    an_entry_that_lost_its_start_time_is_foreign => {
         let mut registry = EndpointRegistry::default();
         registry.on_entry(&id(), Some(1_000), "own");
         assert_eq!(registry.on_entry(&id(), None, "other"), EntryEffect::Foreign);
@@ -53,7 +53,7 @@
 
     // A call goes to an endpoint that nobody vouches for any more.
     // Another writer replaced its entry by one that cannot be read; the entry before stayed in use.
-    a_foreign_entry_ends_the_use_until_a_sound_one_comes => {
+    a_foreign_entry_disables_the_endpoint_until_a_valid_one_arrives => {
         let mut registry = EndpointRegistry::default();
         registry.on_entry(&id(), Some(1_000), "own");
         assert!(registry.on_foreign(&id()));
--- a/crates/borageshore_routing/tests/routing.rs
+++ b/crates/borageshore_routing/tests/routing.rs
@@ -10,9 +10,9 @@
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-macro_rules! stories {
-    ($($name:ident: $story:expr;)*) => {
-        $(#[test] fn $name() { $story })*
+macro_rules! cases {
+    ($($name:ident: $body:expr;)*) => {
+        $(#[test] fn $name() { $body })*
     };
 }
 
@@ -63,7 +63,7 @@
     })
 }
 
-stories! {
+cases! {
     chart_answers_every_event_in_every_state: {
         use AttemptEvent::{Answered, Connected as Opened, Expired, Lost, Refused, Sent, Start};
         use AttemptState::{Connected, Connecting, Done, HandedOver, NotRun, Unknown, Waiting};
@@ -99,7 +99,7 @@
 
     // The daemon's own link is bad: every endpoint fails. At most half of them are ejected, or no
     // request could be served once the link is back.
-    bad_measurements_cannot_eject_everybody: {
+    at_most_half_of_the_endpoints_are_ejected: {
         let mut table = table(4);
         for name in ["e000", "e001", "e002", "e003"] {
             for _ in 0..3 {
@@ -137,7 +137,7 @@
     };
 
     // A burst of unimportant requests waits; a clerk comes last and is served first.
-    importance_goes_first: {
+    higher_importance_starts_first: {
         let mut admission = admission(1, 0);
         assert_eq!(admission.offer(ticket(1, 10, Workload::Live)), AdmissionDecision::Start);
         assert_eq!(admission.offer(ticket(2, 10, Workload::Live)), AdmissionDecision::Queued);
@@ -170,7 +170,7 @@
 
     // 12,000 replicas are too many for every daemon. Each is observed by some daemons of its zone, the
     // shares are even, and one daemon more moves few of them.
-    large_deployment_is_shared_out: {
+    large_deployment_is_split_evenly: {
         let listed: Vec<EndpointListing> = (0..480).map(|number| listing(number, "a")).collect();
         let names: Vec<String> = (0..28).map(|number| format!("vm-{number}")).collect();
         let peers: Vec<&str> = names.iter().map(String::as_str).collect();
