--- a/crates/borageshore_routing/tests/fingerprint.rs
+++ b/crates/borageshore_routing/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! The name of a request's content.
+//! Fingerprints of requests.
 
 use borageshore_routing::{Fingerprint, ParseFingerprintError, RequestContent};
 
@@ -30,7 +30,7 @@
             RequestContent { target: "/orders/7?page=3", ..CONTENT },
             RequestContent { caller: b"Bearer b", ..CONTENT },
             RequestContent { body: b"two stone", ..CONTENT },
-            // The same bytes, cut elsewhere.
+            // The same bytes, split differently.
             RequestContent { caller: b"Bearer at", body: b"wo stones", ..CONTENT },
         ];
         for other in others {
--- a/crates/borageshore_routing/tests/outliers.rs
+++ b/crates/borageshore_routing/tests/outliers.rs
@@ -1,4 +1,4 @@
-//! Endpoints that fail part of their requests, or all of them by turns, under a load of calls.
+//! Outlier ejection under a constant rate of calls: endpoints that fail partly, intermittently or all at once.
 
 use borageshore_routing::{
     ChoiceRequest, EndpointListing, EndpointState, EndpointTable, choose_endpoint,
@@ -9,8 +9,8 @@
 /// The time between two calls.
 const CALL_INTERVAL_MS: u64 = 50;
 
-/// A service of four endpoints; which of them fails a call decides `fails`: number of the endpoint,
-/// of its call, and the time.
+/// A service of four endpoints. `fails` decides whether a call fails from the number of the endpoint, the
+/// number of its call and the time.
 struct Simulation<Fails> {
     table: EndpointTable,
     random: Pcg64Mcg,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Makes calls for a while; returns how many each endpoint got, and how many failed.
+    /// Makes calls for `for_ms`; returns how many each endpoint received and how many failed.
     fn run(&mut self, for_ms: u64) -> ([u64; 4], u64) {
         let mut got = [0; 4];
         let mut failed = 0;
@@ -71,16 +71,14 @@
     }
 }
 
-// Clerks wait for a second attempt again and again, though one of four endpoints is to blame.
-// It fails two of five requests and its health is good; with successes between them it never fails three
-// in a row, and keeps its share of the calls.
+// Guards against an endpoint with a high failure rate that never fails three times in a row and is healthy by
+// its own report.
 #[test]
 fn an_endpoint_that_fails_two_of_five_loses_most_of_its_share() {
     let mut simulation =
         Simulation::open(|number, call, _| number == 0 && matches!(call % 5, 0 | 2));
     let (got, failed) = simulation.run(20_000);
     assert!(got[0] <= 40, "{got:?}");
-    // 42 of 400 while only three in a row counted.
     assert!(failed <= 20, "{failed}");
 }
 
@@ -91,7 +89,7 @@
     assert!(got[0] >= 70, "{got:?}");
 }
 
-// An endpoint is back, and the others carry its load for a minute more.
+// Guards against keeping a recovered endpoint ejected for much longer than its failure lasted.
 #[test]
 fn an_endpoint_that_has_recovered_gets_its_share_back() {
     let mut simulation = Simulation::open(|number, call, now_ms| {
@@ -103,7 +101,7 @@
     assert!(got[0] >= 30, "{got:?}");
 }
 
-// Endpoints that go down and up by turns cost a few attempts each time, and are not lost for good.
+// Each further failure period of an endpoint costs no more attempts than the ones before.
 #[test]
 fn an_endpoint_that_goes_down_and_up_gets_less_each_time() {
     let mut simulation =
@@ -114,7 +112,7 @@
     assert!(second <= first, "{second} after {first}");
 }
 
-// The fault is on the observer's own side: everything fails, and half of the service stays in use.
+// When all endpoints fail, the cause is likely on the daemon's side.
 #[test]
 fn half_of_the_endpoints_stay_in_use_when_all_fail() {
     let mut simulation = Simulation::open(|_, _, _| true);
--- a/crates/borageshore_routing/tests/quarantine.rs
+++ b/crates/borageshore_routing/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash their endpoints are told from those that share an endpoint with them.
+//! Requests that crash their endpoints are held, those that only share an endpoint with them are not.
 
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// A request that has crashed so many endpoints, 10 ms apart, the first at 1 s.
+/// A quarantine in which a request has crashed `crashes` endpoints, 10 ms apart, the first at 1 s.
 fn crashed(number: u64, crashes: u64) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for instance in 1..=crashes {
@@ -56,8 +56,8 @@
         assert_eq!(quarantine.verdict(&content(2), 1_020), Verdict::Allowed);
     }
 
-    // Callers of a page that many ask for are refused for a day: a zone lost power with the page under way at
-    // eight endpoints. Crashes at once show no more than one would; what shows something is a trial.
+    // Guards against a long hold of a popular request that several endpoints were running when a zone failed:
+    // simultaneous crashes prove no more than one, only a trial does.
     many_crashes_at_once_hold_a_request_back_no_longer_than_three => {
         let mut quarantine = crashed(1, 8);
         assert_eq!(quarantine.verdict(&content(1), 1_070 + FIRST_HOLD_MS), Verdict::TrialDue);
@@ -77,8 +77,7 @@
         assert_eq!(quarantine.verdict(&content(1), due_ms + 20), held);
     }
 
-    // A call that was lost with its endpoint is lost again, when another one crashes the second endpoint
-    // too, and again. Each success in between ends the suspicion.
+    // Guards against holding a request that lost several endpoints by chance but succeeded in between.
     a_request_that_is_answered_once_is_not_held => {
         let mut quarantine = Quarantine::default();
         for instance in 0..10 {
@@ -88,8 +87,8 @@
         }
     }
 
-    // The endpoints are asked again and again for a request that is held back: they are full, refuse each trial, and the
-    // next repeat is tried at once. Each trial counts, whatever comes of it, but in success.
+    // Guards against trials in quick succession when full endpoints refuse them: each trial counts, whatever
+    // its result.
     a_trial_that_shows_nothing_is_not_repeated_at_once => {
         let mut quarantine = crashed(1, 3);
         let due_ms = 1_020 + FIRST_HOLD_MS;
@@ -104,8 +103,8 @@
         assert_eq!(quarantine.verdict(&content(1), due_ms + 5), held);
     }
 
-    // An item waits for its score for 10 s, though its reward call is a proper one: it met three crashes, and when it
-    // was tried no endpoint was up that it could be sent to. What was not sent is no trial.
+    // Guards against a long hold when no endpoint was available for a trial: a trial that was not sent does
+    // not count.
     a_trial_that_was_not_sent_is_made_a_moment_later => {
         let mut quarantine = crashed(1, 3);
         let due_ms = 1_020 + FIRST_HOLD_MS;
@@ -117,8 +116,7 @@
         assert_eq!(quarantine.verdict(&content(1), due_ms + 5 + UNSENT_TRIAL_DELAY_MS), Verdict::TrialDue);
     }
 
-    // Two sends are made for one trial: the daemon whose claim came second says that it made none, or one that was
-    // asleep says late how its own went, and the trial under way counts as over.
+    // Guards against a second send while a trial is in progress: a losing claim or a late report must not end it.
     a_trial_is_ended_by_its_own_claim_only => {
         let mut quarantine = crashed(1, 3);
         let due_ms = 1_020 + FIRST_HOLD_MS;
@@ -129,7 +127,7 @@
         assert_eq!(quarantine.trials(&content(1)), 1);
     }
 
-    // A daemon that starts reads the newest record of each key: of several trials the last one.
+    // A daemon that starts reads only the newest record of each key, so it sees only the last trial.
     trials_are_counted_by_a_daemon_that_starts_later => {
         let mut quarantine = crashed(1, 3);
         quarantine.on_trial_finished(&content(1), "vm-2", 2, 20_000);
@@ -138,8 +136,7 @@
         assert_eq!(quarantine.verdict(&content(1), 20_000), held);
     }
 
-    // A page that many ask for is refused for ten minutes, though it crashes nothing: its trial was at an endpoint as
-    // a request that was not held yet crashed it, the third of that one.
+    // Guards against a long hold of a harmless request whose trial shared an endpoint with a request that crashed it.
     a_trial_whose_endpoint_another_request_crashes_is_made_again => {
         let mut quarantine = crashed(1, 3);
         let due_ms = 1_020 + FIRST_HOLD_MS;
@@ -153,8 +150,7 @@
         assert_eq!(quarantine.verdict(&content(1), due_ms + 20 + FIRST_HOLD_MS), Verdict::TrialDue);
     }
 
-    // A request that crashes endpoints is tried at once again, each time a proper one was lost with it; that one is
-    // answered elsewhere, and then the trial has failed.
+    // Guards against discounting a failed trial although the other request on the endpoint succeeded later.
     a_failed_trial_counts_once_the_request_lost_with_it_is_answered => {
         let mut quarantine = crashed(1, 3);
         let due_ms = 1_020 + FIRST_HOLD_MS;
@@ -167,7 +163,7 @@
         assert_eq!(quarantine.verdict(&content(1), due_ms + 20), held);
     }
 
-    // A request that crashes endpoints has any number of trials, as long as each endpoint is lost to two requests.
+    // Guards against unlimited trials of a request whenever another one crashes the same endpoint.
     shared_trials_are_bounded => {
         let mut quarantine = crashed(1, 3);
         let mut now_ms = 1_020;
@@ -188,15 +184,14 @@
         assert_eq!(trials, 3, "after 1, 2 and 12 s");
     }
 
-    // A trial finds an endpoint that is just going down under another request.
+    // Guards against sending a trial to an endpoint that another request is crashing.
     endpoints_that_crashed_lately_are_known => {
         let quarantine = crashed(1, 1);
         assert_eq!(quarantine.crashed_lately(1_500), [Arc::from("endpoint-1")]);
         assert!(quarantine.crashed_lately(3_000).is_empty());
     }
 
-    // Two requests were lost with the same three endpoints. Tried at once, both would be lost again; one after the
-    // other, the one that is answered is free and the other one stays.
+    // Guards against trying two suspects at once: if both are on an endpoint that crashes, either may be the cause.
     suspects_are_tried_one_at_a_time => {
         let mut quarantine = crashed(1, 3);
         for instance in 1..=3 {
@@ -211,7 +206,7 @@
         assert_eq!(quarantine.verdict(&content(1), due_ms + 2), Verdict::TrialDue);
     }
 
-    // No suspect is tried any more: the daemon that claimed the trial was killed before it was made.
+    // Guards against blocking all trials after the daemon that claimed one was killed.
     a_trial_without_an_outcome_ends => {
         let mut quarantine = crashed(1, 3);
         let due_ms = 1_020 + FIRST_HOLD_MS;
@@ -241,7 +236,7 @@
         assert!(quarantine.is_empty());
     }
 
-    // Memory grows without bound in the loss of a region, or the one request that is held back is forgotten.
+    // Guards against unbounded memory in the loss of a region, and against evicting a held request before others.
     capacity_is_bounded_and_held_requests_are_evicted_last => {
         let mut quarantine = crashed(0, 3);
         for number in 1..10_000 {
@@ -252,9 +247,8 @@
         assert!(quarantine.is_suspected(&content(9_999)) && !quarantine.is_suspected(&content(1)));
     }
 
-    // All daemons stop reading for seconds, as each reports the hundreds of requests that it lost with a zone.
-    // What is reported is a share of a budget; repeated crashes go first, and what was answered meanwhile
-    // is not reported.
+    // Guards against a flood of reports in the loss of a zone: the rate is limited, repeated crashes go first
+    // and requests that succeeded meanwhile are not reported.
     reports_are_rate_limited_and_repeated_crashes_come_first => {
         let quarantine = crashed(7, 2);
         let mut reports = CrashReports::default();
@@ -267,12 +261,12 @@
         assert_eq!(first[0].content, content(7));
         assert!(first.iter().all(|report| report.content != content(3)));
         assert!(reports.take(&quarantine, 680, 2_010).is_empty());
-        // 40 a second for all: 680 daemons have one each in 17 s.
+        // At 40 reports a second for all, each of 680 daemons may send one in 17 s.
         assert_eq!(reports.take(&quarantine, 680, 20_000).len(), 1);
         assert_eq!(reports.take(&quarantine, 10, 21_000).len(), 4);
     }
 
-    // A request that ran for longer than its caller waits is not suspected, though its endpoint crashed under it.
+    // Guards against missing a crash that happens after the caller's timeout.
     an_endpoint_that_ends_soon_after_an_attempt_was_given_up_counts_as_crashed => {
         let mut abandoned = AbandonedAttempts::default();
         let (one, other): (Arc<str>, Arc<str>) = ("endpoint-1".into(), "endpoint-2".into());
--- a/crates/borageshore_routing/tests/registry.rs
+++ b/crates/borageshore_routing/tests/registry.rs
@@ -1,4 +1,4 @@
-//! The registry of endpoints: restarts under the same id, late entries and those of other writers.
+//! The endpoint registry: restarts under the same id, late entries and entries of other writers.
 
 use std::sync::Arc;
 
@@ -22,9 +22,8 @@
         assert_eq!(registry.get("i-1"), Some(&"b"));
     }
 
-    // A step waits for an engine that knows nothing of it any more.
-    // The engine crashed behind a cut and started again under its id before its entry lapsed; its load and
-    // weights were taken for those of the incarnation before.
+    // Guards against using the load and weights of the previous incarnation after a crash and restart before
+    // the entry lapsed.
     a_restart_under_the_same_id_is_detected => {
         let mut registry = EndpointRegistry::default();
         registry.on_entry(&id(), Some(1_000), "first");
@@ -33,8 +32,7 @@
         assert_eq!(registry.get("i-1"), Some(&"second"));
     }
 
-    // A call goes to an address where nobody listens.
-    // The endpoint started again; the last heartbeat of its earlier incarnation reached the store late.
+    // Guards against calls to the address of an earlier incarnation whose last heartbeat arrives late.
     an_entry_of_an_earlier_incarnation_changes_nothing => {
         let mut registry = EndpointRegistry::default();
         registry.on_entry(&id(), Some(2_000), "second");
@@ -51,8 +49,7 @@
         assert_eq!(registry.on_entry(&id(), None, "other"), EntryEffect::Foreign);
     }
 
-    // A call goes to an endpoint that nobody vouches for any more.
-    // Another writer replaced its entry by one that cannot be read; the entry before stayed in use.
+    // Guards against calls to an endpoint whose entry was replaced by an unreadable one.
     a_foreign_entry_disables_the_endpoint_until_a_valid_one_arrives => {
         let mut registry = EndpointRegistry::default();
         registry.on_entry(&id(), Some(1_000), "own");
--- a/crates/borageshore_routing/tests/request_attempts.rs
+++ b/crates/borageshore_routing/tests/request_attempts.rs
@@ -1,4 +1,4 @@
-//! What may be told of a request with several attempts.
+//! The outcome of a request with several attempts, and whether it may be repeated.
 
 use borageshore_routing::{AttemptEvent, Idempotent, Outcome, RequestAttempts};
 
@@ -33,8 +33,7 @@
     every_endpoint_refused: [Some(AttemptEvent::Refused), Some(AttemptEvent::Refused)] => NotRun, true;
     one_was_lost: [Some(AttemptEvent::Refused), Some(AttemptEvent::Lost)] => Unknown, false;
     an_endpoint_answered: [Some(AttemptEvent::Answered)] => Done, false;
-    // A grower is paid twice: a call that may run once was answered with "not run", came again, and
-    // had run. Its endpoint was silent; when the caller's time was over, the attempt was still under
-    // way and counted as none.
+    // Guards against reporting "not run" while an attempt is unfinished at the caller's deadline: a call that
+    // must run at most once would be repeated.
     one_is_still_under_way: [Some(AttemptEvent::Refused), None] => Unknown, false;
 }
--- a/crates/borageshore_routing/tests/routing.rs
+++ b/crates/borageshore_routing/tests/routing.rs
@@ -72,7 +72,7 @@
         assert_eq!(attempt_chart().gaps(&states, &events), []);
     };
 
-    // Its VM is leaving: from the next list on no new work goes there, and what runs may end.
+    // An endpoint of a leaving VM gets no new work and keeps its running requests.
     leaving_endpoint_gets_nothing_new: {
         let mut table = table(3);
         table.on_start("e001");
@@ -85,8 +85,7 @@
         assert!(table.get("e002").is_none());
     };
 
-    // One engine fails every request. After three in a row it is left out; after a while it gets a
-    // chance again.
+    // An endpoint is ejected after three consecutive failures and returns after the ejection.
     failing_endpoint_is_ejected_for_a_while: {
         let mut table = table(4);
         for _ in 0..3 {
@@ -97,8 +96,7 @@
         assert!(choices(&table, None, 3_000).contains(&"e000".into()));
     };
 
-    // The daemon's own link is bad: every endpoint fails. At most half of them are ejected, or no
-    // request could be served once the link is back.
+    // Guards against ejecting all endpoints when the daemon's own link is the cause of the failures.
     at_most_half_of_the_endpoints_are_ejected: {
         let mut table = table(4);
         for name in ["e000", "e001", "e002", "e003"] {
@@ -110,8 +108,7 @@
         assert_eq!(table.usable("s", 1).count(), 2);
     };
 
-    // Many callers share one prompt prefix. Its requests meet at one engine while that has room, and
-    // spill over once its load outweighs the cached prefix.
+    // Requests with the same prefix go to one endpoint until its load outweighs the cached prefix.
     prefix_affinity_is_bounded: {
         let mut table = table(4);
         for number in 0..4 {
@@ -125,7 +122,7 @@
         assert!(choices(&table, Some("p"), 0).iter().any(|name| *name != first[0]));
     };
 
-    // Everything fails. Retries stay a share of the requests instead of multiplying them.
+    // Guards against a retry storm when every request fails.
     retries_are_a_share_of_requests: {
         let mut budget = RetryBudget::open(20);
         let retries = (0..1_000).filter(|_| {
@@ -136,7 +133,7 @@
         assert!((200..=210).contains(&retries), "{retries}");
     };
 
-    // A burst of unimportant requests waits; a clerk comes last and is served first.
+    // A later request of higher importance starts before earlier ones of lower importance.
     higher_importance_starts_first: {
         let mut admission = admission(1, 0);
         assert_eq!(admission.offer(ticket(1, 10, Workload::Live)), AdmissionDecision::Start);
@@ -146,7 +143,7 @@
         assert_eq!(admission.start_next().map(|ticket| ticket.id), Some(3));
     };
 
-    // Live traffic takes everything it can. Training keeps its minimum.
+    // Guards against live requests taking the slots that are reserved for training.
     training_keeps_its_minimum: {
         let mut admission = admission(4, 1);
         for id in 0..6 {
@@ -157,7 +154,7 @@
         assert_eq!(admission.offer(ticket(10, 10, Workload::Training)), AdmissionDecision::Queued);
     };
 
-    // The queue is full. The answer comes at once and says when to come back.
+    // A full queue refuses a request at once and says when to retry.
     full_queue_refuses_at_once: {
         let mut admission = admission(1, 0);
         for id in 0..5 {
@@ -168,8 +165,8 @@
         assert_eq!(admission.expire(1_000).len(), 4);
     };
 
-    // 12,000 replicas are too many for every daemon. Each is observed by some daemons of its zone, the
-    // shares are even, and one daemon more moves few of them.
+    // Each endpoint is observed by `observers` daemons, the shares are even, and a daemon that joins moves
+    // few endpoints.
     large_deployment_is_split_evenly: {
         let listed: Vec<EndpointListing> = (0..480).map(|number| listing(number, "a")).collect();
         let names: Vec<String> = (0..28).map(|number| format!("vm-{number}")).collect();
