--- a/crates/borageshore_routing/src/abandoned_attempts.rs
+++ b/crates/borageshore_routing/src/abandoned_attempts.rs
@@ -21,7 +21,7 @@
 /// The attempts that a daemon abandoned recently without an answer.
 ///
 /// Guards against a request that crashes its endpoint only after its caller's timeout: its connection is
-/// closed by then, so no attempt is seen to break.
+/// closed by then, so the crash breaks no open attempt.
 #[derive(Debug, Default)]
 pub struct AbandonedAttempts {
     attempts: Vec<AbandonedAttempt>,
--- a/crates/borageshore_routing/src/crash_reports.rs
+++ b/crates/borageshore_routing/src/crash_reports.rs
@@ -88,7 +88,7 @@
         taken
     }
 
-    /// Returns reports that could not be sent to the queue, and their tokens.
+    /// Puts reports that could not be sent back into the queue and refunds their tokens.
     pub fn put_back(&mut self, reports: Vec<CrashReport>) {
         self.tokens_milli += reports.len() as u64 * REPORT_MILLI;
         for report in reports {
--- a/crates/borageshore_routing/src/quarantine.rs
+++ b/crates/borageshore_routing/src/quarantine.rs
@@ -30,7 +30,7 @@
 /// Time after which a trial without a result is over. Longer than any call may take.
 const TRIAL_TIMEOUT_MS: u64 = 5_000;
 /// Delay before a cancelled trial is due again. Short, as a caller may be waiting for an endpoint to come up.
-const UNSENT_TRIAL_DELAY_MS: u64 = 200;
+const CANCELLED_TRIAL_DELAY_MS: u64 = 200;
 /// Reports of crashes of one endpoint less than this apart describe the same crash: an endpoint takes longer
 /// than this to restart.
 const SAME_CRASH_MS: u64 = 2_000;
@@ -263,7 +263,7 @@
         if let Some(entry) = self.entries.get_mut(content) {
             entry.trials = entry.trials.saturating_sub(1);
             entry.last_trial_ms = trial.previous_trial_ms;
-            entry.no_trial_before_ms = now_ms + UNSENT_TRIAL_DELAY_MS;
+            entry.no_trial_before_ms = now_ms + CANCELLED_TRIAL_DELAY_MS;
         }
     }
 
--- a/crates/borageshore_routing/tests/quarantine.rs
+++ b/crates/borageshore_routing/tests/quarantine.rs
@@ -8,7 +8,7 @@
 };
 
 const FIRST_HOLD_MS: u64 = 1_000;
-const UNSENT_TRIAL_DELAY_MS: u64 = 200;
+const CANCELLED_TRIAL_DELAY_MS: u64 = 200;
 const UNDECIDED_HOLD_MS: u64 = 10_000;
 const SECOND_HOLD_MS: u64 = 600_000;
 const HOUR_MS: u64 = 3_600_000;
@@ -111,9 +111,9 @@
         quarantine.on_claim(content(1), "vm-1".into(), 1, due_ms);
         quarantine.on_trial_cancelled(&content(1), "vm-1", due_ms + 5);
         assert_eq!(quarantine.trials(&content(1)), 0);
-        let held = Verdict::Held { retry_after_ms: UNSENT_TRIAL_DELAY_MS };
+        let held = Verdict::Held { retry_after_ms: CANCELLED_TRIAL_DELAY_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 5), held);
-        assert_eq!(quarantine.verdict(&content(1), due_ms + 5 + UNSENT_TRIAL_DELAY_MS), Verdict::TrialDue);
+        assert_eq!(quarantine.verdict(&content(1), due_ms + 5 + CANCELLED_TRIAL_DELAY_MS), Verdict::TrialDue);
     }
 
     // Guards against a second send while a trial is in progress: a losing claim or a late report must not end it.
