--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -19,8 +19,8 @@
 use borageshore_net::{Clock, sleep_ms, within_ms};
 use borageshore_platform::KeyedRecord;
 use borageshore_routing::{
-    Crash, CrashNews, CrashReport, CrashReports, Fingerprint, Quarantine as Table, SilentLosses,
-    Verdict,
+    AbandonedAttempts, Crash, CrashEffect, CrashReport, CrashReports, Fingerprint,
+    Quarantine as Table, Verdict,
 };
 use bytes::Bytes;
 use tokio::sync::Notify;
@@ -58,7 +58,7 @@
     members: Rc<Members>,
     instruments: Rc<Instruments>,
     table: RefCell<Table>,
-    silent_losses: RefCell<SilentLosses>,
+    silent_losses: RefCell<AbandonedAttempts>,
     reports: RefCell<CrashReports>,
     /// Records for the store that no budget holds back; those without a value are removals.
     notes: RefCell<Vec<(Arc<str>, Bytes)>>,
@@ -143,8 +143,10 @@
         }
         let content = content();
         match self.verdict(&content) {
-            Verdict::Free => Ok(Leave { trial: None }),
-            Verdict::Held { again_ms } => Err(Held { again_ms }),
+            Verdict::Allowed => Ok(Leave { trial: None }),
+            Verdict::Held { retry_after_ms } => Err(Held {
+                again_ms: retry_after_ms,
+            }),
             Verdict::TrialDue => self.claim(content).await,
         }
     }
@@ -157,8 +159,8 @@
         loop {
             let left_ms = until_ms.saturating_sub(self.clock.now_ms());
             match self.verdict(&content) {
-                Verdict::Held { again_ms } if left_ms > 0 => {
-                    within_ms(again_ms.min(left_ms), self.changed.notified()).await;
+                Verdict::Held { retry_after_ms } if left_ms > 0 => {
+                    within_ms(retry_after_ms.min(left_ms), self.changed.notified()).await;
                 }
                 _ => return,
             }
@@ -170,7 +172,7 @@
     where
         Content: FnOnce() -> Fingerprint,
     {
-        self.table.borrow().is_empty() || self.verdict(&content()) == Verdict::Free
+        self.table.borrow().is_empty() || self.verdict(&content()) == Verdict::Allowed
     }
 
     /// Follows which endpoints end without a word: what they had not long before may have crashed them.
@@ -179,7 +181,10 @@
             endpoints.has_ended.notified().await;
             for instance in endpoints.take_ended() {
                 let now_ms = self.unix_ms();
-                let suspects = self.silent_losses.borrow_mut().on_ended(&instance, now_ms);
+                let suspects = self
+                    .silent_losses
+                    .borrow_mut()
+                    .on_endpoint_ended(&instance, now_ms);
                 for (content, is_trial) in suspects {
                     self.on_broken(content, &instance, is_trial);
                 }
@@ -195,7 +200,7 @@
             at_ms: self.unix_ms(),
         };
         let report = CrashReport { content, crash };
-        if self.on_crash(report.clone()) == CrashNews::Suspected {
+        if self.on_crash(report.clone()) == CrashEffect::Suspected {
             let crashes = self.table.borrow().crashes(&content);
             log::info!(content:%, instance = &**instance, crashes; "a request is suspected of a crash");
         }
@@ -215,7 +220,7 @@
             return;
         }
         let content = content();
-        let was_held = self.verdict(&content) != Verdict::Free;
+        let was_held = self.verdict(&content) != Verdict::Allowed;
         let Some(mut crashes) = self.table.borrow_mut().on_success(&content) else {
             return;
         };
@@ -263,18 +268,18 @@
         self.table.borrow().verdict(content, self.unix_ms())
     }
 
-    fn on_crash(&self, report: CrashReport) -> CrashNews {
+    fn on_crash(&self, report: CrashReport) -> CrashEffect {
         let CrashReport { content, mut crash } = report;
         // A clock that is ahead must not lengthen a hold.
         crash.at_ms = crash.at_ms.min(self.unix_ms());
         let instance = crash.instance.clone();
         let news = self.table.borrow_mut().on_crash(content, crash);
-        if news == CrashNews::Held {
+        if news == CrashEffect::Held {
             let crashes = self.table.borrow().crashes(&content);
             log::warn!(content:%, instance = &*instance, crashes, verdict:? = self.verdict(&content); "a request is held back");
             self.instruments.count("quarantine", "held");
         }
-        if news != CrashNews::Known {
+        if news != CrashEffect::Known {
             self.note_change();
         }
         news
--- a/crates/borageshore_routing/src/lib.rs
+++ b/crates/borageshore_routing/src/lib.rs
@@ -1,6 +1,6 @@
 //! Routing of requests: choice of endpoint, admission, retries, request keys and outcomes.
 //!
-//! Everything here is pure: time and random numbers come in as arguments.
+//! Nothing here does input or output: time and random numbers are arguments.
 //!
 //! ```
 //! use borageshore_routing::RetryBudget;
@@ -9,6 +9,7 @@
 //! assert!(budget.try_retry(), "a budget starts with a small reserve");
 //! ```
 
+mod abandoned_attempts;
 mod admission;
 mod attempt;
 mod budget;
@@ -18,25 +19,24 @@
 mod fingerprint;
 mod keys;
 mod quarantine;
-mod register;
+mod registry;
 mod request_attempts;
 mod routes;
-mod silent_losses;
 mod subset;
 
 pub use self::{
-    admission::{Admission, AdmissionLimits, Admitted, Ticket, TicketId, Workload},
+    abandoned_attempts::AbandonedAttempts,
+    admission::{Admission, AdmissionDecision, AdmissionLimits, Ticket, TicketId, Workload},
     attempt::{Attempt, AttemptEvent, AttemptState, Idempotent, Outcome, attempt_chart},
     budget::RetryBudget,
     choice::{ChoiceRequest, choose_endpoint},
     crash_reports::{CrashReport, CrashReports},
     endpoint::{Endpoint, EndpointListing, EndpointState, EndpointTable, LoadReport},
-    fingerprint::{Fingerprint, NoFingerprint, RequestContent},
+    fingerprint::{Fingerprint, ParseFingerprintError, RequestContent},
     keys::{KeyDecision, KeyPrefix, KeyTable, StoredAnswer},
-    quarantine::{Crash, CrashNews, Quarantine, Verdict},
-    register::{EndpointRegister, Registered},
+    quarantine::{Crash, CrashEffect, Quarantine, Verdict},
+    registry::{EndpointRegistry, EntryEffect},
     request_attempts::RequestAttempts,
     routes::{Route, RouteKind, RouteTable, RouteTarget},
-    silent_losses::SilentLosses,
     subset::subset_of,
 };
--- a/crates/borageshore_routing/tests/fingerprint.rs
+++ b/crates/borageshore_routing/tests/fingerprint.rs
@@ -1,6 +1,6 @@
-//! The name of a request's content.
+//! Fingerprints of requests.
 
-use borageshore_routing::{Fingerprint, NoFingerprint, RequestContent};
+use borageshore_routing::{Fingerprint, ParseFingerprintError, RequestContent};
 
 const CONTENT: RequestContent<'static> = RequestContent {
     method: "POST",
@@ -17,20 +17,20 @@
 }
 
 cases! {
-    repeats_have_the_same_name => {
-        let name = Fingerprint::of(&CONTENT);
-        assert_eq!(name, Fingerprint::of(&CONTENT));
-        assert_eq!(name.to_string().parse(), Ok(name));
+    repeats_have_the_same_fingerprint => {
+        let fingerprint = Fingerprint::of(&CONTENT);
+        assert_eq!(fingerprint, Fingerprint::of(&CONTENT));
+        assert_eq!(fingerprint.to_string().parse(), Ok(fingerprint));
     }
 
-    each_part_makes_another_request => {
+    each_part_changes_the_fingerprint => {
         let others = [
             RequestContent { method: "PUT", ..CONTENT },
             RequestContent { host: "shop.exampl", ..CONTENT },
             RequestContent { target: "/orders/7?page=3", ..CONTENT },
             RequestContent { caller: b"Bearer b", ..CONTENT },
             RequestContent { body: b"two stone", ..CONTENT },
-            // The same bytes, cut elsewhere.
+            // The same bytes, split differently.
             RequestContent { caller: b"Bearer at", body: b"wo stones", ..CONTENT },
         ];
         for other in others {
@@ -38,9 +38,9 @@
         }
     }
 
-    other_texts_are_no_names => {
+    other_texts_do_not_parse => {
         for text in ["", "12", "x0000000000000000000000000000000", "000000000000000000000000000000000"] {
-            assert_eq!(text.parse::<Fingerprint>(), Err(NoFingerprint), "{text}");
+            assert_eq!(text.parse::<Fingerprint>(), Err(ParseFingerprintError), "{text}");
         }
     }
 }
--- a/crates/borageshore_routing/tests/quarantine.rs
+++ b/crates/borageshore_routing/tests/quarantine.rs
@@ -1,14 +1,14 @@
-//! Requests that crash their endpoints are told from those that share an endpoint with them.
+//! Requests that crash their endpoints are held, those that only share an endpoint with them are not.
 
 use std::sync::Arc;
 
 use borageshore_routing::{
-    Crash, CrashNews, CrashReport, CrashReports, Fingerprint, Quarantine, RequestContent,
-    SilentLosses, Verdict,
+    AbandonedAttempts, Crash, CrashEffect, CrashReport, CrashReports, Fingerprint, Quarantine,
+    RequestContent, Verdict,
 };
 
 const FIRST_HOLD_MS: u64 = 1_000;
-const UNSENT_PAUSE_MS: u64 = 200;
+const CANCELLED_TRIAL_DELAY_MS: u64 = 200;
 const UNDECIDED_HOLD_MS: u64 = 10_000;
 const SECOND_HOLD_MS: u64 = 600_000;
 const HOUR_MS: u64 = 3_600_000;
@@ -31,7 +31,7 @@
     }
 }
 
-/// A request that has crashed so many endpoints, 10 ms apart, the first at 1 s.
+/// A quarantine in which a request has crashed `crashes` endpoints, 10 ms apart, the first at 1 s.
 fn crashed(number: u64, crashes: u64) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for instance in 1..=crashes {
@@ -49,15 +49,15 @@
 cases! {
     the_third_endpoint_that_crashes_holds_a_request_back => {
         let mut quarantine = crashed(1, 2);
-        assert_eq!(quarantine.verdict(&content(1), 1_010), Verdict::Free);
-        assert_eq!(quarantine.on_crash(content(1), crash(2, 1_015)), CrashNews::Known);
-        assert_eq!(quarantine.on_crash(content(1), crash(3, 1_020)), CrashNews::Held);
-        assert_eq!(quarantine.verdict(&content(1), 1_020), Verdict::Held { again_ms: FIRST_HOLD_MS });
-        assert_eq!(quarantine.verdict(&content(2), 1_020), Verdict::Free);
+        assert_eq!(quarantine.verdict(&content(1), 1_010), Verdict::Allowed);
+        assert_eq!(quarantine.on_crash(content(1), crash(2, 1_015)), CrashEffect::Known);
+        assert_eq!(quarantine.on_crash(content(1), crash(3, 1_020)), CrashEffect::Held);
+        assert_eq!(quarantine.verdict(&content(1), 1_020), Verdict::Held { retry_after_ms: FIRST_HOLD_MS });
+        assert_eq!(quarantine.verdict(&content(2), 1_020), Verdict::Allowed);
     }
 
-    // Callers of a page that many ask for are refused for a day: a zone lost power with the page under way at
-    // eight endpoints. Crashes at once show no more than one would; what shows something is a trial.
+    // Guards against a long hold of a popular request that several endpoints were running when a zone failed:
+    // simultaneous crashes prove no more than one, only a trial does.
     many_crashes_at_once_hold_a_request_back_no_longer_than_three => {
         let mut quarantine = crashed(1, 8);
         assert_eq!(quarantine.verdict(&content(1), 1_070 + FIRST_HOLD_MS), Verdict::TrialDue);
@@ -71,75 +71,72 @@
         quarantine.on_claim(content(1), "vm-1".into(), 1, due_ms);
         assert!(quarantine.has_trial("vm-1"));
         let failed = Crash { is_trial: true, ..crash(4, due_ms + 20) };
-        assert_eq!(quarantine.on_crash(content(1), failed), CrashNews::Held);
+        assert_eq!(quarantine.on_crash(content(1), failed), CrashEffect::Held);
         assert!(!quarantine.has_trial("vm-1"));
-        let held = Verdict::Held { again_ms: SECOND_HOLD_MS };
+        let held = Verdict::Held { retry_after_ms: SECOND_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 20), held);
     }
 
-    // A call that was lost with its endpoint is lost again, when another one crashes the second endpoint
-    // too, and again. Each success in between ends the suspicion.
+    // Guards against holding a request that lost several endpoints by chance but succeeded in between.
     a_request_that_is_answered_once_is_not_held => {
         let mut quarantine = Quarantine::default();
         for instance in 0..10 {
-            assert_eq!(quarantine.on_crash(content(1), crash(2 * instance, 100 * instance)), CrashNews::Suspected);
-            assert_eq!(quarantine.on_crash(content(1), crash(2 * instance + 1, 100 * instance)), CrashNews::Suspected);
+            assert_eq!(quarantine.on_crash(content(1), crash(2 * instance, 100 * instance)), CrashEffect::Suspected);
+            assert_eq!(quarantine.on_crash(content(1), crash(2 * instance + 1, 100 * instance)), CrashEffect::Suspected);
             assert!(quarantine.on_success(&content(1)).is_some());
         }
     }
 
-    // The endpoints are asked again and again for a request that is held back: they are full, refuse each trial, and the
-    // next repeat is tried at once. Each trial counts, whatever comes of it, but in success.
+    // Guards against trials in quick succession when full endpoints refuse them: each trial counts, whatever
+    // its result.
     a_trial_that_shows_nothing_is_not_repeated_at_once => {
         let mut quarantine = crashed(1, 3);
         let due_ms = 1_020 + FIRST_HOLD_MS;
         quarantine.on_claim(content(1), "vm-1".into(), 1, due_ms);
-        quarantine.on_trial_made(&content(1), "vm-1", 1, due_ms + 5);
-        let held = Verdict::Held { again_ms: UNDECIDED_HOLD_MS };
+        quarantine.on_trial_finished(&content(1), "vm-1", 1, due_ms + 5);
+        let held = Verdict::Held { retry_after_ms: UNDECIDED_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 5), held);
         let due_ms = due_ms + 5 + UNDECIDED_HOLD_MS;
         quarantine.on_claim(content(1), "vm-2".into(), 2, due_ms);
-        quarantine.on_trial_made(&content(1), "vm-2", 2, due_ms + 5);
-        let held = Verdict::Held { again_ms: SECOND_HOLD_MS };
+        quarantine.on_trial_finished(&content(1), "vm-2", 2, due_ms + 5);
+        let held = Verdict::Held { retry_after_ms: SECOND_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 5), held);
     }
 
-    // An item waits for its score for 10 s, though its reward call is a proper one: it met three crashes, and when it
-    // was tried no endpoint was up that it could be sent to. What was not sent is no trial.
+    // Guards against a long hold when no endpoint was available for a trial: a trial that was not sent does
+    // not count.
     a_trial_that_was_not_sent_is_made_a_moment_later => {
         let mut quarantine = crashed(1, 3);
         let due_ms = 1_020 + FIRST_HOLD_MS;
         quarantine.on_claim(content(1), "vm-1".into(), 1, due_ms);
-        quarantine.on_trial_unmade(&content(1), "vm-1", due_ms + 5);
+        quarantine.on_trial_cancelled(&content(1), "vm-1", due_ms + 5);
         assert_eq!(quarantine.trials(&content(1)), 0);
-        let held = Verdict::Held { again_ms: UNSENT_PAUSE_MS };
+        let held = Verdict::Held { retry_after_ms: CANCELLED_TRIAL_DELAY_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 5), held);
-        assert_eq!(quarantine.verdict(&content(1), due_ms + 5 + UNSENT_PAUSE_MS), Verdict::TrialDue);
+        assert_eq!(quarantine.verdict(&content(1), due_ms + 5 + CANCELLED_TRIAL_DELAY_MS), Verdict::TrialDue);
     }
 
-    // Two sends are made for one trial: the daemon whose claim came second says that it made none, or one that was
-    // asleep says late how its own went, and the trial under way counts as over.
+    // Guards against a second send while a trial is in progress: a losing claim or a late report must not end it.
     a_trial_is_ended_by_its_own_claim_only => {
         let mut quarantine = crashed(1, 3);
         let due_ms = 1_020 + FIRST_HOLD_MS;
         quarantine.on_claim(content(1), "vm-1".into(), 1, due_ms);
-        quarantine.on_trial_unmade(&content(1), "vm-2", due_ms + 5);
-        quarantine.on_trial_made(&content(1), "vm-3", 1, due_ms + 5);
+        quarantine.on_trial_cancelled(&content(1), "vm-2", due_ms + 5);
+        quarantine.on_trial_finished(&content(1), "vm-3", 1, due_ms + 5);
         assert!(quarantine.has_trial("vm-1"));
         assert_eq!(quarantine.trials(&content(1)), 1);
     }
 
-    // A daemon that starts reads the newest record of each key: of several trials the last one.
+    // A daemon that starts reads only the newest record of each key, so it sees only the last trial.
     trials_are_counted_by_a_daemon_that_starts_later => {
         let mut quarantine = crashed(1, 3);
-        quarantine.on_trial_made(&content(1), "vm-2", 2, 20_000);
+        quarantine.on_trial_finished(&content(1), "vm-2", 2, 20_000);
         assert_eq!(quarantine.trials(&content(1)), 2);
-        let held = Verdict::Held { again_ms: SECOND_HOLD_MS };
+        let held = Verdict::Held { retry_after_ms: SECOND_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), 20_000), held);
     }
 
-    // A page that many ask for is refused for ten minutes, though it crashes nothing: its trial was at an endpoint as
-    // a request that was not held yet crashed it, the third of that one.
+    // Guards against a long hold of a harmless request whose trial shared an endpoint with a request that crashed it.
     a_trial_whose_endpoint_another_request_crashes_is_made_again => {
         let mut quarantine = crashed(1, 3);
         let due_ms = 1_020 + FIRST_HOLD_MS;
@@ -147,14 +144,13 @@
         quarantine.on_crash(content(2), crash(4, due_ms + 10));
         let lost = Crash { is_trial: true, ..crash(4, due_ms + 20) };
         quarantine.on_crash(content(1), lost);
-        quarantine.on_trial_made(&content(1), "vm-1", 1, due_ms + 20);
-        let held = Verdict::Held { again_ms: FIRST_HOLD_MS };
+        quarantine.on_trial_finished(&content(1), "vm-1", 1, due_ms + 20);
+        let held = Verdict::Held { retry_after_ms: FIRST_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 20), held);
         assert_eq!(quarantine.verdict(&content(1), due_ms + 20 + FIRST_HOLD_MS), Verdict::TrialDue);
     }
 
-    // A request that crashes endpoints is tried at once again, each time a proper one was lost with it; that one is
-    // answered elsewhere, and then the trial has failed.
+    // Guards against discounting a failed trial although the other request on the endpoint succeeded later.
     a_failed_trial_counts_once_the_request_lost_with_it_is_answered => {
         let mut quarantine = crashed(1, 3);
         let due_ms = 1_020 + FIRST_HOLD_MS;
@@ -163,24 +159,24 @@
         quarantine.on_crash(content(2), crash(4, due_ms + 25));
         assert_eq!(quarantine.verdict(&content(1), due_ms + 20 + FIRST_HOLD_MS), Verdict::TrialDue);
         quarantine.on_success(&content(2));
-        let held = Verdict::Held { again_ms: SECOND_HOLD_MS };
+        let held = Verdict::Held { retry_after_ms: SECOND_HOLD_MS };
         assert_eq!(quarantine.verdict(&content(1), due_ms + 20), held);
     }
 
-    // A request that crashes endpoints has any number of trials, as long as each endpoint is lost to two requests.
+    // Guards against unlimited trials of a request whenever another one crashes the same endpoint.
     shared_trials_are_bounded => {
         let mut quarantine = crashed(1, 3);
         let mut now_ms = 1_020;
         let mut trials = 0;
         while now_ms < SECOND_HOLD_MS {
             now_ms += match quarantine.verdict(&content(1), now_ms) {
-                Verdict::Held { again_ms } => again_ms,
+                Verdict::Held { retry_after_ms } => retry_after_ms,
                 _ => {
                     trials += 1;
                     quarantine.on_claim(content(1), "vm-1".into(), trials, now_ms);
                     quarantine.on_crash(content(1 + trials), crash(3 + trials, now_ms));
                     quarantine.on_crash(content(1), Crash { is_trial: true, ..crash(3 + trials, now_ms) });
-                    quarantine.on_trial_made(&content(1), "vm-1", trials, now_ms);
+                    quarantine.on_trial_finished(&content(1), "vm-1", trials, now_ms);
                     1
                 }
             };
@@ -188,15 +184,14 @@
         assert_eq!(trials, 3, "after 1, 2 and 12 s");
     }
 
-    // A trial finds an endpoint that is just going down under another request.
+    // Guards against sending a trial to an endpoint that another request is crashing.
     endpoints_that_crashed_lately_are_known => {
         let quarantine = crashed(1, 1);
         assert_eq!(quarantine.crashed_lately(1_500), [Arc::from("endpoint-1")]);
         assert!(quarantine.crashed_lately(3_000).is_empty());
     }
 
-    // Two requests were lost with the same three endpoints. Tried at once, both would be lost again; one after the
-    // other, the one that is answered is free and the other one stays.
+    // Guards against trying two suspects at once: if both are on an endpoint that crashes, either may be the cause.
     suspects_are_tried_one_at_a_time => {
         let mut quarantine = crashed(1, 3);
         for instance in 1..=3 {
@@ -211,7 +206,7 @@
         assert_eq!(quarantine.verdict(&content(1), due_ms + 2), Verdict::TrialDue);
     }
 
-    // No suspect is tried any more: the daemon that claimed the trial was killed before it was made.
+    // Guards against blocking all trials after the daemon that claimed one was killed.
     a_trial_without_an_outcome_ends => {
         let mut quarantine = crashed(1, 3);
         let due_ms = 1_020 + FIRST_HOLD_MS;
@@ -229,7 +224,7 @@
         assert!(!quarantine.has_trial("vm-1") && !quarantine.has_trial("vm-2"));
     }
 
-    suspicions_and_holds_end_by_themselves => {
+    suspicions_and_holds_expire => {
         let mut quarantine = crashed(1, 2);
         for instance in 1..=3 {
             quarantine.on_crash(content(2), crash(instance, 1_000));
@@ -241,8 +236,8 @@
         assert!(quarantine.is_empty());
     }
 
-    // Memory grows without bound in the loss of a region, or the one request that is held back is forgotten.
-    what_is_remembered_is_bounded_and_holds_come_last => {
+    // Guards against unbounded memory in the loss of a region, and against evicting a held request before others.
+    capacity_is_bounded_and_held_requests_are_evicted_last => {
         let mut quarantine = crashed(0, 3);
         for number in 1..10_000 {
             quarantine.on_crash(content(number), crash(1, 2_000 + number));
@@ -252,10 +247,9 @@
         assert!(quarantine.is_suspected(&content(9_999)) && !quarantine.is_suspected(&content(1)));
     }
 
-    // All daemons stop reading for seconds, as each reports the hundreds of requests that it lost with a zone.
-    // What is reported is a share of a budget; repeated crashes go first, and what was answered meanwhile
-    // is not reported.
-    reports_keep_to_a_budget_and_repeated_crashes_come_first => {
+    // Guards against a flood of reports in the loss of a zone: the rate is limited, repeated crashes go first
+    // and requests that succeeded meanwhile are not reported.
+    reports_are_rate_limited_and_repeated_crashes_come_first => {
         let quarantine = crashed(7, 2);
         let mut reports = CrashReports::default();
         for number in 0..100 {
@@ -267,23 +261,23 @@
         assert_eq!(first[0].content, content(7));
         assert!(first.iter().all(|report| report.content != content(3)));
         assert!(reports.take(&quarantine, 680, 2_010).is_empty());
-        // 40 a second for all: 680 daemons have one each in 17 s.
+        // At 40 reports a second for all, each of 680 daemons may send one in 17 s.
         assert_eq!(reports.take(&quarantine, 680, 20_000).len(), 1);
         assert_eq!(reports.take(&quarantine, 10, 21_000).len(), 4);
     }
 
-    // A request that ran for longer than its caller waits is not suspected, though its endpoint crashed under it.
+    // Guards against missing a crash that happens after the caller's timeout.
     an_endpoint_that_ends_soon_after_an_attempt_was_given_up_counts_as_crashed => {
-        let mut losses = SilentLosses::default();
+        let mut abandoned = AbandonedAttempts::default();
         let (one, other): (Arc<str>, Arc<str>) = ("endpoint-1".into(), "endpoint-2".into());
-        losses.push(content(1), &one, false, 1_000);
-        losses.push(content(2), &other, true, 2_000);
-        assert_eq!(losses.on_ended("endpoint-2", 7_999), [(content(2), true)]);
-        assert!(losses.on_ended("endpoint-2", 7_999).is_empty());
-        assert!(losses.on_ended("endpoint-1", 7_999).is_empty(), "too long ago");
+        abandoned.push(content(1), &one, false, 1_000);
+        abandoned.push(content(2), &other, true, 2_000);
+        assert_eq!(abandoned.on_endpoint_ended("endpoint-2", 7_999), [(content(2), true)]);
+        assert!(abandoned.on_endpoint_ended("endpoint-2", 7_999).is_empty());
+        assert!(abandoned.on_endpoint_ended("endpoint-1", 7_999).is_empty(), "too long ago");
     }
 
-    reports_that_were_not_taken_are_told_again => {
+    reports_that_were_not_sent_are_sent_again => {
         let quarantine = Quarantine::default();
         let mut reports = CrashReports::default();
         reports.push(CrashReport { content: content(1), crash: crash(1, 1_000) });
