--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -11,7 +11,7 @@
 use borageshore_diagnostics::Instruments;
 use borageshore_net::{Clock, Deadline, EdgeResponse, within_ms};
 use borageshore_platform::{
-    Answer, AttemptError, CallHead, EndpointClient, Outbound, answer, refusal,
+    Answer, AttemptError, CallHead, EndpointClient, Outbound, forwarded_response, refusal,
 };
 use borageshore_routing::{
     AttemptEvent, Fingerprint, Idempotent, Outcome, RequestAttempts, RetryBudget, Route, RouteKind,
@@ -136,7 +136,7 @@
         let took_ms = self.clock.now_ms() - started_ms;
         self.instruments.record_ms("call", took_ms);
         let response = match answered {
-            Some(whole) => answer(whole),
+            Some(whole) => forwarded_response(whole),
             None if outcome.attempts.tried().is_empty() && !self.access.is_good(&asked.pass) => {
                 Denial::ViewTooOld.answer()
             }
--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -11,8 +11,8 @@
     BodyFault, EdgeRequest, EdgeResponse, Handler, ServerLimits, full_body, read_body,
 };
 use borageshore_platform::{
-    CallHead, CallerRequest, SubmissionRequest, addresses, caller_host, caller_key, decode_caller,
-    decode_submission, ended, refusal,
+    CallHead, CallerRequest, SubmissionRequest, addresses_response, caller_host, caller_key,
+    decode_caller, decode_submission, ok_response, refusal,
 };
 use borageshore_routing::RouteKind;
 use bytes::Bytes;
@@ -168,7 +168,7 @@
 
     fn ready(&self) -> EdgeResponse {
         match self.life.state() {
-            PresenceState::Ready => ended(),
+            PresenceState::Ready => ok_response(),
             PresenceState::Starting => not_ready(),
             PresenceState::Draining => refusal(&Fault::new(ResultCode::Draining, ""), None),
         }
@@ -179,7 +179,7 @@
         if listed.is_empty() {
             return not_ready();
         }
-        addresses(&listed, self.address_ttl_s)
+        addresses_response(&listed, self.address_ttl_s)
     }
 
     async fn call(
--- a/crates/borageshore_gateway/src/submissions.rs
+++ b/crates/borageshore_gateway/src/submissions.rs
@@ -6,7 +6,9 @@
 use borageshore_batch::{LedgerRecord, Submission, SubmissionState};
 use borageshore_diagnostics::Instruments;
 use borageshore_net::{Clock, EdgeResponse, within_ms};
-use borageshore_platform::{StoreError, accepted, body_answer, ended, refusal, results_page};
+use borageshore_platform::{
+    StoreError, accepted_response, body_response, ok_response, refusal, results_response,
+};
 use bytes::Bytes;
 
 use crate::{
@@ -71,7 +73,7 @@
         let id = submission.id.clone();
         if self.is_accepted(&id) {
             log::info!(submission = &*id; "submission accepted before");
-            return accepted();
+            return accepted_response();
         }
         let started_ms = self.clock.now_ms();
         let items = submission.items.len();
@@ -88,7 +90,7 @@
                 self.instruments.count("submission", "accepted");
                 self.instruments.record_ms("accept", took_ms);
                 log::info!(submission = &*id, items, took_ms; "submission accepted");
-                accepted()
+                accepted_response()
             }
             Err(error) => self.not_accepted(&id, &error),
         }
@@ -96,7 +98,7 @@
 
     fn not_accepted(&self, id: &str, error: &StoreError) -> EdgeResponse {
         if self.is_accepted(id) {
-            return accepted();
+            return accepted_response();
         }
         log::warn!(submission = id, error:% = error; "submission not accepted");
         self.instruments.count("submission", "not_accepted");
@@ -191,7 +193,7 @@
             let total = state.submission()?.items.len();
             let results = state.results().get(after..).unwrap_or_default();
             let is_given = even_empty || !results.is_empty();
-            is_given.then(|| results_page(total, after, results))
+            is_given.then(|| results_response(total, after, results))
         };
         self.view.with_loaded(id, page)?
     }
@@ -214,14 +216,14 @@
     }
 
     fn item_body(&self, id: &str, item: &str) -> Option<EdgeResponse> {
-        let body = |state: &SubmissionState| state.item(item).map(body_answer);
+        let body = |state: &SubmissionState| state.item(item).map(body_response);
         self.view.with_loaded(id, body)?
     }
 
     /// Ends a submission: the store has the end before the trainer hears so.
     pub(crate) async fn end(&self, id: &Arc<str>) -> EdgeResponse {
         if self.is_ended(id) {
-            return ended();
+            return ok_response();
         }
         if !self.is_accepted(id) && !self.is_sure(id).await {
             return unsure(id);
@@ -239,7 +241,7 @@
             Ok(()) => {
                 log::info!(submission = &**id; "submission ended");
                 self.index.close(id).await;
-                ended()
+                ok_response()
             }
             Err(error) => {
                 log::warn!(submission = &**id, error:% = error; "submission not ended");
