--- a/crates/borageshore_gateway/src/dispatch.rs
+++ b/crates/borageshore_gateway/src/dispatch.rs
@@ -7,7 +7,7 @@
     choose_better_engine, choose_engine,
 };
 use borageshore_net::within_ms;
-use borageshore_platform::Target;
+use borageshore_platform::EndpointTarget;
 use tokio::sync::oneshot;
 
 use crate::endpoints::{Endpoints, InFlight};
@@ -31,7 +31,7 @@
 /// A slot at an engine, held until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Place {
-    pub(crate) target: Target,
+    pub(crate) target: EndpointTarget,
     pub(crate) in_flight: InFlight,
 }
 
--- a/crates/borageshore_gateway/src/endpoints/mod.rs
+++ b/crates/borageshore_gateway/src/endpoints/mod.rs
@@ -12,7 +12,7 @@
 use borageshore_base::SortedMap;
 use borageshore_batch::{EngineVersions, EngineView, NamedVersion, Paces};
 use borageshore_net::Clock;
-use borageshore_platform::{EndpointClient, EndpointEntry, Target};
+use borageshore_platform::{EndpointClient, EndpointEntry, EndpointTarget};
 use borageshore_routing::{
     ChoiceRequest, EndpointListing, EndpointRegister, EndpointState, EndpointTable, choose_endpoint,
 };
@@ -52,7 +52,7 @@
     lapsed: RefCell<SortedMap<Arc<str>, u64>>,
     table: RefCell<EndpointTable>,
     /// Where requests to each instance of the table go.
-    targets: RefCell<SortedMap<Arc<str>, Target>>,
+    targets: RefCell<SortedMap<Arc<str>, EndpointTarget>>,
     versions: RefCell<EngineVersions>,
     loading: RefCell<SortedMap<Arc<str>, Loading>>,
     paces: RefCell<Paces>,
@@ -129,7 +129,7 @@
         self: &Rc<Self>,
         service: &str,
         tried: &[Arc<str>],
-    ) -> Option<(Target, InFlight)> {
+    ) -> Option<(EndpointTarget, InFlight)> {
         let request = ChoiceRequest {
             service,
             prefix: None,
@@ -145,7 +145,10 @@
     }
 
     /// Counts a request at an endpoint.
-    pub(crate) fn start(self: &Rc<Self>, instance: &Arc<str>) -> Option<(Target, InFlight)> {
+    pub(crate) fn start(
+        self: &Rc<Self>,
+        instance: &Arc<str>,
+    ) -> Option<(EndpointTarget, InFlight)> {
         let mut table = self.table.borrow_mut();
         let target = self.targets.borrow().get(instance)?.clone();
         table.on_start(instance);
@@ -183,7 +186,7 @@
     }
 
     /// The instances that serve a model and take new work, by id, with where they listen.
-    pub(crate) fn engine_targets(&self) -> Vec<Target> {
+    pub(crate) fn engine_targets(&self) -> Vec<EndpointTarget> {
         let register = self.register.borrow();
         let live = register.values().filter(|entry| {
             entry.listing.state == EndpointState::Live
@@ -274,8 +277,8 @@
     }
 }
 
-fn target(entry: &EndpointEntry) -> Target {
-    Target {
+fn target(entry: &EndpointEntry) -> EndpointTarget {
+    EndpointTarget {
         instance: entry.listing.name.clone(),
         id: entry.id.clone(),
         started_at_ms: entry.started_at_ms,
--- a/crates/borageshore_gateway/src/orderer.rs
+++ b/crates/borageshore_gateway/src/orderer.rs
@@ -7,7 +7,9 @@
     EngineState, ModelTarget, NamedVersion, SwapLimits, SwapRound, plan_round,
 };
 use borageshore_net::{Clock, sleep_ms, within_ms};
-use borageshore_platform::{EndpointClient, EngineReport, OrderAnswer, Target, VersionOrder};
+use borageshore_platform::{
+    EndpointClient, EndpointTarget, EngineReport, OrderAnswer, VersionOrder,
+};
 use futures_util::future::{join_all, select};
 
 use crate::{
@@ -110,11 +112,11 @@
     /// loads at once for 3 s, and a step waited 4.1 s for a slot at engines that were two versions behind.
     fn plan(
         &self,
-        targets: &[Target],
-        reports: &[(Target, EngineReport)],
+        targets: &[EndpointTarget],
+        reports: &[(EndpointTarget, EngineReport)],
     ) -> Vec<(Arc<str>, NamedVersion)> {
         let under_way = self.under_way.borrow();
-        let state = |target: &Target| {
+        let state = |target: &EndpointTarget| {
             let report = reports.iter().find(|(asked, _)| asked == target);
             EngineState {
                 instance: target.instance.clone(),
@@ -148,7 +150,7 @@
     }
 
     /// Asks all engines for their state; who does not answer is left out.
-    async fn reports(&self, targets: &[Target]) -> Vec<(Target, EngineReport)> {
+    async fn reports(&self, targets: &[EndpointTarget]) -> Vec<(EndpointTarget, EngineReport)> {
         let ask = targets
             .iter()
             .map(|target| async move { (target.clone(), self.parts.client.report(target).await) });
@@ -176,14 +178,14 @@
     async fn announce(
         &self,
         at: u64,
-        orders: Vec<(Target, NamedVersion, EngineReport)>,
+        orders: Vec<(EndpointTarget, NamedVersion, EngineReport)>,
         done: Vec<(Arc<str>, Arc<str>, u64)>,
     ) {
         if orders.is_empty() && done.is_empty() {
             return;
         }
         let holder = self.parts.members.own_name();
-        let order = |(target, version, _): &(Target, NamedVersion, EngineReport)| {
+        let order = |(target, version, _): &(EndpointTarget, NamedVersion, EngineReport)| {
             (
                 target.instance.clone(),
                 version.model.clone(),
@@ -214,7 +216,7 @@
 
     async fn give(
         &self,
-        target: Target,
+        target: EndpointTarget,
         version: NamedVersion,
         order: VersionOrder,
         announced: Announced,
