--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -11,7 +11,7 @@
 use borageshore_diagnostics::Instruments;
 use borageshore_net::{Clock, Deadline, EdgeResponse, within_ms};
 use borageshore_platform::{
-    Answer, AttemptError, CallHead, EndpointClient, Outbound, forwarded_response, refusal,
+    Answer, AttemptError, CallHead, EndpointClient, OutboundRequest, forwarded_response, refusal,
 };
 use borageshore_routing::{
     AttemptEvent, Fingerprint, Idempotent, Outcome, RequestAttempts, RetryBudget, Route, RouteKind,
@@ -54,7 +54,7 @@
 /// A call on its way, with the name of its content once that was asked for.
 #[derive(Debug)]
 struct Asked {
-    outbound: Outbound,
+    outbound: OutboundRequest,
     pass: Pass,
     request_use: RequestUse,
     content: OnceCell<Fingerprint>,
@@ -107,7 +107,7 @@
         let started_ms = self.clock.now_ms();
         let wait_ms = head.deadline_ms.min(route.timeout_ms);
         let deadline = Deadline::after(self.clock, wait_ms.saturating_sub(ANSWER_MARGIN_MS));
-        let outbound = Outbound {
+        let outbound = OutboundRequest {
             id: head.id,
             host: head.host,
             method: head.method,
@@ -301,7 +301,7 @@
 fn note(
     number: usize,
     ended: Result<Answer, AttemptError>,
-    outbound: &Outbound,
+    outbound: &OutboundRequest,
     outcome: &mut CallOutcome,
 ) -> Option<Answer> {
     let event = match &ended {
--- a/crates/borageshore_gateway/src/rewards.rs
+++ b/crates/borageshore_gateway/src/rewards.rs
@@ -9,7 +9,7 @@
 use borageshore_base::SortedMap;
 use borageshore_batch::RewardCall;
 use borageshore_net::{Clock, Deadline, sleep_ms};
-use borageshore_platform::{AttemptError, EndpointClient, Outbound};
+use borageshore_platform::{AttemptError, EndpointClient, OutboundRequest};
 use borageshore_routing::{Fingerprint, Route};
 use tokio::sync::Notify;
 
@@ -49,7 +49,7 @@
 /// A reward call on its way.
 #[derive(Debug)]
 struct Scoring {
-    outbound: Outbound,
+    outbound: OutboundRequest,
     content: OnceCell<Fingerprint>,
     /// The endpoint that had it last and brought no score.
     last: Option<Arc<str>>,
@@ -82,7 +82,7 @@
     /// endpoints is given up at `give_up_ms`.
     pub(crate) async fn score(&self, call: &RewardCall, give_up_ms: u64) -> Reward {
         let mut scoring = Scoring {
-            outbound: Outbound::reward(call),
+            outbound: OutboundRequest::reward(call),
             content: OnceCell::new(),
             last: None,
         };
