--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -11,7 +11,8 @@
 use borageshore_diagnostics::Instruments;
 use borageshore_net::{Clock, Deadline, EdgeResponse, within_ms};
 use borageshore_platform::{
-    Answer, AttemptError, CallHead, EndpointClient, OutboundRequest, forwarded_response, refusal,
+    AttemptError, CallHead, EndpointClient, EndpointResponse, OutboundRequest, forwarded_response,
+    refusal,
 };
 use borageshore_routing::{
     AttemptEvent, Fingerprint, Idempotent, Outcome, RequestAttempts, RetryBudget, Route, RouteKind,
@@ -71,7 +72,7 @@
 struct CallOutcome {
     attempts: RequestAttempts,
     /// An endpoint's own failure, to be passed on if nothing better comes.
-    failure: Option<Answer>,
+    failure: Option<EndpointResponse>,
 }
 
 impl Calls {
@@ -175,7 +176,7 @@
         leave: &Leave,
         deadline: Deadline,
         outcome: &mut CallOutcome,
-    ) -> Option<Answer> {
+    ) -> Option<EndpointResponse> {
         let idempotent = match route.kind {
             RouteKind::Idempotent => Idempotent::Yes,
             _ => Idempotent::No,
@@ -235,7 +236,8 @@
         leave: &'c Leave,
         deadline: Deadline,
         outcome: &mut CallOutcome,
-    ) -> Option<impl Future<Output = (usize, Result<Answer, AttemptError>)> + use<'c>> {
+    ) -> Option<impl Future<Output = (usize, Result<EndpointResponse, AttemptError>)> + use<'c>>
+    {
         if !self.access.is_good(&asked.pass) {
             log::info!(request = &*asked.outbound.id; "a call is not sent any more, its key is not good now");
             return None;
@@ -300,10 +302,10 @@
 /// Takes an attempt's end over; returns the answer for the caller if there is one.
 fn note(
     number: usize,
-    ended: Result<Answer, AttemptError>,
+    ended: Result<EndpointResponse, AttemptError>,
     outbound: &OutboundRequest,
     outcome: &mut CallOutcome,
-) -> Option<Answer> {
+) -> Option<EndpointResponse> {
     let event = match &ended {
         Ok(_) => AttemptEvent::Answered,
         Err(AttemptError::Lost(_) | AttemptError::Broken(_)) => AttemptEvent::Lost,
--- a/crates/borageshore_gateway/src/quarantine/sent.rs
+++ b/crates/borageshore_gateway/src/quarantine/sent.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::Cell, rc::Rc, sync::Arc};
 
-use borageshore_platform::{Answer, AttemptError};
+use borageshore_platform::{AttemptError, EndpointResponse};
 use borageshore_routing::Fingerprint;
 
 use super::{Leave, Quarantine};
@@ -50,7 +50,7 @@
     Content: Fn() -> Fingerprint,
 {
     /// Takes over what came of a call.
-    pub(crate) fn on_outcome(&mut self, called: &Result<Answer, AttemptError>) {
+    pub(crate) fn on_outcome(&mut self, called: &Result<EndpointResponse, AttemptError>) {
         match called {
             Ok(answer) if answer.status.is_success() && answer.stamp.is_some() => self.on_success(),
             Ok(_) => self.on_end(),
