--- a/crates/borageshore_gateway/src/routes.rs
+++ b/crates/borageshore_gateway/src/routes.rs
@@ -8,7 +8,7 @@
 
 use borageshore_access::Organisations;
 use borageshore_batch::NamedVersion;
-use borageshore_platform::{KeyedRecord, OperatorRecord, decode_operator};
+use borageshore_platform::{KeyedRecord, OperatorRecord, decode_operator_record};
 use borageshore_routing::{Route, RouteTable};
 use tokio::sync::Notify;
 
@@ -102,7 +102,7 @@
 impl Fold for Routes {
     fn apply(&self, records: &[KeyedRecord]) {
         for record in records {
-            match decode_operator(record) {
+            match decode_operator_record(record) {
                 Some(Ok(OperatorRecord::Routes(table))) => self.set(table),
                 Some(Ok(OperatorRecord::Version(named))) => self.on_named(named),
                 Some(Err(error)) => {
