--- a/crates/borageshore_gateway/src/endpoints/listing.rs
+++ b/crates/borageshore_gateway/src/endpoints/listing.rs
@@ -27,7 +27,7 @@
             Registered::StartedAgain => {
                 let before = known.as_ref().map_or("", |known| &*known.listing.address);
                 log::info!(id = &**id, started_at_ms = entry.started_at_ms; "endpoint started again");
-                self.client.forget(before);
+                self.client.drop_idle_connections(before);
                 if let Some(known) = &known {
                     self.note_ended(&known.listing);
                 }
