--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -206,7 +206,7 @@
             Err(denial) => return denial.answer(),
         };
         if self.routes.with_organisations(Organisations::are_named) {
-            call.drop_key();
+            call.remove_api_key();
         }
         let body = match read_body(body, server_limits()).await {
             Ok(body) => body,
