--- a/crates/borageshore_gateway/src/store_path.rs
+++ b/crates/borageshore_gateway/src/store_path.rs
@@ -254,7 +254,7 @@
             .uri
             .path_and_query()
             .map_or("/", |target| target.as_str());
-        let Some(call) = StoreCall::passed_on(head.method, target, body) else {
+        let Some(call) = StoreCall::from_peer(head.method, target, body) else {
             return status(StatusCode::NOT_FOUND);
         };
         let now_ms = self.path.inner.clock.now_ms();
