--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -204,7 +204,7 @@
                 epoch: appended.offset,
                 window,
             }),
-            Err(StoreError::Moved { end }) => {
+            Err(StoreError::OffsetConflict { end }) => {
                 log::info!(end; "another announcement came first");
                 None
             }
