--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -105,8 +105,8 @@
         match decoded {
             CallerRequest::Ready => self.ready(),
             CallerRequest::Addresses { zone } => self.addresses(&zone),
-            CallerRequest::Submission { id, asked } => {
-                self.submission(&id, &asked, key, &head).await
+            CallerRequest::Submission { id, operation } => {
+                self.submission(&id, &operation, key, &head).await
             }
             CallerRequest::Call(call) => self.call(call, key, &head, body).await,
         }
