--- a/crates/borageshore_gateway/src/usage/reporter.rs
+++ b/crates/borageshore_gateway/src/usage/reporter.rs
@@ -4,7 +4,7 @@
 
 use borageshore_diagnostics::Instruments;
 use borageshore_net::{Clock, sleep_ms};
-use borageshore_platform::{DutyCaller, DutyClient};
+use borageshore_platform::{DutyClient, DutyHolder};
 use borageshore_usage::{Counts, UsageTimes, Window};
 
 use super::{USAGE, records::UsageReports, view::UsageView};
@@ -87,18 +87,18 @@
         let Some(announced) = parts.duties.announce(at, &records).await else {
             return;
         };
-        let caller = DutyCaller {
-            holder,
+        let duty_holder = DutyHolder {
+            name: holder,
             epoch: announced.epoch,
         };
         let sending = parts
             .client
-            .report_usage(&caller, window.0, &counts, || announced.may_send());
+            .report_usage(&duty_holder, window.0, &counts, || announced.may_send());
         match sending.await {
-            Ok(()) => self.on_taken(window, &counts, caller.epoch),
+            Ok(()) => self.on_taken(window, &counts, duty_holder.epoch),
             Err(error) => {
                 parts.instruments.count("usage_report", "failed");
-                log::warn!(window = window.0, epoch = caller.epoch, error:% = error; "a usage report is not taken yet");
+                log::warn!(window = window.0, epoch = duty_holder.epoch, error:% = error; "a usage report is not taken yet");
             }
         }
     }
