--- a/crates/borageshore_wire/src/codec.rs
+++ b/crates/borageshore_wire/src/codec.rs
@@ -8,7 +8,7 @@
 /// The largest frame accepted from a peer.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 /// The longest list or string in a frame, in elements or bytes.
-const MAX_CONTAINER: usize = 4 * 1024 * 1024;
+const MAX_CONTAINER_LEN: usize = 4 * 1024 * 1024;
 
 /// Encodes a message.
 pub fn encode<Message>(message: &Message) -> thrift::Result<Vec<u8>>
@@ -32,7 +32,7 @@
     let config = TConfiguration::builder()
         .max_message_size(Some(MAX_FRAME_BYTES))
         .max_frame_size(Some(MAX_FRAME_BYTES))
-        .max_container_size(Some(MAX_CONTAINER))
+        .max_container_size(Some(MAX_CONTAINER_LEN))
         .max_string_size(Some(MAX_FRAME_BYTES))
         .build()?;
     let mut protocol = TCompactInputProtocol::with_config(bytes, config);
