--- a/crates/borageshore_wire/idl/wire.thrift
+++ b/crates/borageshore_wire/idl/wire.thrift
@@ -17,7 +17,7 @@
   8: required WireMemberState state
 }
 
-// A sign of life of a daemon that the receiver knows already.
+// A heartbeat of a daemon that the receiver already knows.
 struct WireHeartbeat {
   1: required string name
   2: required i64 incarnation
@@ -30,7 +30,7 @@
   2: required list<WireHeartbeat> heartbeats
 }
 
-// Asks a peer for all daemons that it knows.
+// Requests all daemons that a peer knows.
 struct MembersRequest {
 }
 
@@ -44,25 +44,25 @@
   3: required string data
 }
 
-// Asks a peer for records of a stream, as one would ask the log.
+// Requests records of a stream from a peer instead of from the log.
 struct FollowRequest {
   1: required string stream
   2: required i64 from_offset
   3: required i64 wait_ms
 }
 
-// `snapshot` comes when the peer does not hold records from `from_offset` on.
+// `snapshot` is set if the peer does not hold the records from `from_offset` on.
 struct FollowReply {
   1: required i64 first_offset
   2: required i64 end_offset
   3: required list<WireRecord> records
   4: optional string snapshot
   5: optional i64 snapshot_next_offset
-  // How long ago the peer heard of the log, itself or through others.
+  // Time since the peer last heard from the log, directly or through other peers.
   6: required i64 log_age_ms
 }
 
-// A call whose request key belongs to the receiver.
+// Forwards a call to the daemon that owns its request key.
 struct CallRequest {
   1: required string service_name
   2: required string node
@@ -83,7 +83,7 @@
   5: required string detail
 }
 
-// Asks a peer to produce one sample.
+// Requests one sample from a peer.
 struct SampleRequest {
   1: required string job
   2: required string sample_id
@@ -113,18 +113,18 @@
   5: required i64 wait_ms
 }
 
-// The body is the JSON answer to the trainer.
+// The body is the JSON response to the trainer.
 struct PullReply {
   1: required i32 code
   2: required string body
 }
 
-// Asks for the address list of a caller, for a daemon that leaves.
+// Requests the address list of a caller, sent by a daemon that is leaving.
 struct AddressRequest {
   1: required string caller
 }
 
-// The body is the JSON answer to the caller.
+// The body is the JSON response to the caller.
 struct AddressReply {
   1: required string body
 }
--- a/crates/borageshore_wire/src/codec.rs
+++ b/crates/borageshore_wire/src/codec.rs
@@ -1,13 +1,13 @@
-//! Encoding to and from the compact protocol, with bounds on what a peer can make us allocate.
+//! Encoding and decoding in the compact protocol, with limits on the memory that a peer's message may allocate.
 
 use thrift::{
     TConfiguration,
     protocol::{TCompactInputProtocol, TCompactOutputProtocol, TSerializable},
 };
 
-/// The largest frame accepted from a peer.
+/// The largest frame accepted from a peer, in bytes.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
-/// The longest list or string in a frame, in elements or bytes.
+/// The longest collection in a frame, in elements.
 const MAX_CONTAINER_LEN: usize = 4 * 1024 * 1024;
 
 /// Encodes a message.
@@ -23,8 +23,8 @@
 
 /// Decodes a message.
 ///
-/// Generated readers allocate by the sizes they read, so a broken or hostile frame of a few bytes
-/// could ask for gigabytes; the configuration bounds every size before the allocation.
+/// Generated code allocates the sizes that a message states, so a corrupt or malicious frame of a few bytes
+/// could allocate gigabytes; the configuration checks every size before the allocation.
 pub fn decode<Message>(bytes: &[u8]) -> thrift::Result<Message>
 where
     Message: TSerializable,
--- a/crates/borageshore_wire/src/convert.rs
+++ b/crates/borageshore_wire/src/convert.rs
@@ -1,10 +1,10 @@
-//! Between wire structures and the types of the decision core.
+//! Conversions between wire structures and the membership types.
 
 use borageshore_membership::{GossipMessage, Heartbeat, MemberEntry, MemberState};
 
 use crate::generated::{WireGossip, WireHeartbeat, WireMember, WireMemberState};
 
-/// Builds a gossip message.
+/// Converts a gossip message to its wire form.
 pub fn gossip_to_wire(message: &GossipMessage) -> WireGossip {
     let heartbeat = |heartbeat: &Heartbeat| WireHeartbeat {
         name: heartbeat.name.to_string(),
@@ -17,7 +17,7 @@
     }
 }
 
-/// Reads a gossip message; entries in a state that this release does not know are left out.
+/// Converts a gossip message from its wire form; omits entries in a state that this release does not know.
 pub fn gossip_from_wire(gossip: WireGossip) -> GossipMessage {
     let heartbeat = |heartbeat: WireHeartbeat| Heartbeat {
         name: heartbeat.name.into(),
@@ -34,7 +34,7 @@
     }
 }
 
-/// Builds one entry.
+/// Converts a member entry to its wire form.
 pub fn member_to_wire(entry: &MemberEntry) -> WireMember {
     let state = match entry.state {
         MemberState::Live => WireMemberState::LIVE,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Reads one entry; `None` in a state that this release does not know.
+/// Converts a member entry from its wire form; `None` in a state that this release does not know.
 pub fn member_from_wire(member: WireMember) -> Option<MemberEntry> {
     let state = match member.state {
         WireMemberState::LIVE => MemberState::Live,
