--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -11,7 +11,8 @@
 use borageshore_diagnostics::Instruments;
 use borageshore_net::{Clock, Deadline, EdgeResponse, within_ms};
 use borageshore_platform::{
-    Answer, AttemptError, CallHead, EndpointClient, Outbound, answer, refusal,
+    AttemptError, CallHead, EndpointClient, EndpointResponse, OutboundRequest, forwarded_response,
+    refusal,
 };
 use borageshore_routing::{
     AttemptEvent, Fingerprint, Idempotent, Outcome, RequestAttempts, RetryBudget, Route, RouteKind,
@@ -54,7 +55,7 @@
 /// A call on its way, with the name of its content once that was asked for.
 #[derive(Debug)]
 struct Asked {
-    outbound: Outbound,
+    outbound: OutboundRequest,
     pass: Pass,
     request_use: RequestUse,
     content: OnceCell<Fingerprint>,
@@ -71,7 +72,7 @@
 struct CallOutcome {
     attempts: RequestAttempts,
     /// An endpoint's own failure, to be passed on if nothing better comes.
-    failure: Option<Answer>,
+    failure: Option<EndpointResponse>,
 }
 
 impl Calls {
@@ -107,7 +108,7 @@
         let started_ms = self.clock.now_ms();
         let wait_ms = head.deadline_ms.min(route.timeout_ms);
         let deadline = Deadline::after(self.clock, wait_ms.saturating_sub(ANSWER_MARGIN_MS));
-        let outbound = Outbound {
+        let outbound = OutboundRequest {
             id: head.id,
             host: head.host,
             method: head.method,
@@ -136,7 +137,7 @@
         let took_ms = self.clock.now_ms() - started_ms;
         self.instruments.record_ms("call", took_ms);
         let response = match answered {
-            Some(whole) => answer(whole),
+            Some(whole) => forwarded_response(whole),
             None if outcome.attempts.tried().is_empty() && !self.access.is_good(&asked.pass) => {
                 Denial::ViewTooOld.answer()
             }
@@ -175,7 +176,7 @@
         leave: &Leave,
         deadline: Deadline,
         outcome: &mut CallOutcome,
-    ) -> Option<Answer> {
+    ) -> Option<EndpointResponse> {
         let idempotent = match route.kind {
             RouteKind::Idempotent => Idempotent::Yes,
             _ => Idempotent::No,
@@ -235,7 +236,8 @@
         leave: &'c Leave,
         deadline: Deadline,
         outcome: &mut CallOutcome,
-    ) -> Option<impl Future<Output = (usize, Result<Answer, AttemptError>)> + use<'c>> {
+    ) -> Option<impl Future<Output = (usize, Result<EndpointResponse, AttemptError>)> + use<'c>>
+    {
         if !self.access.is_good(&asked.pass) {
             log::info!(request = &*asked.outbound.id; "a call is not sent any more, its key is not good now");
             return None;
@@ -300,10 +302,10 @@
 /// Takes an attempt's end over; returns the answer for the caller if there is one.
 fn note(
     number: usize,
-    ended: Result<Answer, AttemptError>,
-    outbound: &Outbound,
+    ended: Result<EndpointResponse, AttemptError>,
+    outbound: &OutboundRequest,
     outcome: &mut CallOutcome,
-) -> Option<Answer> {
+) -> Option<EndpointResponse> {
     let event = match &ended {
         Ok(_) => AttemptEvent::Answered,
         Err(AttemptError::Lost(_) | AttemptError::Broken(_)) => AttemptEvent::Lost,
--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -11,8 +11,8 @@
     BodyFault, EdgeRequest, EdgeResponse, Handler, ServerLimits, full_body, read_body,
 };
 use borageshore_platform::{
-    CallHead, CallerRequest, SubmissionRequest, addresses, caller_host, caller_key, decode_caller,
-    decode_submission, ended, refusal,
+    CallHead, CallerRequest, SubmissionRequest, addresses_response, caller_host, caller_key,
+    decode_caller, decode_submission, ok_response, refusal,
 };
 use borageshore_routing::RouteKind;
 use bytes::Bytes;
@@ -105,8 +105,8 @@
         match decoded {
             CallerRequest::Ready => self.ready(),
             CallerRequest::Addresses { zone } => self.addresses(&zone),
-            CallerRequest::Submission { id, asked } => {
-                self.submission(&id, &asked, key, &head).await
+            CallerRequest::Submission { id, operation } => {
+                self.submission(&id, &operation, key, &head).await
             }
             CallerRequest::Call(call) => self.call(call, key, &head, body).await,
         }
@@ -168,7 +168,7 @@
 
     fn ready(&self) -> EdgeResponse {
         match self.life.state() {
-            PresenceState::Ready => ended(),
+            PresenceState::Ready => ok_response(),
             PresenceState::Starting => not_ready(),
             PresenceState::Draining => refusal(&Fault::new(ResultCode::Draining, ""), None),
         }
@@ -179,7 +179,7 @@
         if listed.is_empty() {
             return not_ready();
         }
-        addresses(&listed, self.address_ttl_s)
+        addresses_response(&listed, self.address_ttl_s)
     }
 
     async fn call(
@@ -206,7 +206,7 @@
             Err(denial) => return denial.answer(),
         };
         if self.routes.with_organisations(Organisations::are_named) {
-            call.drop_key();
+            call.remove_api_key();
         }
         let body = match read_body(body, server_limits()).await {
             Ok(body) => body,
