--- a/crates/borageshore_daemon/src/control.rs
+++ b/crates/borageshore_daemon/src/control.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, sync::Arc};
 
 use borageshore_base::rank_within;
-use borageshore_lease::{LeaseRecord, Want, wants_of};
+use borageshore_lease::{Candidacy, LeaseRecord, candidacies_of};
 use borageshore_log::{Envelope, LogRecord};
 use borageshore_membership::{Health, RelaySource, relay_source};
 use borageshore_net::sleep_ms;
@@ -252,13 +252,13 @@
     }
 }
 
-fn wanted_shards(daemon: &Daemon, now_ms: u64) -> Vec<Want> {
+fn wanted_shards(daemon: &Daemon, now_ms: u64) -> Vec<Candidacy> {
     let membership = daemon.membership.borrow();
     let names: Vec<&str> = membership
         .usable(now_ms)
         .map(|entry| &*entry.name)
         .collect();
-    wants_of(
+    candidacies_of(
         &daemon.config.name,
         &shards(daemon),
         names.iter().copied(),
--- a/crates/borageshore_lease/src/agent.rs
+++ b/crates/borageshore_lease/src/agent.rs
@@ -28,7 +28,7 @@
 
 /// A shard that this daemon is a candidate for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Want {
+pub struct Candidacy {
     /// The shard.
     pub shard: Arc<str>,
     /// This daemon's place among the candidates, the first being 0.
@@ -36,18 +36,18 @@
 }
 
 /// The shards that `own` is one of the first `candidates` members for.
-pub fn wants_of<'m, Members>(
+pub fn candidacies_of<'m, Members>(
     own: &str,
     shards: &[Arc<str>],
     members: Members,
     candidates: usize,
-) -> Vec<Want>
+) -> Vec<Candidacy>
 where
     Members: Iterator<Item = &'m str> + Clone,
 {
     let ranked = shards.iter().filter_map(|shard| {
         let rank = rank_within(shard, own, members.clone(), candidates)? as u64;
-        Some(Want {
+        Some(Candidacy {
             shard: shard.clone(),
             rank,
         })
@@ -178,16 +178,16 @@
         }
     }
 
-    /// Says what to append now. `wants` are the shards that should be owned by somebody.
+    /// Says what to append now. `candidacies` are the shards that should be owned by somebody.
     pub fn tick(
         &mut self,
         table: &LeaseTable,
-        wants: &[Want],
+        candidacies: &[Candidacy],
         ttl_ms: u64,
         now_ms: u64,
     ) -> Vec<LeaseRecord> {
         self.watch_sessions(table, now_ms);
-        let claims = self.due_claims(table, wants, now_ms);
+        let claims = self.due_claims(table, candidacies, now_ms);
         let needs_session = table.owns_any(&self.session) || !claims.is_empty();
         let mut records = Vec::new();
         if needs_session && self.renewal_due(ttl_ms, now_ms) {
@@ -237,21 +237,26 @@
         self.seen.retain(|name, _| table.session(name).is_some());
     }
 
-    fn due_claims(&mut self, table: &LeaseTable, wants: &[Want], now_ms: u64) -> Vec<ShardClaim> {
+    fn due_claims(
+        &mut self,
+        table: &LeaseTable,
+        candidacies: &[Candidacy],
+        now_ms: u64,
+    ) -> Vec<ShardClaim> {
         let mut claims = Vec::new();
-        for want in wants {
-            let Some(claim) = self.claim_if_free(table, &want.shard, now_ms) else {
-                self.free_since_ms.remove(&want.shard);
+        for candidacy in candidacies {
+            let Some(claim) = self.claim_if_free(table, &candidacy.shard, now_ms) else {
+                self.free_since_ms.remove(&candidacy.shard);
                 continue;
             };
             let free_since_ms = *self
                 .free_since_ms
-                .get_or_insert_with(want.shard.clone(), || now_ms);
-            let asked = self.claimed_at_ms.get(&want.shard);
+                .get_or_insert_with(candidacy.shard.clone(), || now_ms);
+            let asked = self.claimed_at_ms.get(&candidacy.shard);
             if asked.is_some_and(|asked_ms| now_ms < asked_ms + CLAIM_RETRY_MS) {
                 continue;
             }
-            if now_ms >= free_since_ms + want.rank * CANDIDATE_STAGGER_MS {
+            if now_ms >= free_since_ms + candidacy.rank * CANDIDATE_STAGGER_MS {
                 claims.push(claim);
             }
         }
--- a/crates/borageshore_lease/src/lib.rs
+++ b/crates/borageshore_lease/src/lib.rs
@@ -14,6 +14,6 @@
 mod table;
 
 pub use self::{
-    agent::{LeaseAgent, Want, margin_ms, wants_of},
+    agent::{Candidacy, LeaseAgent, candidacies_of, margin_ms},
     table::{LeaseRecord, LeaseSnapshot, LeaseTable, Session, Shard, ShardClaim},
 };
--- a/crates/borageshore_scenarios/src/member.rs
+++ b/crates/borageshore_scenarios/src/member.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use borageshore_lease::{LeaseAgent, LeaseRecord, LeaseTable, Want};
+use borageshore_lease::{Candidacy, LeaseAgent, LeaseRecord, LeaseTable};
 use borageshore_log::{Fold, Follower, Proposer, ProposerAction};
 use borageshore_rollout::{JobController, Ledger, LedgerRecord};
 use borageshore_routing::KeyTable;
@@ -163,12 +163,15 @@
     }
 
     fn tick_leases(&mut self, now_ms: u64) {
-        let wants = [Want {
+        let candidacies = [Candidacy {
             shard: shard_of_job(),
             rank: self.rank,
         }];
         let table = self.leases.follower.fold();
-        for record in self.agent.tick(table, &wants, self.lease_ttl_ms, now_ms) {
+        for record in self
+            .agent
+            .tick(table, &candidacies, self.lease_ttl_ms, now_ms)
+        {
             let is_renewal = matches!(record, LeaseRecord::Renew { .. });
             let sequence = self.leases.proposer.propose(record);
             if is_renewal {
