--- a/crates/borageshore_lease/src/agent.rs
+++ b/crates/borageshore_lease/src/agent.rs
@@ -56,7 +56,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct SeenRenewal {
+struct ObservedRenewal {
     offset: u64,
     seen_at_ms: u64,
 }
@@ -70,12 +70,12 @@
 pub struct LeaseAgent {
     session: Arc<str>,
     valid_until_ms: u64,
-    sent: VecDeque<(u64, u64)>,
+    sent_renewals: VecDeque<(u64, u64)>,
     last_sent_ms: Option<u64>,
-    seen: SortedMap<Arc<str>, SeenRenewal>,
+    observed_renewals: SortedMap<Arc<str>, ObservedRenewal>,
     claimed_at_ms: SortedMap<Arc<str>, u64>,
     free_since_ms: SortedMap<Arc<str>, u64>,
-    contact_ms: Option<u64>,
+    last_contact_ms: Option<u64>,
 }
 
 impl LeaseAgent {
@@ -84,12 +84,12 @@
         Self {
             session,
             valid_until_ms: 0,
-            sent: VecDeque::new(),
+            sent_renewals: VecDeque::new(),
             last_sent_ms: None,
-            seen: SortedMap::default(),
+            observed_renewals: SortedMap::default(),
             claimed_at_ms: SortedMap::default(),
             free_since_ms: SortedMap::default(),
-            contact_ms: None,
+            last_contact_ms: None,
         }
     }
 
@@ -99,13 +99,13 @@
     /// meanwhile, and whoever had waited would claim first. The wait for a renewal counts only while
     /// there is contact, so after a gap every holder gets its whole time again.
     pub fn on_contact(&mut self, heard_at_ms: u64) {
-        let last_ms = self.contact_ms.unwrap_or(heard_at_ms);
-        if heard_at_ms > last_ms + CONTACT_GAP_MS {
-            for (_, seen) in self.seen.iter_mut() {
+        let previous_ms = self.last_contact_ms.unwrap_or(heard_at_ms);
+        if heard_at_ms > previous_ms + CONTACT_GAP_MS {
+            for (_, seen) in self.observed_renewals.iter_mut() {
                 seen.seen_at_ms = seen.seen_at_ms.max(heard_at_ms);
             }
         }
-        self.contact_ms = Some(last_ms.max(heard_at_ms));
+        self.last_contact_ms = Some(previous_ms.max(heard_at_ms));
     }
 
     /// The session's name.
@@ -129,7 +129,7 @@
 
     /// Notes that a renewal was handed to the proposer under `sequence` at `now_ms`.
     pub fn on_renewal_sent(&mut self, sequence: u64, now_ms: u64) {
-        self.sent.push_back((sequence, now_ms));
+        self.sent_renewals.push_back((sequence, now_ms));
         self.last_sent_ms = Some(now_ms);
     }
 
@@ -156,9 +156,9 @@
         offset: u64,
         now_ms: u64,
     ) {
-        self.seen.insert(
+        self.observed_renewals.insert(
             session.clone(),
-            SeenRenewal {
+            ObservedRenewal {
                 offset,
                 seen_at_ms: now_ms,
             },
@@ -166,11 +166,11 @@
         if *session != self.session {
             return;
         }
-        while let Some((sent_sequence, sent_at_ms)) = self.sent.front().copied() {
+        while let Some((sent_sequence, sent_at_ms)) = self.sent_renewals.front().copied() {
             if sent_sequence > sequence {
                 break;
             }
-            self.sent.pop_front();
+            self.sent_renewals.pop_front();
             if sent_sequence == sequence {
                 let until_ms = sent_at_ms + ttl_ms.saturating_sub(margin_ms(ttl_ms));
                 self.valid_until_ms = self.valid_until_ms.max(until_ms);
@@ -186,7 +186,7 @@
         ttl_ms: u64,
         now_ms: u64,
     ) -> Vec<LeaseRecord> {
-        self.watch_sessions(table, now_ms);
+        self.track_sessions(table, now_ms);
         let claims = self.due_claims(table, candidacies, now_ms);
         let needs_session = table.owns_any(&self.session) || !claims.is_empty();
         let mut records = Vec::new();
@@ -217,24 +217,25 @@
     }
 
     /// Starts the clock of sessions that came with a snapshot, whose renewals were never seen.
-    fn watch_sessions(&mut self, table: &LeaseTable, now_ms: u64) {
+    fn track_sessions(&mut self, table: &LeaseTable, now_ms: u64) {
         for (name, session) in table.sessions() {
             let offset = session.renewed_offset;
             let known = self
-                .seen
+                .observed_renewals
                 .get(name)
                 .is_some_and(|seen| seen.offset >= offset);
             if !known {
-                self.seen.insert(
+                self.observed_renewals.insert(
                     name.clone(),
-                    SeenRenewal {
+                    ObservedRenewal {
                         offset,
                         seen_at_ms: now_ms,
                     },
                 );
             }
         }
-        self.seen.retain(|name, _| table.session(name).is_some());
+        self.observed_renewals
+            .retain(|name, _| table.session(name).is_some());
     }
 
     fn due_claims(
@@ -252,8 +253,8 @@
             let free_since_ms = *self
                 .free_since_ms
                 .get_or_insert_with(candidacy.shard.clone(), || now_ms);
-            let asked = self.claimed_at_ms.get(&candidacy.shard);
-            if asked.is_some_and(|asked_ms| now_ms < asked_ms + CLAIM_RETRY_MS) {
+            let last_claim = self.claimed_at_ms.get(&candidacy.shard);
+            if last_claim.is_some_and(|claimed_ms| now_ms < claimed_ms + CLAIM_RETRY_MS) {
                 continue;
             }
             if now_ms >= free_since_ms + candidacy.rank * CANDIDATE_STAGGER_MS {
@@ -286,7 +287,7 @@
         if *owner == self.session {
             return None;
         }
-        let seen = self.seen.get(owner)?;
+        let seen = self.observed_renewals.get(owner)?;
         let expires_at_ms = seen.seen_at_ms + session.ttl_ms + margin_ms(session.ttl_ms);
         let observed_renewal = Some(seen.offset);
         (now_ms >= expires_at_ms).then_some(ShardClaim {
--- a/crates/borageshore_lease/src/table.rs
+++ b/crates/borageshore_lease/src/table.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 /// How long a session without shards is remembered, by the log's clock.
-const IDLE_SESSION_MEMORY_MS: u64 = 600_000;
+const IDLE_SESSION_RETENTION_MS: u64 = 600_000;
 
 /// A wish to own one shard, with what the claimant had seen of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -118,14 +118,14 @@
             renewed_at_ms: at_ms,
         };
         if self.sessions.insert(session.clone(), renewed).is_none() {
-            self.forget_idle_sessions(at_ms);
+            self.evict_idle_sessions(at_ms);
         }
     }
 
-    fn forget_idle_sessions(&mut self, at_ms: u64) {
+    fn evict_idle_sessions(&mut self, at_ms: u64) {
         let shards = &self.shards;
         self.sessions.retain(|name, session| {
-            session.renewed_at_ms + IDLE_SESSION_MEMORY_MS >= at_ms
+            session.renewed_at_ms + IDLE_SESSION_RETENTION_MS >= at_ms
                 || shards
                     .values()
                     .any(|shard| shard.owner.as_ref() == Some(name))
