--- a/crates/borageshore_membership/src/lib.rs
+++ b/crates/borageshore_membership/src/lib.rs
@@ -30,7 +30,7 @@
 mod members;
 mod presence;
 mod relay;
-mod store_way;
+mod store_failover;
 mod watch;
 
 pub use self::{
@@ -38,7 +38,7 @@
     members::{Health, Membership, TICK_MS},
     presence::{Presence, PresenceState, PresenceTable, REFUTED_WITHIN_MS},
     relay::{RelaySource, relay_source},
-    store_way::{CallEnd, PROBE_EVERY_MS, StoreWay, Way},
+    store_failover::{CallEnd, PROBE_EVERY_MS, StoreWay, Way},
     watch::{
         HEARTBEAT_EVERY_MS, SEES_WITHIN_MS, SPEAKS_WITHIN_MS, Suspicion, WatchRing, WatchTable,
     },
