--- a/crates/borageshore_gateway/src/members/writing.rs
+++ b/crates/borageshore_gateway/src/members/writing.rs
@@ -2,7 +2,7 @@
 
 use std::{rc::Rc, sync::Arc};
 
-use borageshore_membership::{PROBE_EVERY_MS, Suspicion};
+use borageshore_membership::{PROBE_INTERVAL_MS, Suspicion};
 use borageshore_net::within_ms;
 use borageshore_platform::{StoreError, Topic};
 use bytes::Bytes;
@@ -27,7 +27,7 @@
             let pause_ms = self.table.borrow().pause_ms();
             let pause_ms = match &written {
                 // This record is also what tries out a closed way to the store.
-                Ok(_) if self.store_path.is_detour() => pause_ms.min(PROBE_EVERY_MS),
+                Ok(_) if self.store_path.is_detour() => pause_ms.min(PROBE_INTERVAL_MS),
                 Ok(_) => pause_ms,
                 Err(_) => WRITE_AGAIN_MS,
             };
--- a/crates/borageshore_gateway/src/store_path.rs
+++ b/crates/borageshore_gateway/src/store_path.rs
@@ -8,7 +8,7 @@
     sync::Arc,
 };
 
-use borageshore_membership::{CallEnd, StoreWay, Way};
+use borageshore_membership::{StoreCallOutcome, StoreFailover, StoreRoute};
 use borageshore_net::{CallError, Clock, EdgeRequest, EdgeResponse, Handler, full_body, read_body};
 use borageshore_platform::{StoreCall, StoreConnections, StoreTransport, is_store_answer};
 use bytes::Bytes;
@@ -47,7 +47,7 @@
     clock: Clock,
     connections: StoreConnections,
     has_detour: bool,
-    way: RefCell<StoreWay>,
+    way: RefCell<StoreFailover>,
     peers: RefCell<Vec<Arc<str>>>,
     next_peer: Cell<usize>,
     /// When the store last answered, on either way.
@@ -88,7 +88,7 @@
 
     /// Says whether calls go through peers.
     pub(crate) fn is_detour(&self) -> bool {
-        self.inner.way.borrow().is_closed()
+        self.inner.way.borrow().uses_peers()
     }
 
     /// Makes a call on this daemon's own way.
@@ -98,7 +98,7 @@
         let is_open = inner
             .way
             .borrow_mut()
-            .on_own(is_answered(&answer), inner.clock.now_ms());
+            .on_direct_result(is_answered(&answer), inner.clock.now_ms());
         if is_open {
             log::info!("this daemon's own way to the store is open again");
         }
@@ -120,7 +120,7 @@
                 return Some(answer);
             }
             self.inner.next_peer.set(number + 1);
-            let may_go_on = end_of(&answer).may_go_on(call.is_idempotent);
+            let may_go_on = end_of(&answer).may_try_other_route(call.is_idempotent);
             failed = Some(worse(answer, failed));
             if !may_go_on {
                 break;
@@ -132,7 +132,7 @@
     fn note_peer(&self, answer: Option<&Answer>) {
         let is_ours = answer.is_some_and(is_answered);
         let now_ms = self.inner.clock.now_ms();
-        if self.inner.way.borrow_mut().on_peer(is_ours, now_ms) {
+        if self.inner.way.borrow_mut().on_peer_result(is_ours, now_ms) {
             log::warn!("the store does not answer this daemon, peers pass its calls on");
             self.inner.closed.notify_waiters();
         }
@@ -156,11 +156,11 @@
         };
         let is_in_doubt = {
             let way = self.inner.way.borrow();
-            way.is_closed() || way.may_ask_peers(self.inner.clock.now_ms())
+            way.uses_peers() || way.may_ask_peers(self.inner.clock.now_ms())
         };
         let is_cut = call.is_append() && matches!(answer, Err(CallError::Broken(_)));
         let may_ask = has_peers && (is_in_doubt || is_cut);
-        if !may_ask || !end_of(&answer).may_go_on(call.is_idempotent) {
+        if !may_ask || !end_of(&answer).may_try_other_route(call.is_idempotent) {
             return answer;
         }
         let by_peer = self.call_by_peer(call).await;
@@ -176,7 +176,7 @@
     async fn call_by_peer_first(&self, call: &StoreCall) -> Answer {
         let by_peer = self.call_by_peer(call).await;
         match by_peer {
-            Some(answer) if !end_of(&answer).may_go_on(call.is_idempotent) => answer,
+            Some(answer) if !end_of(&answer).may_try_other_route(call.is_idempotent) => answer,
             by_peer => {
                 self.note_peer(by_peer.as_ref());
                 let own = self.call_own(call).await;
@@ -190,10 +190,10 @@
     async fn call(&self, call: StoreCall) -> Answer {
         let now_ms = self.inner.clock.now_ms();
         let may_probe = call.is_append() && call.is_idempotent;
-        let way = self.inner.way.borrow_mut().next(may_probe, now_ms);
+        let way = self.inner.way.borrow_mut().next_route(may_probe, now_ms);
         let answer = match way {
-            Way::Own => self.call_own_first(&call).await,
-            Way::Peer => self.call_by_peer_first(&call).await,
+            StoreRoute::Direct => self.call_own_first(&call).await,
+            StoreRoute::Peer => self.call_by_peer_first(&call).await,
         };
         if is_answered(&answer) {
             self.inner.answered_at_ms.set(self.inner.clock.now_ms());
@@ -203,17 +203,17 @@
 }
 
 fn is_answered(answer: &Answer) -> bool {
-    end_of(answer) == CallEnd::Answered
+    end_of(answer) == StoreCallOutcome::Answered
 }
 
-fn end_of(answer: &Answer) -> CallEnd {
+fn end_of(answer: &Answer) -> StoreCallOutcome {
     match answer {
-        Ok((status, _)) if is_store_answer(*status) => CallEnd::Answered,
+        Ok((status, _)) if is_store_answer(*status) => StoreCallOutcome::Answered,
         Ok((StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE, _)) => {
-            CallEnd::Refused
+            StoreCallOutcome::Refused
         }
-        Err(CallError::NotSent(_)) => CallEnd::Refused,
-        Ok(_) | Err(CallError::NoAnswer(_) | CallError::Broken(_)) => CallEnd::Lost,
+        Err(CallError::NotSent(_)) => StoreCallOutcome::Refused,
+        Ok(_) | Err(CallError::NoAnswer(_) | CallError::Broken(_)) => StoreCallOutcome::Unknown,
     }
 }
 
@@ -221,7 +221,7 @@
 /// not undone by the other's refusal.
 fn worse(one: Answer, other: Option<Answer>) -> Answer {
     match other {
-        Some(other) if end_of(&other).leaves_more_open_than(end_of(&one)) => other,
+        Some(other) if end_of(&other).takes_precedence_over(end_of(&one)) => other,
         _ => one,
     }
 }
--- a/crates/borageshore_membership/src/lib.rs
+++ b/crates/borageshore_membership/src/lib.rs
@@ -38,7 +38,7 @@
     members::{Health, Membership, TICK_MS},
     presence::{Presence, PresenceState, PresenceTable, REFUTED_WITHIN_MS},
     relay::{RelaySource, relay_source},
-    store_failover::{CallEnd, PROBE_EVERY_MS, StoreWay, Way},
+    store_failover::{PROBE_INTERVAL_MS, StoreCallOutcome, StoreFailover, StoreRoute},
     watch::{
         HEARTBEAT_EVERY_MS, SEES_WITHIN_MS, SPEAKS_WITHIN_MS, Suspicion, WatchRing, WatchTable,
     },
--- a/crates/borageshore_membership/src/store_failover.rs
+++ b/crates/borageshore_membership/src/store_failover.rs
@@ -2,7 +2,7 @@
 
 /// While the own way is closed, it is tried again at this pace, by calls that can be repeated: each such
 /// try costs one call up to its time limit.
-pub const PROBE_EVERY_MS: u64 = 2_000;
+pub const PROBE_INTERVAL_MS: u64 = 2_000;
 /// A daemon helps its peers as long as its own last success is no older: its long polls answer every
 /// 1.2 s at the latest.
 const REACHES_WITHIN_MS: u64 = 1_500;
@@ -15,35 +15,35 @@
 
 /// A way to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Way {
+pub enum StoreRoute {
     /// This daemon's own.
-    Own,
+    Direct,
     /// Through a peer.
     Peer,
 }
 
 /// How a call to the store ended on one way; the later ones leave more open, or more done.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum CallEnd {
+pub enum StoreCallOutcome {
     /// Nothing was done.
     Refused,
     /// It may have been done, or may be done later.
-    Lost,
+    Unknown,
     /// The store answered it.
     Answered,
 }
 
-impl CallEnd {
+impl StoreCallOutcome {
     /// Says whether the call may be made on another way.
     ///
     /// Guards the positions of results: each is listed under a key of its own, and of two records under one
     /// key the store keeps the later. A result that was given to a second way after a lost answer stood at
     /// one position for readers of before and at another for those that start later.
-    pub fn may_go_on(self, is_idempotent: bool) -> bool {
+    pub fn may_try_other_route(self, is_idempotent: bool) -> bool {
         match self {
-            CallEnd::Answered => false,
-            CallEnd::Refused => true,
-            CallEnd::Lost => is_idempotent,
+            StoreCallOutcome::Answered => false,
+            StoreCallOutcome::Refused => true,
+            StoreCallOutcome::Unknown => is_idempotent,
         }
     }
 
@@ -51,7 +51,7 @@
     ///
     /// Guards the promise of a refusal: of a submission that the store refused on one way and that was lost on
     /// another, it must not be said that nothing of it runs.
-    pub fn leaves_more_open_than(self, other: Self) -> bool {
+    pub fn takes_precedence_over(self, other: Self) -> bool {
         self > other
     }
 }
@@ -62,31 +62,31 @@
 /// its results waited until the cut was over, or were made again by a successor after 2 s of silence. A
 /// store that nobody reaches shows by a peer's refusal; then no call takes the longer way.
 #[derive(Debug, Default)]
-pub struct StoreWay {
+pub struct StoreFailover {
     /// Whether the own way is closed and a peer's is open.
-    is_closed: bool,
+    uses_peers: bool,
     probed_at_ms: u64,
     last_success_ms: Option<u64>,
     /// Calls that failed on the own way since one was answered.
     failures: u32,
 }
 
-impl StoreWay {
+impl StoreFailover {
     /// The way of the next call; `may_probe` says whether it may try out a closed one.
-    pub fn next(&mut self, may_probe: bool, now_ms: u64) -> Way {
-        if !self.is_closed {
-            return Way::Own;
+    pub fn next_route(&mut self, may_probe: bool, now_ms: u64) -> StoreRoute {
+        if !self.uses_peers {
+            return StoreRoute::Direct;
         }
-        if may_probe && now_ms >= self.probed_at_ms + PROBE_EVERY_MS {
+        if may_probe && now_ms >= self.probed_at_ms + PROBE_INTERVAL_MS {
             self.probed_at_ms = now_ms;
-            return Way::Own;
+            return StoreRoute::Direct;
         }
-        Way::Peer
+        StoreRoute::Peer
     }
 
     /// Says whether calls go through a peer.
-    pub fn is_closed(&self) -> bool {
-        self.is_closed
+    pub fn uses_peers(&self) -> bool {
+        self.uses_peers
     }
 
     /// Says whether this daemon can pass on the calls of peers.
@@ -105,26 +105,26 @@
     }
 
     /// Takes over what came of a call on the own way; says whether that opened it.
-    pub fn on_own(&mut self, is_answered: bool, now_ms: u64) -> bool {
+    pub fn on_direct_result(&mut self, is_answered: bool, now_ms: u64) -> bool {
         if !is_answered {
             self.failures += 1;
             return false;
         }
         self.failures = 0;
         self.last_success_ms = Some(now_ms);
-        std::mem::take(&mut self.is_closed)
+        std::mem::take(&mut self.uses_peers)
     }
 
     /// Takes over what came of a call through a peer; says whether that closed the own way.
-    pub fn on_peer(&mut self, is_answered: bool, now_ms: u64) -> bool {
+    pub fn on_peer_result(&mut self, is_answered: bool, now_ms: u64) -> bool {
         if !is_answered {
-            self.is_closed = false;
+            self.uses_peers = false;
             return false;
         }
-        if self.is_closed {
+        if self.uses_peers {
             return false;
         }
-        self.is_closed = true;
+        self.uses_peers = true;
         self.probed_at_ms = now_ms;
         true
     }
--- a/crates/borageshore_membership/tests/store_failover.rs
+++ b/crates/borageshore_membership/tests/store_failover.rs
@@ -1,6 +1,6 @@
 //! The way to the store.
 
-use borageshore_membership::{CallEnd, StoreWay, Way};
+use borageshore_membership::{StoreCallOutcome, StoreFailover, StoreRoute};
 
 macro_rules! cases {
     ($($name:ident => $body:block)*) => {
@@ -10,84 +10,84 @@
 
 cases! {
     the_own_way_is_taken_as_long_as_it_is_open => {
-        let mut way = StoreWay::default();
-        assert_eq!(way.next(false, 0), Way::Own);
-        way.on_own(true, 10);
-        assert_eq!(way.next(true, 20), Way::Own);
+        let mut failover = StoreFailover::default();
+        assert_eq!(failover.next_route(false, 0), StoreRoute::Direct);
+        failover.on_direct_result(true, 10);
+        assert_eq!(failover.next_route(true, 20), StoreRoute::Direct);
     }
 
     // A step waits for the end of a cut, though eleven other daemons reach the store.
     a_peer_that_reaches_the_store_closes_the_own_way => {
-        let mut way = StoreWay::default();
-        way.on_own(false, 600);
-        assert!(way.on_peer(true, 610), "told once");
-        assert!(!way.on_peer(true, 700));
-        assert_eq!(way.next(false, 5_000), Way::Peer);
+        let mut failover = StoreFailover::default();
+        failover.on_direct_result(false, 600);
+        assert!(failover.on_peer_result(true, 610), "told once");
+        assert!(!failover.on_peer_result(true, 700));
+        assert_eq!(failover.next_route(false, 5_000), StoreRoute::Peer);
     }
 
     a_closed_way_is_tried_by_calls_that_may_every_two_seconds => {
-        let mut way = StoreWay::default();
-        way.on_own(false, 0);
-        way.on_peer(true, 0);
-        assert_eq!(way.next(true, 1_999), Way::Peer);
-        assert_eq!(way.next(true, 2_000), Way::Own);
-        assert_eq!(way.next(true, 2_001), Way::Peer);
-        assert!(way.on_own(true, 2_100), "told once");
-        assert_eq!(way.next(false, 2_101), Way::Own);
+        let mut failover = StoreFailover::default();
+        failover.on_direct_result(false, 0);
+        failover.on_peer_result(true, 0);
+        assert_eq!(failover.next_route(true, 1_999), StoreRoute::Peer);
+        assert_eq!(failover.next_route(true, 2_000), StoreRoute::Direct);
+        assert_eq!(failover.next_route(true, 2_001), StoreRoute::Peer);
+        assert!(failover.on_direct_result(true, 2_100), "told once");
+        assert_eq!(failover.next_route(false, 2_101), StoreRoute::Direct);
     }
 
     // Each daemon asks each other one while the store is down for all.
     // All daemons start at the same time, and the store turns some calls of all of them away.
     // Each gave such a call to a peer, and the store stayed at its limit for 10 s.
     a_store_that_answers_now_and_then_is_left_alone => {
-        let mut way = StoreWay::default();
-        way.on_own(false, 100);
-        way.on_own(false, 200);
-        assert!(!way.may_ask_peers(900), "it never answered, as after a start");
-        way.on_own(true, 1_000);
-        way.on_own(false, 1_100);
-        assert!(!way.may_ask_peers(1_700), "one call failed");
-        way.on_own(false, 1_200);
-        assert!(!way.may_ask_peers(1_599), "it answered half a second ago");
-        assert!(way.may_ask_peers(1_600));
-        way.on_own(true, 1_610);
-        assert!(!way.may_ask_peers(3_000));
+        let mut failover = StoreFailover::default();
+        failover.on_direct_result(false, 100);
+        failover.on_direct_result(false, 200);
+        assert!(!failover.may_ask_peers(900), "it never answered, as after a start");
+        failover.on_direct_result(true, 1_000);
+        failover.on_direct_result(false, 1_100);
+        assert!(!failover.may_ask_peers(1_700), "one call failed");
+        failover.on_direct_result(false, 1_200);
+        assert!(!failover.may_ask_peers(1_599), "it answered half a second ago");
+        assert!(failover.may_ask_peers(1_600));
+        failover.on_direct_result(true, 1_610);
+        assert!(!failover.may_ask_peers(3_000));
     }
 
     nobody_goes_through_peers_while_the_store_is_down_for_all => {
-        let mut way = StoreWay::default();
-        way.on_own(false, 0);
-        way.on_peer(false, 10);
-        assert_eq!(way.next(false, 20), Way::Own);
-        assert!(!way.reaches_store(20));
+        let mut failover = StoreFailover::default();
+        failover.on_direct_result(false, 0);
+        failover.on_peer_result(false, 10);
+        assert_eq!(failover.next_route(false, 20), StoreRoute::Direct);
+        assert!(!failover.reaches_store(20));
     }
 
     // A trainer reads an item at one position and later at another.
     // The answer to the append of its result was lost; it was given to a peer as well, under the same key,
     // and took the later place for readers that started after it.
     a_lost_call_that_must_not_be_done_twice_goes_no_other_way => {
-        assert!(!CallEnd::Lost.may_go_on(false));
-        assert!(CallEnd::Lost.may_go_on(true));
-        assert!(CallEnd::Refused.may_go_on(false));
-        assert!(!CallEnd::Answered.may_go_on(true));
+        assert!(!StoreCallOutcome::Unknown.may_try_other_route(false));
+        assert!(StoreCallOutcome::Unknown.may_try_other_route(true));
+        assert!(StoreCallOutcome::Refused.may_try_other_route(false));
+        assert!(!StoreCallOutcome::Answered.may_try_other_route(true));
     }
 
     // A trainer is told that nothing of its submission runs, and it runs.
     // The store refused it on one way; the peer that it was given to got no answer, and it was accepted.
     what_may_have_been_done_is_not_undone_by_a_refusal => {
-        assert!(CallEnd::Lost.leaves_more_open_than(CallEnd::Refused));
-        assert!(!CallEnd::Refused.leaves_more_open_than(CallEnd::Lost));
-        assert!(CallEnd::Answered.leaves_more_open_than(CallEnd::Lost));
+        assert!(StoreCallOutcome::Unknown.takes_precedence_over(StoreCallOutcome::Refused));
+        assert!(!StoreCallOutcome::Refused.takes_precedence_over(StoreCallOutcome::Unknown));
+        assert!(StoreCallOutcome::Answered.takes_precedence_over(StoreCallOutcome::Unknown));
     }
 
     a_daemon_helps_only_while_it_reaches_the_store_itself => {
-        let mut way = StoreWay::default();
-        assert!(!way.reaches_store(0), "nothing is known yet");
-        way.on_own(true, 100);
-        assert!(way.reaches_store(1_500));
-        assert!(!way.reaches_store(1_700), "the last success is old");
-        way.on_own(true, 2_000);
-        way.on_own(false, 2_100);
-        assert!(!way.reaches_store(2_100));
+        let mut failover = StoreFailover::default();
+        assert!(!failover.reaches_store(0), "nothing is known yet");
+        failover.on_direct_result(true, 100);
+        assert!(failover.reaches_store(1_500));
+        assert!(!failover.reaches_store(1_700), "the last success is old");
+        failover.on_direct_result(true, 2_000);
+        failover.on_direct_result(false, 2_100);
+        assert!(!failover.reaches_store(2_100));
     }
 }
