--- a/crates/borageshore_daemon/src/gossip.rs
+++ b/crates/borageshore_daemon/src/gossip.rs
@@ -45,7 +45,7 @@
 /// Tells the zone of a change of this daemon's own state at once.
 pub(crate) async fn announce(daemon: &Rc<Daemon>, socket: &Rc<UdpSocket>) {
     let key = blake3::derive_key(KEY_CONTEXT, daemon.config.peer_token.as_bytes());
-    let messages = daemon.membership.borrow().farewell(daemon.now_ms());
+    let messages = daemon.membership.borrow().final_messages(daemon.now_ms());
     send_all(daemon, socket, &key, messages).await;
 }
 
--- a/crates/borageshore_gateway/src/members/mod.rs
+++ b/crates/borageshore_gateway/src/members/mod.rs
@@ -10,8 +10,8 @@
 
 use borageshore_base::rank_by_rendezvous;
 use borageshore_membership::{
-    Presence, PresenceState, PresenceTable, REFUTED_WITHIN_MS, SEES_WITHIN_MS, SPEAKS_WITHIN_MS,
-    Suspicion, WatchRing, WatchTable,
+    HEARTBEAT_LOG_TIMEOUT_MS, Presence, PresenceState, PresenceTable, SUSPICION_TIMEOUT_MS,
+    Suspicion, WATCHER_LOG_TIMEOUT_MS, WatchRing, WatchTable,
 };
 use borageshore_net::{Clock, sleep_ms};
 use borageshore_platform::KeyedRecord;
@@ -76,7 +76,7 @@
     pub(crate) async fn note_deaths(self: Rc<Self>) {
         loop {
             self.suspected.notified().await;
-            sleep_ms(REFUTED_WITHIN_MS).await;
+            sleep_ms(SUSPICION_TIMEOUT_MS).await;
             self.advance();
         }
     }
@@ -109,13 +109,13 @@
         if known.as_of_changes != Some(table.changes()) {
             known.ring = WatchRing::of(table.live());
             known.as_of_changes = Some(table.changes());
-            watch.watch(known.ring.watched_by(&own_name), now_ms);
+            watch.set_watched(known.ring.watched_by(&own_name), now_ms);
         }
         let store_silent_ms = self.store_path.silent_ms();
-        let silent = match store_silent_ms < SEES_WITHIN_MS {
+        let silent = match store_silent_ms < WATCHER_LOG_TIMEOUT_MS {
             true => watch.take_silent(now_ms),
             false => {
-                watch.on_blind(now_ms);
+                watch.on_log_unreachable(now_ms);
                 Vec::new()
             }
         };
@@ -127,7 +127,7 @@
             })
         };
         Look {
-            watchers: match store_silent_ms < SPEAKS_WITHIN_MS {
+            watchers: match store_silent_ms < HEARTBEAT_LOG_TIMEOUT_MS {
                 true => known.ring.watchers_of(&own_name),
                 false => Vec::new(),
             },
@@ -231,7 +231,7 @@
         let own_name = self.own_name();
         let table = self.table.borrow();
         let turn = self.clock.now_ms().to_string();
-        let others = table.able().filter(|name| *name != &*own_name);
+        let others = table.eligible().filter(|name| *name != &*own_name);
         let ranked = rank_by_rendezvous(&turn, others);
         let chosen = ranked.into_iter().take(count);
         chosen.filter_map(|name| table.address_of(name)).collect()
@@ -253,7 +253,7 @@
 
     /// The names of the daemons that take work of others.
     pub(crate) fn able_names(&self) -> Vec<Arc<str>> {
-        self.table.borrow().able().map(Into::into).collect()
+        self.table.borrow().eligible().map(Into::into).collect()
     }
 
     /// The addresses for a caller of a zone.
--- a/crates/borageshore_gateway/src/members/writing.rs
+++ b/crates/borageshore_gateway/src/members/writing.rs
@@ -24,7 +24,7 @@
             let written = store
                 .append(Topic::Members, ONLY_PARTITION, &record, None)
                 .await;
-            let pause_ms = self.table.borrow().pause_ms();
+            let pause_ms = self.table.borrow().record_interval_ms();
             let pause_ms = match &written {
                 // This record is also what tries out a closed way to the store.
                 Ok(_) if self.store_path.is_detour() => pause_ms.min(PROBE_INTERVAL_MS),
@@ -60,7 +60,7 @@
                 let now_ms = self.clock.now_ms();
                 let mut watch = self.watch.borrow_mut();
                 for name in names {
-                    watch.on_not_written(name, now_ms);
+                    watch.on_suspicion_not_written(name, now_ms);
                 }
             }
         }
@@ -71,7 +71,7 @@
     /// Guards against a start that reads all VMs of a year: the store keeps the newest record of each for good,
     /// and thousands are replaced a day.
     pub(crate) async fn forget_dead(&self, store: &Store) -> Result<(), StoreError> {
-        let forgotten = self.table.borrow().forgotten();
+        let forgotten = self.table.borrow().expired();
         let keys = forgotten
             .iter()
             .flat_map(|name| [name.clone(), format!("{SUSPICION_PREFIX}{name}").into()]);
--- a/crates/borageshore_gateway/src/watch.rs
+++ b/crates/borageshore_gateway/src/watch.rs
@@ -2,7 +2,7 @@
 
 use std::{io, net::SocketAddr, rc::Rc, sync::Arc};
 
-use borageshore_membership::HEARTBEAT_EVERY_MS;
+use borageshore_membership::HEARTBEAT_INTERVAL_MS;
 use borageshore_net::sleep_ms;
 use borageshore_wire::{WireHeartbeat, decode, encode};
 use monoio::net::udp::UdpSocket;
@@ -48,7 +48,7 @@
                     async move { watch.members.suspect(&watch.store, &look.silent).await },
                 );
             }
-            sleep_ms(HEARTBEAT_EVERY_MS).await;
+            sleep_ms(HEARTBEAT_INTERVAL_MS).await;
         }
     }
 
--- a/crates/borageshore_membership/src/gossip.rs
+++ b/crates/borageshore_membership/src/gossip.rs
@@ -29,7 +29,7 @@
     }
 
     /// A message for everybody at once, for the last words of a daemon that stops.
-    pub fn farewell(&self, now_ms: u64) -> Vec<(Arc<str>, GossipMessage)> {
+    pub fn final_messages(&self, now_ms: u64) -> Vec<(Arc<str>, GossipMessage)> {
         let zone = &self.own.zone;
         let peers = self
             .entries(now_ms)
--- a/crates/borageshore_membership/src/lib.rs
+++ b/crates/borageshore_membership/src/lib.rs
@@ -36,10 +36,11 @@
 pub use self::{
     entry::{GossipMessage, Heartbeat, MemberEntry, MemberState},
     members::{Health, Membership, TICK_MS},
-    presence::{Presence, PresenceState, PresenceTable, REFUTED_WITHIN_MS},
+    presence::{Presence, PresenceState, PresenceTable, SUSPICION_TIMEOUT_MS},
     relay::{RelaySource, relay_source},
     store_failover::{PROBE_INTERVAL_MS, StoreCallOutcome, StoreFailover, StoreRoute},
     watch::{
-        HEARTBEAT_EVERY_MS, SEES_WITHIN_MS, SPEAKS_WITHIN_MS, Suspicion, WatchRing, WatchTable,
+        HEARTBEAT_INTERVAL_MS, HEARTBEAT_LOG_TIMEOUT_MS, Suspicion, WATCHER_LOG_TIMEOUT_MS,
+        WatchRing, WatchTable,
     },
 };
--- a/crates/borageshore_membership/src/presence.rs
+++ b/crates/borageshore_membership/src/presence.rs
@@ -21,7 +21,7 @@
 const CLOCK_STEP_MS: u64 = 600;
 /// A daemon that is suspected has this long to say that it lives. It reads the suspicion and writes its
 /// record within 100 ms; a false alarm then changes nothing, where work was otherwise done twice.
-pub const REFUTED_WITHIN_MS: u64 = 250;
+pub const SUSPICION_TIMEOUT_MS: u64 = 250;
 /// A daemon that has been dead for this long is forgotten with its records: a VM that was replaced does not
 /// come back, and one that does writes its record again.
 const FORGOTTEN_AFTER_MS: u64 = 60_000;
@@ -71,13 +71,13 @@
 impl Seen {
     fn is_dead(&self, now_ms: u64) -> bool {
         self.suspected_at_ms
-            .is_some_and(|at_ms| now_ms >= at_ms + REFUTED_WITHIN_MS)
+            .is_some_and(|at_ms| now_ms >= at_ms + SUSPICION_TIMEOUT_MS)
     }
 }
 
 /// The daemons by their records, and by what watchers write of them.
 ///
-/// A suspicion that is not refuted within [`REFUTED_WITHIN_MS`] is a death. Besides, silence is counted on a
+/// A suspicion that is not refuted within [`SUSPICION_TIMEOUT_MS`] is a death. Besides, silence is counted on a
 /// clock that moves only while the log is read with success, and by a bounded step for each read. While
 /// the log is away, or this process stood still, nobody ages: else the first look after an outage would
 /// declare every other daemon dead at once.
@@ -160,25 +160,25 @@
     }
 
     /// The daemons whose records may be removed, as they have been dead for long.
-    pub fn forgotten(&self) -> Vec<Arc<str>> {
+    pub fn expired(&self) -> Vec<Arc<str>> {
         let dead_after_ms = self.dead_after_ms() + FORGOTTEN_AFTER_MS;
-        let is_forgotten = |seen: &&Seen| {
+        let is_expired = |seen: &&Seen| {
             let is_long_ago = |at_ms: u64| self.now_ms >= at_ms + FORGOTTEN_AFTER_MS;
             seen.suspected_at_ms.is_some_and(is_long_ago)
                 || self.clock_ms >= seen.at_ms + dead_after_ms
         };
-        let forgotten = self.seen.values().filter(is_forgotten);
-        forgotten.map(|seen| seen.presence.name.clone()).collect()
+        let expired = self.seen.values().filter(is_expired);
+        expired.map(|seen| seen.presence.name.clone()).collect()
     }
 
     /// The pause between two records of a daemon, by the number of daemons heard of.
-    pub fn pause_ms(&self) -> u64 {
+    pub fn record_interval_ms(&self) -> u64 {
         let daemons = self.seen.len() as u64;
         LEAST_PAUSE_MS.max(daemons * daemons * PAUSE_PER_PAIR_MS)
     }
 
     fn dead_after_ms(&self) -> u64 {
-        MISSED_RECORDS * self.pause_ms() + LATE_MS
+        MISSED_RECORDS * self.record_interval_ms() + LATE_MS
     }
 
     /// The daemons that live.
@@ -207,12 +207,12 @@
         if let Some(holder) = self.holder_of(work) {
             return Some(holder);
         }
-        rank_by_rendezvous(key, self.able()).into_iter().next()
+        rank_by_rendezvous(key, self.eligible()).into_iter().next()
     }
 
     /// The names of the daemons that take work of others: those with at least half of the largest
     /// processor. A small one would run the items of a step at a fraction of the engines' pace.
-    pub fn able(&self) -> impl Iterator<Item = &str> {
+    pub fn eligible(&self) -> impl Iterator<Item = &str> {
         let largest = self.ready().map(|presence| presence.capacity_percent).max();
         let least = largest.unwrap_or(0) / 2;
         self.ready()
@@ -228,11 +228,11 @@
 
     /// Where other daemons are asked to pass on calls to the store: those that are able to, of a zone first.
     pub fn peer_addresses(&self, own_name: &str, zone: &str) -> Vec<Arc<str>> {
-        let able: Vec<&str> = self.able().collect();
+        let eligible: Vec<&str> = self.eligible().collect();
         let others = self.ready().filter(|presence| {
             &*presence.name != own_name
                 && !presence.peer_address.is_empty()
-                && able.binary_search(&&*presence.name).is_ok()
+                && eligible.binary_search(&&*presence.name).is_ok()
         });
         let (near, far): (Vec<_>, Vec<_>) = others.partition(|presence| &*presence.zone == zone);
         let all = near.into_iter().chain(far);
--- a/crates/borageshore_membership/src/watch.rs
+++ b/crates/borageshore_membership/src/watch.rs
@@ -13,7 +13,7 @@
 use crate::presence::{Presence, PresenceState};
 
 /// The pause between two heartbeats. Each costs three datagrams of some 70 bytes, 1 KB a second.
-pub const HEARTBEAT_EVERY_MS: u64 = 200;
+pub const HEARTBEAT_INTERVAL_MS: u64 = 200;
 /// How many daemons watch one. With its availability zone a daemon loses none of them, and of three two
 /// may die at the same moment without a later notice.
 const WATCHERS: usize = 3;
@@ -34,9 +34,9 @@
 
 /// A daemon that got no answer of the log for so long sends no heartbeats: it cannot keep what it makes, and its
 /// work is better off with one that can. Ways through peers are tried within 0.6 s, a slow log answers in 0.3.
-pub const SPEAKS_WITHIN_MS: u64 = 3_000;
+pub const HEARTBEAT_LOG_TIMEOUT_MS: u64 = 3_000;
 /// A watcher that got no answer of the log for so long suspects nobody: its reads are answered every 1.2 s.
-pub const SEES_WITHIN_MS: u64 = 1_500;
+pub const WATCHER_LOG_TIMEOUT_MS: u64 = 1_500;
 
 /// What a watcher writes of a daemon that has gone silent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -170,7 +170,7 @@
 
 impl WatchTable {
     /// Takes over which daemons are to be watched, each with the number of watchers before this one.
-    pub fn watch(&mut self, daemons: Vec<(Arc<str>, u64)>, now_ms: u64) {
+    pub fn set_watched(&mut self, daemons: Vec<(Arc<str>, u64)>, now_ms: u64) {
         let is_watched = |name: &Arc<str>| daemons.iter().any(|(watched, _)| watched == name);
         self.watched.retain(|name, _| is_watched(name));
         for (name, rank) in daemons {
@@ -222,7 +222,7 @@
     pub fn take_silent(&mut self, now_ms: u64) -> Vec<Arc<str>> {
         let pause_ms = now_ms.saturating_sub(self.looked_at_ms);
         self.looked_at_ms = now_ms;
-        let stalled_ms = match pause_ms > HEARTBEAT_EVERY_MS + STALL_MS {
+        let stalled_ms = match pause_ms > HEARTBEAT_INTERVAL_MS + STALL_MS {
             true => pause_ms,
             false => 0,
         };
@@ -238,10 +238,10 @@
     }
 
     /// Notes that a suspicion could not be written: it is due again after the pause of a heartbeat.
-    pub fn on_not_written(&mut self, name: &str, now_ms: u64) {
+    pub fn on_suspicion_not_written(&mut self, name: &str, now_ms: u64) {
         if let Some(watched) = self.watched.get_mut(name) {
             watched.is_suspected = false;
-            watched.due_ms = now_ms + HEARTBEAT_EVERY_MS;
+            watched.due_ms = now_ms + HEARTBEAT_INTERVAL_MS;
         }
     }
 
@@ -250,7 +250,7 @@
     ///
     /// Guards the end of an outage: daemons reach the log again within two seconds of each other, and the
     /// first ones would suspect the rest.
-    pub fn on_blind(&mut self, now_ms: u64) {
+    pub fn on_log_unreachable(&mut self, now_ms: u64) {
         self.looked_at_ms = now_ms;
         for (_, watched) in self.watched.iter_mut() {
             watched.due_ms = watched.due_ms.max(now_ms + FIRST_PATIENCE_MS);
--- a/crates/borageshore_membership/tests/detector.rs
+++ b/crates/borageshore_membership/tests/detector.rs
@@ -159,7 +159,7 @@
         zone.run(20);
         zone.daemons.get_mut("d1").unwrap().leave();
         let now_ms = zone.now_ms;
-        for (target, message) in zone.daemons.get("d1").unwrap().farewell(now_ms) {
+        for (target, message) in zone.daemons.get("d1").unwrap().final_messages(now_ms) {
             zone.daemons.get_mut(&target).unwrap().on_message(message, now_ms);
         }
         let listed = zone.daemons.get("d0").unwrap().address_list("caller", 9);
--- a/crates/borageshore_membership/tests/presence.rs
+++ b/crates/borageshore_membership/tests/presence.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use borageshore_membership::{
-    Presence, PresenceState, PresenceTable, REFUTED_WITHIN_MS, Suspicion,
+    Presence, PresenceState, PresenceTable, SUSPICION_TIMEOUT_MS, Suspicion,
 };
 
 fn presence(name: &str, zone: &str, state: PresenceState) -> Presence {
@@ -146,9 +146,9 @@
             for number in 0..daemons {
                 table.on_presence(presence(&format!("vm-{number}"), "z1", PresenceState::Ready));
             }
-            let reads_a_second = daemons * daemons * 1_000 / table.pause_ms();
+            let reads_a_second = daemons * daemons * 1_000 / table.record_interval_ms();
             assert!(reads_a_second <= 300, "{reads_a_second} at {daemons}");
-            let dead_after_ms = 3 * table.pause_ms() + 300;
+            let dead_after_ms = 3 * table.record_interval_ms() + 300;
             for at_ms in (500..dead_after_ms).step_by(500) {
                 table.on_read(at_ms);
             }
@@ -165,10 +165,10 @@
         table.advance(1_000);
         table.on_suspicion(&suspicion("vm-2", 1), 1_000);
         assert!(table.is_suspected("vm-2"));
-        assert!(!table.advance(1_000 + REFUTED_WITHIN_MS - 1));
+        assert!(!table.advance(1_000 + SUSPICION_TIMEOUT_MS - 1));
         assert_eq!(table.live().count(), 3);
-        assert!(table.advance(1_000 + REFUTED_WITHIN_MS), "told once");
-        assert!(!table.advance(1_000 + REFUTED_WITHIN_MS + 1));
+        assert!(table.advance(1_000 + SUSPICION_TIMEOUT_MS), "told once");
+        assert!(!table.advance(1_000 + SUSPICION_TIMEOUT_MS + 1));
         assert_eq!(table.live().count(), 2);
     }
 
@@ -199,9 +199,9 @@
         let mut table = three();
         table.on_suspicion(&suspicion("vm-2", 1), 1_000);
         table.advance(60_000);
-        assert!(table.forgotten().is_empty());
+        assert!(table.expired().is_empty());
         table.advance(61_000);
-        assert_eq!(table.forgotten(), ["vm-2".into()]);
+        assert_eq!(table.expired(), ["vm-2".into()]);
     }
 
     callers_get_addresses_of_their_zone_if_there_is_a_choice => {
--- a/crates/borageshore_membership/tests/watch.rs
+++ b/crates/borageshore_membership/tests/watch.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use borageshore_membership::{
-    HEARTBEAT_EVERY_MS, Presence, PresenceState, PresenceTable, SEES_WITHIN_MS, SPEAKS_WITHIN_MS,
-    Suspicion, WatchRing, WatchTable,
+    HEARTBEAT_INTERVAL_MS, HEARTBEAT_LOG_TIMEOUT_MS, Presence, PresenceState, PresenceTable,
+    Suspicion, WATCHER_LOG_TIMEOUT_MS, WatchRing, WatchTable,
 };
 
 /// The pace of the simulation.
@@ -121,7 +121,7 @@
         if turn_ms.is_multiple_of(READ_EVERY_MS) && reaches_log {
             self.read(number);
         }
-        if turn_ms.is_multiple_of(HEARTBEAT_EVERY_MS) {
+        if turn_ms.is_multiple_of(HEARTBEAT_INTERVAL_MS) {
             self.look(number);
         }
     }
@@ -148,7 +148,7 @@
             }
         }
         daemon.read_up_to = self.log.len();
-        let is_due = now_ms >= daemon.written_at_ms + daemon.table.pause_ms();
+        let is_due = now_ms >= daemon.written_at_ms + daemon.table.record_interval_ms();
         if is_suspected || is_due {
             daemon.written_at_ms = now_ms;
             daemon.refuted += usize::from(is_suspected);
@@ -164,10 +164,10 @@
             daemon.as_of_changes = Some(daemon.table.changes());
             daemon.ring = WatchRing::of(daemon.table.live());
             let watched = daemon.ring.watched_by(&daemon.own.name);
-            daemon.watch.watch(watched, now_ms);
+            daemon.watch.set_watched(watched, now_ms);
         }
         let log_silent_ms = now_ms - daemon.answered_at_ms;
-        if log_silent_ms < SEES_WITHIN_MS {
+        if log_silent_ms < WATCHER_LOG_TIMEOUT_MS {
             let silent = daemon.watch.take_silent(now_ms);
             let by = daemon.own.name.clone();
             for name in silent {
@@ -180,10 +180,10 @@
                 }));
             }
         } else {
-            daemon.watch.on_blind(now_ms);
+            daemon.watch.on_log_unreachable(now_ms);
         }
         let daemon = &self.daemons[number];
-        if log_silent_ms < SPEAKS_WITHIN_MS && daemon.state != State::Mute {
+        if log_silent_ms < HEARTBEAT_LOG_TIMEOUT_MS && daemon.state != State::Mute {
             let name = daemon.own.name.clone();
             for watcher in daemon.ring.watchers_of(&name) {
                 let watcher = &mut self.daemons[watcher.parse::<usize>().unwrap()];
@@ -321,7 +321,7 @@
     a_daemon_that_cannot_reach_the_log_is_taken_for_dead => {
         let mut world = World::start(60, 4);
         world.set(State::CutFromLog, |number, _| number == 5);
-        world.noticed_after_ms(SPEAKS_WITHIN_MS + NOTICED_WITHIN_MS);
+        world.noticed_after_ms(HEARTBEAT_LOG_TIMEOUT_MS + NOTICED_WITHIN_MS);
     }
 
     // A daemon loses its work and its callers again and again, though it serves them.
