--- a/crates/borageshore_membership/src/watch.rs
+++ b/crates/borageshore_membership/src/watch.rs
@@ -16,21 +16,21 @@
 pub const HEARTBEAT_INTERVAL_MS: u64 = 200;
 /// How many daemons watch one. With its availability zone a daemon loses none of them, and of three two
 /// may die at the same moment without a later notice.
-const WATCHERS: usize = 3;
+const WATCHERS_PER_DAEMON: usize = 3;
 /// A watched daemon is suspected after this silence: three heartbeats may be lost, as datagrams are now and then.
-const SILENCE_MS: u64 = 700;
+const HEARTBEAT_TIMEOUT_MS: u64 = 700;
 /// The second and third watcher wait so much longer each, so that one suspicion is written and not three: the
 /// first one's is read within 60 ms.
-const RANK_STEP_MS: u64 = 80;
+const WATCHER_STAGGER_MS: u64 = 80;
 /// How long a new watcher waits for the first heartbeat: the watched daemon may read of it a second later, while
 /// both start.
-const FIRST_PATIENCE_MS: u64 = 2_000;
+const FIRST_HEARTBEAT_TIMEOUT_MS: u64 = 2_000;
 /// A suspicion that was refuted though no heartbeat came doubles the patience up to this: where datagrams do not
 /// pass, a daemon that lives is suspected twice a minute and not each second.
-const MOST_PATIENCE_MS: u64 = 30_000;
+const MAX_HEARTBEAT_TIMEOUT_MS: u64 = 30_000;
 /// Looks that are farther apart than the pause of a heartbeat and this had a pause of the watcher between them, or of
 /// its VM. Heartbeats that came meanwhile wait in its socket.
-const STALL_MS: u64 = 200;
+const STALL_THRESHOLD_MS: u64 = 200;
 
 /// A daemon that got no answer of the log for so long sends no heartbeats: it cannot keep what it makes, and its
 /// work is better off with one that can. Ways through peers are tried within 0.6 s, a slow log answers in 0.3.
@@ -50,7 +50,7 @@
 }
 
 #[derive(Debug)]
-struct Place {
+struct RingMember {
     weight: u64,
     name: Arc<str>,
     zone: usize,
@@ -64,7 +64,7 @@
 /// its power, or its links, takes none of the watchers of its daemons along.
 #[derive(Debug, Default)]
 pub struct WatchRing {
-    places: Vec<Place>,
+    members: Vec<RingMember>,
     /// The number of watchers in each zone.
     watchers_by_zone: Vec<usize>,
 }
@@ -87,7 +87,7 @@
             let is_watcher =
                 member.state == PresenceState::Ready && !member.peer_address.is_empty();
             ring.watchers_by_zone[zone] += usize::from(is_watcher);
-            ring.places.push(Place {
+            ring.members.push(RingMember {
                 weight: rendezvous_weight("watch", &member.name),
                 name: member.name.clone(),
                 zone,
@@ -95,55 +95,55 @@
                 is_watcher,
             });
         }
-        ring.places
+        ring.members
             .sort_by(|a, b| a.weight.cmp(&b.weight).then_with(|| a.name.cmp(&b.name)));
         ring
     }
 
     /// Where the watchers of a daemon are reached.
     pub fn watchers_of(&self, name: &str) -> Vec<Arc<str>> {
-        let Some(at) = self.places.iter().position(|place| &*place.name == name) else {
+        let Some(index) = self.members.iter().position(|member| &*member.name == name) else {
             return Vec::new();
         };
-        let watchers = self.watchers_at(at).into_iter();
+        let watchers = self.watchers_at(index).into_iter();
         watchers
-            .map(|watcher| self.places[watcher].address.clone())
+            .map(|watcher| self.members[watcher].address.clone())
             .collect()
     }
 
     /// The daemons that a daemon watches, each with the number of watchers before it.
     pub fn watched_by(&self, name: &str) -> Vec<(Arc<str>, u64)> {
         let mut watched = Vec::new();
-        for (at, place) in self.places.iter().enumerate() {
-            let watchers = self.watchers_at(at);
+        for (index, member) in self.members.iter().enumerate() {
+            let watchers = self.watchers_at(index);
             let rank = watchers
                 .iter()
-                .position(|watcher| &*self.places[*watcher].name == name);
+                .position(|watcher| &*self.members[*watcher].name == name);
             if let Some(rank) = rank {
-                watched.push((place.name.clone(), rank as u64));
+                watched.push((member.name.clone(), rank as u64));
             }
         }
         watched
     }
 
-    fn watchers_at(&self, at: usize) -> Vec<usize> {
-        let own_zone = self.places[at].zone;
+    fn watchers_at(&self, index: usize) -> Vec<usize> {
+        let own_zone = self.members[index].zone;
         let all: usize = self.watchers_by_zone.iter().sum();
-        let far = all - self.watchers_by_zone[own_zone];
-        let mut near_wanted = WATCHERS - far.min(WATCHERS);
-        let mut wanted = WATCHERS;
-        let mut watchers = Vec::with_capacity(WATCHERS);
-        let others = (at + 1..self.places.len()).chain(0..at);
-        for other in others.filter(|other| self.places[*other].is_watcher) {
-            if self.places[other].zone == own_zone {
-                if near_wanted == 0 {
+        let in_other_zones = all - self.watchers_by_zone[own_zone];
+        let mut same_zone_slots = WATCHERS_PER_DAEMON - in_other_zones.min(WATCHERS_PER_DAEMON);
+        let mut slots_left = WATCHERS_PER_DAEMON;
+        let mut watchers = Vec::with_capacity(WATCHERS_PER_DAEMON);
+        let others = (index + 1..self.members.len()).chain(0..index);
+        for other in others.filter(|other| self.members[*other].is_watcher) {
+            if self.members[other].zone == own_zone {
+                if same_zone_slots == 0 {
                     continue;
                 }
-                near_wanted -= 1;
+                same_zone_slots -= 1;
             }
             watchers.push(other);
-            wanted -= 1;
-            if wanted == 0 {
+            slots_left -= 1;
+            if slots_left == 0 {
                 break;
             }
         }
@@ -164,8 +164,8 @@
 pub struct WatchTable {
     watched: SortedMap<Arc<str>, Watched>,
     /// How long a heartbeat is waited for after a suspicion that was refuted, for daemons of which none came since.
-    patience_ms: SortedMap<Arc<str>, u64>,
-    looked_at_ms: u64,
+    timeouts_ms: SortedMap<Arc<str>, u64>,
+    last_check_ms: u64,
 }
 
 impl WatchTable {
@@ -174,7 +174,7 @@
         let is_watched = |name: &Arc<str>| daemons.iter().any(|(watched, _)| watched == name);
         self.watched.retain(|name, _| is_watched(name));
         for (name, rank) in daemons {
-            let due_ms = now_ms + self.patience_of(&name) + rank * RANK_STEP_MS;
+            let due_ms = now_ms + self.timeout_ms_of(&name) + rank * WATCHER_STAGGER_MS;
             let watched = self.watched.get_or_insert_with(name, || Watched {
                 rank,
                 due_ms,
@@ -186,9 +186,9 @@
 
     /// Takes over a heartbeat that came from a daemon itself.
     pub fn on_heartbeat(&mut self, name: &str, now_ms: u64) {
-        self.patience_ms.remove(name);
+        self.timeouts_ms.remove(name);
         if let Some(watched) = self.watched.get_mut(name) {
-            watched.due_ms = now_ms + SILENCE_MS + watched.rank * RANK_STEP_MS;
+            watched.due_ms = now_ms + HEARTBEAT_TIMEOUT_MS + watched.rank * WATCHER_STAGGER_MS;
             watched.is_suspected = false;
         }
     }
@@ -202,16 +202,16 @@
 
     /// Takes over a daemon's own record in the log, with which it refutes a suspicion.
     pub fn on_record(&mut self, name: &Arc<str>, now_ms: u64) {
-        let patience_ms = self.patience_of(name);
+        let timeout_ms = self.timeout_ms_of(name);
         let Some(watched) = self.watched.get_mut(name) else {
             return;
         };
         if std::mem::take(&mut watched.is_suspected) {
-            watched.due_ms = now_ms + patience_ms;
-            let doubled_ms = (2 * patience_ms).min(MOST_PATIENCE_MS);
-            self.patience_ms.insert(name.clone(), doubled_ms);
+            watched.due_ms = now_ms + timeout_ms;
+            let doubled_ms = (2 * timeout_ms).min(MAX_HEARTBEAT_TIMEOUT_MS);
+            self.timeouts_ms.insert(name.clone(), doubled_ms);
         } else {
-            watched.due_ms = watched.due_ms.max(now_ms + SILENCE_MS);
+            watched.due_ms = watched.due_ms.max(now_ms + HEARTBEAT_TIMEOUT_MS);
         }
     }
 
@@ -220,10 +220,10 @@
     /// Guards against a watcher that stood still itself: it would suspect all that it watches when it goes
     /// on. The time for which it did not look counts for nobody.
     pub fn take_silent(&mut self, now_ms: u64) -> Vec<Arc<str>> {
-        let pause_ms = now_ms.saturating_sub(self.looked_at_ms);
-        self.looked_at_ms = now_ms;
-        let stalled_ms = match pause_ms > HEARTBEAT_INTERVAL_MS + STALL_MS {
-            true => pause_ms,
+        let elapsed_ms = now_ms.saturating_sub(self.last_check_ms);
+        self.last_check_ms = now_ms;
+        let stalled_ms = match elapsed_ms > HEARTBEAT_INTERVAL_MS + STALL_THRESHOLD_MS {
+            true => elapsed_ms,
             false => 0,
         };
         let mut silent = Vec::new();
@@ -251,14 +251,14 @@
     /// Guards the end of an outage: daemons reach the log again within two seconds of each other, and the
     /// first ones would suspect the rest.
     pub fn on_log_unreachable(&mut self, now_ms: u64) {
-        self.looked_at_ms = now_ms;
+        self.last_check_ms = now_ms;
         for (_, watched) in self.watched.iter_mut() {
-            watched.due_ms = watched.due_ms.max(now_ms + FIRST_PATIENCE_MS);
+            watched.due_ms = watched.due_ms.max(now_ms + FIRST_HEARTBEAT_TIMEOUT_MS);
         }
     }
 
-    fn patience_of(&self, name: &str) -> u64 {
-        let patience_ms = self.patience_ms.get(name).copied();
-        patience_ms.unwrap_or(FIRST_PATIENCE_MS)
+    fn timeout_ms_of(&self, name: &str) -> u64 {
+        let timeout_ms = self.timeouts_ms.get(name).copied();
+        timeout_ms.unwrap_or(FIRST_HEARTBEAT_TIMEOUT_MS)
     }
 }
