--- a/crates/borageshore_membership/src/presence.rs
+++ b/crates/borageshore_membership/src/presence.rs
@@ -8,23 +8,23 @@
 use crate::watch::Suspicion;
 
 /// The shortest pause between two records of a daemon of which nothing changed.
-const LEAST_PAUSE_MS: u64 = 500;
+const MIN_RECORD_INTERVAL_MS: u64 = 500;
 /// Every record is read by every daemon: the pause grows with the square of their number, so that these
 /// records cause 250 reads of the log a second at the most, of 2,000 and more that it takes. They tell a few
 /// daemons of a death where datagrams do not pass; for many daemons watchers do.
-const PAUSE_PER_PAIR_MS: u64 = 4;
+const RECORD_INTERVAL_PER_PAIR_MS: u64 = 4;
 /// Records that a daemon may miss before it is taken for dead.
-const MISSED_RECORDS: u64 = 3;
+const MAX_MISSED_RECORDS: u64 = 3;
 /// Added for an append that waits and for the pace at which the log is read.
-const LATE_MS: u64 = 300;
+const READ_DELAY_ALLOWANCE_MS: u64 = 300;
 /// The most by which one read moves the clock that silence is counted on.
-const CLOCK_STEP_MS: u64 = 600;
+const MAX_CLOCK_STEP_MS: u64 = 600;
 /// A daemon that is suspected has this long to say that it lives. It reads the suspicion and writes its
 /// record within 100 ms; a false alarm then changes nothing, where work was otherwise done twice.
 pub const SUSPICION_TIMEOUT_MS: u64 = 250;
 /// A daemon that has been dead for this long is forgotten with its records: a VM that was replaced does not
 /// come back, and one that does writes its record again.
-const FORGOTTEN_AFTER_MS: u64 = 60_000;
+const DEAD_RETENTION_MS: u64 = 60_000;
 
 /// Where a daemon is in its life, as it says itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -60,7 +60,7 @@
 }
 
 #[derive(Debug)]
-struct Seen {
+struct KnownDaemon {
     presence: Presence,
     /// When its record was read, on the clock that reads move.
     at_ms: u64,
@@ -68,7 +68,7 @@
     suspected_at_ms: Option<u64>,
 }
 
-impl Seen {
+impl KnownDaemon {
     fn is_dead(&self, now_ms: u64) -> bool {
         self.suspected_at_ms
             .is_some_and(|at_ms| now_ms >= at_ms + SUSPICION_TIMEOUT_MS)
@@ -83,7 +83,7 @@
 /// declare every other daemon dead at once.
 #[derive(Debug, Default)]
 pub struct PresenceTable {
-    seen: SortedMap<Arc<str>, Seen>,
+    daemons: SortedMap<Arc<str>, KnownDaemon>,
     clock_ms: u64,
     read_at_ms: u64,
     now_ms: u64,
@@ -93,7 +93,9 @@
 impl PresenceTable {
     /// Notes that the log was read up to its end at `now_ms`.
     pub fn on_read(&mut self, now_ms: u64) {
-        let step_ms = now_ms.saturating_sub(self.read_at_ms).min(CLOCK_STEP_MS);
+        let step_ms = now_ms
+            .saturating_sub(self.read_at_ms)
+            .min(MAX_CLOCK_STEP_MS);
         self.clock_ms += step_ms;
         self.read_at_ms = now_ms;
         self.advance(now_ms);
@@ -102,8 +104,8 @@
     /// Takes over the time, by which suspicions become deaths; says whether one did.
     pub fn advance(&mut self, now_ms: u64) -> bool {
         let before_ms = std::mem::replace(&mut self.now_ms, now_ms);
-        let died = |seen: &Seen| seen.is_dead(now_ms) && !seen.is_dead(before_ms);
-        let has_died = self.seen.values().any(died);
+        let died = |daemon: &KnownDaemon| daemon.is_dead(now_ms) && !daemon.is_dead(before_ms);
+        let has_died = self.daemons.values().any(died);
         self.changes += u64::from(has_died);
         has_died
     }
@@ -121,7 +123,7 @@
     /// Takes over a daemon's record, which also refutes a suspicion; one of an earlier incarnation is out of
     /// date.
     pub fn on_presence(&mut self, presence: Presence) {
-        let known = self.seen.get(&presence.name);
+        let known = self.daemons.get(&presence.name);
         if known.is_some_and(|known| known.presence.incarnation > presence.incarnation) {
             return;
         }
@@ -131,66 +133,66 @@
                 && known.presence.incarnation == presence.incarnation
         });
         self.changes += u64::from(!is_same);
-        let seen = Seen {
+        let daemon = KnownDaemon {
             at_ms: self.clock_ms,
             suspected_at_ms: None,
             presence,
         };
-        self.seen.insert(seen.presence.name.clone(), seen);
+        self.daemons.insert(daemon.presence.name.clone(), daemon);
     }
 
     /// Takes over a watcher's suspicion; the first one counts, until it is refuted.
     pub fn on_suspicion(&mut self, suspicion: &Suspicion, now_ms: u64) {
-        if let Some(seen) = self.seen.get_mut(&suspicion.name)
-            && seen.presence.incarnation == suspicion.incarnation
+        if let Some(daemon) = self.daemons.get_mut(&suspicion.name)
+            && daemon.presence.incarnation == suspicion.incarnation
         {
-            seen.suspected_at_ms.get_or_insert(now_ms);
+            daemon.suspected_at_ms.get_or_insert(now_ms);
         }
     }
 
     /// Says whether a suspicion of a daemon stands.
     pub fn is_suspected(&self, name: &str) -> bool {
-        let seen = self.seen.get(name);
-        seen.is_some_and(|seen| seen.suspected_at_ms.is_some())
+        let daemon = self.daemons.get(name);
+        daemon.is_some_and(|daemon| daemon.suspected_at_ms.is_some())
     }
 
     /// Forgets a daemon that left.
     pub fn on_left(&mut self, name: &str) {
-        self.changes += u64::from(self.seen.remove(name).is_some());
+        self.changes += u64::from(self.daemons.remove(name).is_some());
     }
 
     /// The daemons whose records may be removed, as they have been dead for long.
     pub fn expired(&self) -> Vec<Arc<str>> {
-        let dead_after_ms = self.dead_after_ms() + FORGOTTEN_AFTER_MS;
-        let is_expired = |seen: &&Seen| {
-            let is_long_ago = |at_ms: u64| self.now_ms >= at_ms + FORGOTTEN_AFTER_MS;
-            seen.suspected_at_ms.is_some_and(is_long_ago)
-                || self.clock_ms >= seen.at_ms + dead_after_ms
+        let dead_after_ms = self.dead_after_ms() + DEAD_RETENTION_MS;
+        let is_expired = |daemon: &&KnownDaemon| {
+            let is_long_ago = |at_ms: u64| self.now_ms >= at_ms + DEAD_RETENTION_MS;
+            daemon.suspected_at_ms.is_some_and(is_long_ago)
+                || self.clock_ms >= daemon.at_ms + dead_after_ms
         };
-        let expired = self.seen.values().filter(is_expired);
-        expired.map(|seen| seen.presence.name.clone()).collect()
+        let expired = self.daemons.values().filter(is_expired);
+        expired.map(|daemon| daemon.presence.name.clone()).collect()
     }
 
     /// The pause between two records of a daemon, by the number of daemons heard of.
     pub fn record_interval_ms(&self) -> u64 {
-        let daemons = self.seen.len() as u64;
-        LEAST_PAUSE_MS.max(daemons * daemons * PAUSE_PER_PAIR_MS)
+        let daemons = self.daemons.len() as u64;
+        MIN_RECORD_INTERVAL_MS.max(daemons * daemons * RECORD_INTERVAL_PER_PAIR_MS)
     }
 
     fn dead_after_ms(&self) -> u64 {
-        MISSED_RECORDS * self.record_interval_ms() + LATE_MS
+        MAX_MISSED_RECORDS * self.record_interval_ms() + READ_DELAY_ALLOWANCE_MS
     }
 
     /// The daemons that live.
     pub fn live(&self) -> impl Iterator<Item = &Presence> {
         let dead_after_ms = self.dead_after_ms();
-        let is_live = move |seen: &&Seen| {
-            self.clock_ms < seen.at_ms + dead_after_ms && !seen.is_dead(self.now_ms)
+        let is_live = move |daemon: &&KnownDaemon| {
+            self.clock_ms < daemon.at_ms + dead_after_ms && !daemon.is_dead(self.now_ms)
         };
-        self.seen
+        self.daemons
             .values()
             .filter(is_live)
-            .map(|seen| &seen.presence)
+            .map(|daemon| &daemon.presence)
     }
 
     /// The daemons that live and take callers and work.
@@ -214,9 +216,9 @@
     /// processor. A small one would run the items of a step at a fraction of the engines' pace.
     pub fn eligible(&self) -> impl Iterator<Item = &str> {
         let largest = self.ready().map(|presence| presence.capacity_percent).max();
-        let least = largest.unwrap_or(0) / 2;
+        let min_percent = largest.unwrap_or(0) / 2;
         self.ready()
-            .filter(move |presence| presence.capacity_percent >= least)
+            .filter(move |presence| presence.capacity_percent >= min_percent)
             .map(|presence| &*presence.name)
     }
 
@@ -234,32 +236,33 @@
                 && !presence.peer_address.is_empty()
                 && eligible.binary_search(&&*presence.name).is_ok()
         });
-        let (near, far): (Vec<_>, Vec<_>) = others.partition(|presence| &*presence.zone == zone);
-        let all = near.into_iter().chain(far);
+        let (same_zone, other_zones): (Vec<_>, Vec<_>) =
+            others.partition(|presence| &*presence.zone == zone);
+        let all = same_zone.into_iter().chain(other_zones);
         all.map(|presence| presence.peer_address.clone()).collect()
     }
 
     /// The incarnation of a daemon, as far as is known.
     pub fn incarnation_of(&self, name: &str) -> Option<u64> {
-        Some(self.seen.get(name)?.presence.incarnation)
+        Some(self.daemons.get(name)?.presence.incarnation)
     }
 
     /// Where a daemon is reached.
     pub fn address_of(&self, name: &str) -> Option<Arc<str>> {
-        let seen = self.seen.get(name)?;
-        Some(seen.presence.http_address.clone())
+        let daemon = self.daemons.get(name)?;
+        Some(daemon.presence.http_address.clone())
     }
 
-    /// The addresses for a caller in an availability zone: those of its own zone if at least `least`
+    /// The addresses for a caller in an availability zone: those of its own zone if at least `min_count`
     /// are ready there, else all.
-    pub fn addresses_for(&self, zone: &str, least: usize) -> Vec<Arc<str>> {
-        let near: Vec<Arc<str>> = self
+    pub fn addresses_for(&self, zone: &str, min_count: usize) -> Vec<Arc<str>> {
+        let same_zone: Vec<Arc<str>> = self
             .ready()
             .filter(|presence| &*presence.zone == zone)
             .map(|presence| presence.http_address.clone())
             .collect();
-        if near.len() >= least {
-            return near;
+        if same_zone.len() >= min_count {
+            return same_zone;
         }
         let all = self.ready();
         all.map(|presence| presence.http_address.clone()).collect()
