--- a/crates/borageshore_membership/src/addresses.rs
+++ b/crates/borageshore_membership/src/addresses.rs
@@ -14,16 +14,16 @@
     pub fn address_list(&self, caller: &str, count: usize) -> Vec<Arc<str>> {
         let now_ms = self.now_ms();
         let own_zone = self.own().zone.clone();
-        let near = self
+        let same_zone = self
             .usable(now_ms)
             .filter(|entry| entry.zone == own_zone)
             .map(|entry| &*entry.name);
-        let far = self
+        let other_zones = self
             .usable(now_ms)
             .filter(|entry| entry.zone != own_zone)
             .map(|entry| &*entry.name);
-        let mut ranked = rank_by_rendezvous(caller, near);
-        ranked.extend(rank_by_rendezvous(caller, far));
+        let mut ranked = rank_by_rendezvous(caller, same_zone);
+        ranked.extend(rank_by_rendezvous(caller, other_zones));
         ranked.truncate(count);
         let address = |name: &str| self.entry(name).map(|entry| entry.http_address.clone());
         let listed: Vec<Arc<str>> = ranked.into_iter().filter_map(address).collect();
--- a/crates/borageshore_membership/src/gossip.rs
+++ b/crates/borageshore_membership/src/gossip.rs
@@ -14,7 +14,7 @@
 /// The most whole entries in a message, the sender's own included.
 const ENTRIES_PER_MESSAGE: usize = 12;
 /// Whole entries that go around in turn beside the news, against news that never arrived.
-const ENTRIES_IN_TURN: usize = 1;
+const ROTATING_ENTRIES: usize = 1;
 /// How many signs of life a message carries.
 const HEARTBEATS_PER_MESSAGE: usize = 16;
 /// How many of those are kept for the sender's own zone.
@@ -47,15 +47,19 @@
     fn targets(&self, seed: u64, now_ms: u64) -> Vec<Arc<str>> {
         let own_zone = &self.own.zone;
         let reachable = |member: &&Member| self.health_of(member, now_ms) != Health::Dead;
-        let (near, far): (Vec<&Member>, Vec<&Member>) = self
+        let (same_zone, other_zones): (Vec<&Member>, Vec<&Member>) = self
             .members
             .values()
             .filter(reachable)
             .partition(|member| member.entry.zone == *own_zone);
-        let mut targets = pick(&near, ZONE_FANOUT, seed);
-        targets.extend(pick(&far, REMOTE_FANOUT, seed.rotate_left(32)));
+        let mut targets = pick_addresses(&same_zone, ZONE_FANOUT, seed);
+        targets.extend(pick_addresses(
+            &other_zones,
+            REMOTE_FANOUT,
+            seed.rotate_left(32),
+        ));
         // Seeds keep a restarted or cut-off daemon trying to find the others.
-        if let Some(address) = pick_one(&self.seeds, seed)
+        if let Some(address) = pick_seed(&self.seeds, seed)
             && (targets.is_empty() || seed.is_multiple_of(8))
             && *address != self.own.gossip_address
         {
@@ -70,24 +74,24 @@
             heartbeats: Vec::new(),
         };
         for (_, member) in self.members.iter_mut() {
-            if member.news_left > 0 && message.entries.len() < ENTRIES_PER_MESSAGE {
-                member.news_left -= 1;
+            if member.transmissions_left > 0 && message.entries.len() < ENTRIES_PER_MESSAGE {
+                member.transmissions_left -= 1;
                 message.entries.push(member.entry.clone());
             }
         }
-        let in_turn = self
+        let rotating = self
             .rotated()
             .map(|member| member.entry.clone())
-            .take(ENTRIES_IN_TURN);
-        message.entries.extend(in_turn);
+            .take(ROTATING_ENTRIES);
+        message.entries.extend(rotating);
         let zone = self.own.zone.clone();
-        self.fill(&mut message, ZONE_HEARTBEATS_PER_MESSAGE, |entry| {
+        self.add_heartbeats(&mut message, ZONE_HEARTBEATS_PER_MESSAGE, |entry| {
             entry.zone == zone
         });
-        self.fill(&mut message, HEARTBEATS_PER_MESSAGE, |_| true);
+        self.add_heartbeats(&mut message, HEARTBEATS_PER_MESSAGE, |_| true);
         self.rotation = self
             .rotation
-            .wrapping_add(HEARTBEATS_PER_MESSAGE - ENTRIES_IN_TURN);
+            .wrapping_add(HEARTBEATS_PER_MESSAGE - ROTATING_ENTRIES);
         message
     }
 
@@ -102,7 +106,7 @@
     }
 
     /// Adds signs of life until the message holds `limit` of them.
-    fn fill<Wanted>(&self, message: &mut GossipMessage, limit: usize, wanted: Wanted)
+    fn add_heartbeats<Wanted>(&self, message: &mut GossipMessage, limit: usize, wanted: Wanted)
     where
         Wanted: Fn(&MemberEntry) -> bool,
     {
@@ -126,7 +130,7 @@
     }
 }
 
-fn pick(members: &[&Member], count: usize, seed: u64) -> Vec<Arc<str>> {
+fn pick_addresses(members: &[&Member], count: usize, seed: u64) -> Vec<Arc<str>> {
     if members.is_empty() {
         return Vec::new();
     }
@@ -137,7 +141,7 @@
         .collect()
 }
 
-fn pick_one(seeds: &[Arc<str>], seed: u64) -> Option<&Arc<str>> {
+fn pick_seed(seeds: &[Arc<str>], seed: u64) -> Option<&Arc<str>> {
     if seeds.is_empty() {
         None
     } else {
--- a/crates/borageshore_membership/src/members.rs
+++ b/crates/borageshore_membership/src/members.rs
@@ -13,15 +13,15 @@
 /// Silence after which a daemon of the own zone counts as dead.
 const DEAD_MS: u64 = 10_000;
 /// A tick later than this means that this process itself was paused.
-const OWN_PAUSE_MS: u64 = 3 * TICK_MS;
+const PAUSE_THRESHOLD_MS: u64 = 3 * TICK_MS;
 /// How long a dead daemon is remembered, so that old gossip does not revive it.
-const DEAD_MEMORY_MS: u64 = 120_000;
+const DEAD_RETENTION_MS: u64 = 120_000;
 /// Entries of other zones that a daemon hears in one tick at the least; see `gossip`.
 const REMOTE_ENTRIES_PER_TICK: u64 = 16;
 /// How many refreshes of a remote entry may be missed before it counts as silent.
-const REMOTE_MISSES: u64 = 6;
+const MAX_MISSED_REMOTE_REFRESHES: u64 = 6;
 /// In how many messages a change is repeated first of all.
-pub(crate) const NEWS_REPEATS: u32 = 8;
+pub(crate) const CHANGE_TRANSMISSIONS: u32 = 8;
 
 /// How the local detector sees a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -38,7 +38,7 @@
 pub(crate) struct Member {
     pub(crate) entry: MemberEntry,
     pub(crate) advanced_at_ms: u64,
-    pub(crate) news_left: u32,
+    pub(crate) transmissions_left: u32,
 }
 
 /// All daemons as this one sees them.
@@ -48,7 +48,7 @@
     pub(crate) seeds: Vec<Arc<str>>,
     pub(crate) members: SortedMap<Arc<str>, Member>,
     pub(crate) rotation: usize,
-    ticked_at_ms: u64,
+    last_tick_ms: u64,
 }
 
 impl Membership {
@@ -59,7 +59,7 @@
             seeds,
             members: SortedMap::default(),
             rotation: 0,
-            ticked_at_ms: now_ms,
+            last_tick_ms: now_ms,
         }
     }
 
@@ -94,10 +94,10 @@
     /// Guards against blaming others for an own pause (SIGSTOP, a stalled VM): the gap shows as a late
     /// tick, and every deadline moves by it, so others get a full period to be heard again.
     pub fn advance(&mut self, now_ms: u64) {
-        let gap_ms = now_ms.saturating_sub(self.ticked_at_ms);
-        self.ticked_at_ms = now_ms;
+        let gap_ms = now_ms.saturating_sub(self.last_tick_ms);
+        self.last_tick_ms = now_ms;
         self.own.counter += 1;
-        if gap_ms > OWN_PAUSE_MS {
+        if gap_ms > PAUSE_THRESHOLD_MS {
             for (_, member) in self.members.iter_mut() {
                 member.advanced_at_ms += gap_ms;
             }
@@ -105,7 +105,7 @@
         self.declare_dead(now_ms);
         self.members.retain(|_, member| {
             member.entry.state != MemberState::Dead
-                || now_ms < member.advanced_at_ms + DEAD_MEMORY_MS
+                || now_ms < member.advanced_at_ms + DEAD_RETENTION_MS
         });
     }
 
@@ -132,7 +132,7 @@
             let member = self.members.get_mut(&name).expect("listed just now");
             member.entry.state = MemberState::Dead;
             member.advanced_at_ms = now_ms;
-            member.news_left = NEWS_REPEATS;
+            member.transmissions_left = CHANGE_TRANSMISSIONS;
         }
     }
 
@@ -146,7 +146,7 @@
             if entry.state != MemberState::Dead {
                 let member = Member {
                     advanced_at_ms: now_ms,
-                    news_left: NEWS_REPEATS,
+                    transmissions_left: CHANGE_TRANSMISSIONS,
                     entry,
                 };
                 self.members.insert(member.entry.name.clone(), member);
@@ -159,7 +159,7 @@
         let changed =
             entry.incarnation != member.entry.incarnation || entry.state != member.entry.state;
         if changed {
-            member.news_left = NEWS_REPEATS;
+            member.transmissions_left = CHANGE_TRANSMISSIONS;
         }
         member.advanced_at_ms = now_ms;
         member.entry = entry;
@@ -171,15 +171,15 @@
         let Some(member) = self.members.get_mut(&heartbeat.name) else {
             return;
         };
-        let is_same_life = heartbeat.incarnation == member.entry.incarnation;
-        if !is_same_life || heartbeat.counter <= member.entry.counter {
+        let is_same_incarnation = heartbeat.incarnation == member.entry.incarnation;
+        if !is_same_incarnation || heartbeat.counter <= member.entry.counter {
             return;
         }
         member.entry.counter = heartbeat.counter;
         member.advanced_at_ms = now_ms;
         if member.entry.state == MemberState::Dead {
             member.entry.state = MemberState::Live;
-            member.news_left = NEWS_REPEATS;
+            member.transmissions_left = CHANGE_TRANSMISSIONS;
         }
     }
 
@@ -194,9 +194,9 @@
     }
 
     /// Outbids a rumour about this daemon: a verdict of death, or a counter of an earlier life.
-    fn refute(&mut self, rumour: &MemberEntry) {
-        if rumour.incarnation == self.own.incarnation && rumour.supersedes(&self.own) {
-            self.own.counter = rumour.counter + 1;
+    fn refute(&mut self, received: &MemberEntry) {
+        if received.incarnation == self.own.incarnation && received.supersedes(&self.own) {
+            self.own.counter = received.counter + 1;
         }
     }
 
@@ -232,7 +232,7 @@
             return 0;
         }
         let refresh_ms = self.members.len() as u64 * TICK_MS / REMOTE_ENTRIES_PER_TICK;
-        refresh_ms * REMOTE_MISSES
+        refresh_ms * MAX_MISSED_REMOTE_REFRESHES
     }
 
     /// The entry of a daemon, this one included.
@@ -272,6 +272,6 @@
 
     /// The time of the last tick.
     pub fn now_ms(&self) -> u64 {
-        self.ticked_at_ms
+        self.last_tick_ms
     }
 }
