--- a/crates/borageshore_membership/src/relay.rs
+++ b/crates/borageshore_membership/src/relay.rs
@@ -3,7 +3,7 @@
 use borageshore_base::rank_by_rendezvous;
 
 /// How many daemons of a zone read the log itself.
-const ROOTS: usize = 2;
+const ROOT_READERS: usize = 2;
 /// How many daemons read from one other. Two keeps what a daemon sends to twice what it receives.
 const FANOUT: usize = 2;
 
@@ -27,9 +27,9 @@
     Members: IntoIterator<Item = &'m str>,
 {
     let ranked = rank_by_rendezvous("relay", members);
-    let place = ranked.iter().position(|name| *name == own);
-    let parent = match place {
-        Some(place) if place >= ROOTS => Some((place - ROOTS) / FANOUT),
+    let position = ranked.iter().position(|name| *name == own);
+    let parent = match position {
+        Some(position) if position >= ROOT_READERS => Some((position - ROOT_READERS) / FANOUT),
         _ => None,
     };
     let Some(parent) = parent else {
--- a/crates/borageshore_membership/src/store_failover.rs
+++ b/crates/borageshore_membership/src/store_failover.rs
@@ -5,13 +5,13 @@
 pub const PROBE_INTERVAL_MS: u64 = 2_000;
 /// A daemon helps its peers as long as its own last success is no older: its long polls answer every
 /// 1.2 s at the latest.
-const REACHES_WITHIN_MS: u64 = 1_500;
+const MAX_SUCCESS_AGE_MS: u64 = 1_500;
 
 /// The own way is taken for closed when nothing came over it for so long: five reads that wait are answered
 /// every 1.2 s each.
-const SILENT_MS: u64 = 600;
+const MIN_SILENCE_MS: u64 = 600;
 /// And when so many calls have failed since its last answer.
-const LEAST_FAILURES: u32 = 2;
+const MIN_FAILURES: u32 = 2;
 
 /// A way to the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -91,7 +91,7 @@
 
     /// Says whether this daemon can pass on the calls of peers.
     pub fn reaches_store(&self, now_ms: u64) -> bool {
-        let is_recent = |at_ms: u64| now_ms < at_ms + REACHES_WITHIN_MS;
+        let is_recent = |at_ms: u64| now_ms < at_ms + MAX_SUCCESS_AGE_MS;
         self.failures == 0 && self.last_success_ms.is_some_and(is_recent)
     }
 
@@ -100,8 +100,8 @@
     /// Guards a store that is at its limit: it turns away some calls of all, and a second call for each of
     /// them would keep it there. When 61 daemons started at the same time they did so for 10 s.
     pub fn may_ask_peers(&self, now_ms: u64) -> bool {
-        let is_silent = |at_ms: u64| now_ms >= at_ms + SILENT_MS;
-        self.failures >= LEAST_FAILURES && self.last_success_ms.is_some_and(is_silent)
+        let is_silent = |at_ms: u64| now_ms >= at_ms + MIN_SILENCE_MS;
+        self.failures >= MIN_FAILURES && self.last_success_ms.is_some_and(is_silent)
     }
 
     /// Takes over what came of a call on the own way; says whether that opened it.
