--- a/crates/borageshore_lease/src/agent.rs
+++ b/crates/borageshore_lease/src/agent.rs
@@ -1,4 +1,4 @@
-//! One daemon's view of its own and other leases in time.
+//! Renewal, expiry and takeover of leases, as one daemon sees them on its own clock.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -7,35 +7,36 @@
 
 use crate::table::{LeaseRecord, LeaseTable, ShardClaim};
 
-/// How far two clocks may run apart, as a share of the time measured.
+/// The largest difference between the rates of two clocks, in percent.
 const CLOCK_RATE_BOUND_PERCENT: u64 = 2;
-/// Added to every margin, for timers that fire late.
+/// The part of the margin that covers late timers, whatever the TTL.
 const MARGIN_FLOOR_MS: u64 = 100;
-/// A lease is renewed this many times in its life.
+/// How often a lease is renewed within one TTL.
 const RENEWALS_PER_TTL: u64 = 3;
-/// How much longer each lower-ranked candidate waits before it claims a free shard.
+/// The delay per rank before a candidate claims a free shard.
 const CANDIDATE_STAGGER_MS: u64 = 1_000;
-/// A longer silence between the log and this daemon counts as an outage. Above the time that a quiet
-/// log leaves between two answers, also through a relay.
+/// A longer gap between two answers of the log counts as an outage. Exceeds the poll interval of an
+/// idle log, also when it is read through a relay.
 const CONTACT_GAP_MS: u64 = 2_500;
-/// After this long without a verdict a claim is made anew.
+/// A claim that has not come back from the log after this time is sent again.
 const CLAIM_RETRY_MS: u64 = 3_000;
 
-/// The time by which a holder stops early and a successor waits longer.
+/// The safety margin of a lease: the holder stops this long before the TTL ends, and a successor waits
+/// this long after it.
 pub fn margin_ms(ttl_ms: u64) -> u64 {
     ttl_ms * CLOCK_RATE_BOUND_PERCENT / 100 + MARGIN_FLOOR_MS
 }
 
-/// A shard that this daemon is a candidate for.
+/// A shard that this daemon may claim, with its rank among the candidates.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidacy {
     /// The shard.
     pub shard: Arc<str>,
-    /// This daemon's place among the candidates, the first being 0.
+    /// The rank among the candidates; 0 claims first.
     pub rank: u64,
 }
 
-/// The shards that `own` is one of the first `candidates` members for.
+/// The shards for which `own` ranks among the first `candidates` members by rendezvous hashing.
 pub fn candidacies_of<'m, Members>(
     own: &str,
     shards: &[Arc<str>],
@@ -61,11 +62,11 @@
     seen_at_ms: u64,
 }
 
-/// Decides when a daemon renews, claims and may act.
+/// Decides when a daemon renews its lease, claims shards and may act on them.
 ///
-/// Guards against a holder that was paused and still believes that it holds its lease: its time is
-/// counted from before it sent the renewal, and [`LeaseAgent::epoch`] checks it at each action, so it
-/// stops a margin before any successor, who counts from when it saw that renewal, may claim.
+/// Guards against a paused holder that acts on an expired lease: the holder counts the TTL from before
+/// it sent the renewal, a successor from when it read that renewal, and [`LeaseAgent::epoch`] checks
+/// the time at each action. The holder therefore stops before any successor may claim.
 #[derive(Debug)]
 pub struct LeaseAgent {
     session: Arc<str>,
@@ -79,7 +80,7 @@
 }
 
 impl LeaseAgent {
-    /// Opens an agent for a daemon incarnation.
+    /// Creates an agent without a lease. `session` identifies the daemon incarnation.
     pub fn open(session: Arc<str>) -> Self {
         Self {
             session,
@@ -93,11 +94,10 @@
         }
     }
 
-    /// Notes that the state of the log at `heard_at_ms` is known.
+    /// Records that the log answered at `heard_at_ms`.
     ///
-    /// Guards against all leases changing hands after an outage of the log: no holder could renew
-    /// meanwhile, and whoever had waited would claim first. The wait for a renewal counts only while
-    /// there is contact, so after a gap every holder gets its whole time again.
+    /// Guards against a takeover of all leases after an outage of the log, during which no holder could
+    /// renew: after a gap every lease gets its full TTL again.
     pub fn on_contact(&mut self, heard_at_ms: u64) {
         let previous_ms = self.last_contact_ms.unwrap_or(heard_at_ms);
         if heard_at_ms > previous_ms + CONTACT_GAP_MS {
@@ -113,27 +113,27 @@
         &self.session
     }
 
-    /// The epoch of a shard that the log says is this daemon's. Its lease may have run out meanwhile:
-    /// whoever wants to act asks [`LeaseAgent::epoch`].
+    /// The epoch of a shard that this daemon owns according to the log, even if its lease has expired
+    /// since. Actions require [`LeaseAgent::epoch`].
     pub fn owned_epoch(&self, table: &LeaseTable, shard: &str) -> Option<u64> {
         let found = table.shard(shard)?;
         let is_owner = found.owner.as_ref() == Some(&self.session);
         is_owner.then_some(found.epoch)
     }
 
-    /// The epoch of a shard if this daemon may act on it at `now_ms`.
+    /// The epoch of a shard if this daemon owns it and its lease is valid at `now_ms`.
     pub fn epoch(&self, table: &LeaseTable, shard: &str, now_ms: u64) -> Option<u64> {
         self.owned_epoch(table, shard)
             .filter(|_| now_ms < self.valid_until_ms)
     }
 
-    /// Notes that a renewal was handed to the proposer under `sequence` at `now_ms`.
+    /// Records that a renewal was handed to the proposer under `sequence` at `now_ms`.
     pub fn on_renewal_sent(&mut self, sequence: u64, now_ms: u64) {
         self.sent_renewals.push_back((sequence, now_ms));
         self.last_sent_ms = Some(now_ms);
     }
 
-    /// Notes a folded record.
+    /// Processes a record that was applied to the lease table.
     pub fn on_applied(&mut self, offset: u64, envelope: &Envelope<LeaseRecord>, now_ms: u64) {
         match &envelope.body {
             LeaseRecord::Renew { session, ttl_ms } => {
@@ -178,7 +178,8 @@
         }
     }
 
-    /// Says what to append now. `candidacies` are the shards that should be owned by somebody.
+    /// Returns the records to append now: a renewal if one is due, and claims on free shards among
+    /// `candidacies`.
     pub fn tick(
         &mut self,
         table: &LeaseTable,
@@ -216,7 +217,7 @@
         }
     }
 
-    /// Starts the clock of sessions that came with a snapshot, whose renewals were never seen.
+    /// Starts the TTL of sessions that were restored from a snapshot, so that their renewals were not read.
     fn track_sessions(&mut self, table: &LeaseTable, now_ms: u64) {
         for (name, session) in table.sessions() {
             let offset = session.renewed_offset;
@@ -264,7 +265,7 @@
         claims
     }
 
-    /// The claim to make for a shard whose owner is gone or has run out of time.
+    /// The claim for a shard that has no owner or whose owner's lease has expired.
     fn claim_if_free(
         &self,
         table: &LeaseTable,
--- a/crates/borageshore_lease/src/lib.rs
+++ b/crates/borageshore_lease/src/lib.rs
@@ -1,13 +1,13 @@
-//! Ownership of shards of work: sessions, claims, epochs.
+//! Leases on shards of work, with epochs as fencing tokens.
 //!
-//! Records of the `leases` stream are folded into a [`LeaseTable`]; the offset of an accepted claim
-//! is the shard's epoch and the fencing number of every order given under it. A [`LeaseAgent`] in
-//! each daemon decides when to renew, when to claim and whether it may act now.
+//! Records of the `leases` stream are folded into a [`LeaseTable`]. A shard's epoch follows from the
+//! offset of the accepted claim and is the fencing token of all that its owner orders. A
+//! [`LeaseAgent`] in each daemon decides when to renew, when to claim and whether the daemon may act.
 //!
 //! ```
 //! use borageshore_lease::margin_ms;
 //!
-//! assert!(margin_ms(5_000) < 5_000 / 4, "a holder keeps most of its time");
+//! assert!(margin_ms(5_000) < 5_000 / 4, "a holder may use most of its TTL");
 //! ```
 
 mod agent;
--- a/crates/borageshore_lease/src/table.rs
+++ b/crates/borageshore_lease/src/table.rs
@@ -1,4 +1,4 @@
-//! The fold of the lease stream.
+//! The table of sessions and shard owners, folded from the lease stream.
 
 use std::sync::Arc;
 
@@ -6,17 +6,17 @@
 use borageshore_log::{Envelope, Fold, WriterTable};
 use serde::{Deserialize, Serialize};
 
-/// How long a session without shards is remembered, by the log's clock.
+/// How long a session without shards is kept after its last renewal, by the log's clock.
 const IDLE_SESSION_RETENTION_MS: u64 = 600_000;
 
-/// A wish to own one shard, with what the claimant had seen of it.
+/// A request to own one shard, with the state that the claimant observed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ShardClaim {
     /// The shard.
     pub shard: Arc<str>,
-    /// The epoch that the claim replaces; 0 when nobody ever owned the shard.
+    /// The epoch that the claim replaces; 0 if the shard never had an owner.
     pub observed_epoch: u64,
-    /// The owner's last renewal that the claimant waited out; `None` when the shard looked free.
+    /// The offset of the owner's renewal that has expired; `None` if the shard had no owner.
     pub observed_renewal: Option<u64>,
 }
 
@@ -24,26 +24,26 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LeaseRecord {
-    /// Keeps a session, and with it all its shards, for another `ttl_ms`.
+    /// Extends a session, and with it the ownership of all its shards, by `ttl_ms`.
     Renew {
         /// The daemon incarnation.
         session: Arc<str>,
-        /// How long, so that holder and successors count the same time.
+        /// The TTL, recorded so that holder and successors use the same one.
         ttl_ms: u64,
     },
-    /// Asks for shards; each is judged by itself.
+    /// Claims shards; each claim is accepted or rejected separately.
     Claim {
         /// The daemon incarnation.
         session: Arc<str>,
         /// The shards.
         shards: Vec<ShardClaim>,
     },
-    /// Gives everything back at a graceful stop.
+    /// Releases all shards of a session at a graceful stop.
     End {
         /// The daemon incarnation.
         session: Arc<str>,
     },
-    /// The state below an offset.
+    /// The state of the table before an offset.
     Snapshot {
         /// The first offset that the snapshot does not cover.
         next_offset: u64,
@@ -57,9 +57,9 @@
 pub struct Session {
     /// The offset of its last renewal.
     pub renewed_offset: u64,
-    /// The time the last renewal asked for.
+    /// The TTL of the last renewal.
     pub ttl_ms: u64,
-    /// When the log took the last renewal, by the log's clock.
+    /// When the last renewal was appended, by the log's clock.
     pub renewed_at_ms: u64,
 }
 
@@ -68,14 +68,14 @@
 pub struct Shard {
     /// The session that owns it.
     pub owner: Option<Arc<str>>,
-    /// The fencing number of the last accepted claim: its offset plus one.
+    /// The fencing token of the last accepted claim: its offset plus one.
     pub epoch: u64,
 }
 
-/// A copy of the table.
+/// A snapshot is a copy of the whole table.
 pub type LeaseSnapshot = LeaseTable;
 
-/// All sessions and shards as the records so far make them.
+/// All sessions and shards after the records applied so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseTable {
     sessions: SortedMap<Arc<str>, Session>,
@@ -84,27 +84,27 @@
 }
 
 impl LeaseTable {
-    /// A session.
+    /// The session of this name, unless it ended or was evicted.
     pub fn session(&self, session: &str) -> Option<&Session> {
         self.sessions.get(session)
     }
 
-    /// A shard that somebody claimed at some time.
+    /// The shard of this name, if it was ever claimed.
     pub fn shard(&self, shard: &str) -> Option<&Shard> {
         self.shards.get(shard)
     }
 
-    /// All shards in order.
+    /// All shards, ordered by name.
     pub fn shards(&self) -> impl Iterator<Item = (&Arc<str>, &Shard)> {
         self.shards.iter()
     }
 
-    /// All sessions in order.
+    /// All sessions, ordered by name.
     pub fn sessions(&self) -> impl Iterator<Item = (&Arc<str>, &Session)> {
         self.sessions.iter()
     }
 
-    /// Says whether the session owns any shard.
+    /// Whether the session owns any shard.
     pub fn owns_any(&self, session: &str) -> bool {
         self.shards
             .values()
@@ -132,11 +132,10 @@
         });
     }
 
-    /// Accepts a claim only if the shard is as the claimant saw it.
+    /// Accepts a claim only if the shard's state is the one that the claimant observed.
     ///
-    /// Guards against a successor that acts on an old view: a renewal that it had not seen yet
-    /// shows as a different `renewed_offset`, and a rival's claim as a different epoch; the log's
-    /// order decides, for every fold alike.
+    /// Guards against claims based on stale state: a newer renewal changes `renewed_offset`, and a
+    /// concurrent claim changes the epoch. The log's order decides, so all replicas agree.
     fn claim(&mut self, session: &Arc<str>, claim: &ShardClaim, offset: u64) {
         if !self.sessions.contains_key(session) {
             return;
