--- a/crates/borageshore_membership/src/watch.rs
+++ b/crates/borageshore_membership/src/watch.rs
@@ -1,9 +1,9 @@
-//! Failure detection: each daemon is watched by a few others, whatever the number of all.
+//! Heartbeat failure detection in which a fixed number of daemons watch each daemon.
 //!
-//! A daemon sends a heartbeat to its watchers, which it finds on a ring of all daemons that live. A
-//! watcher that hears nothing writes a [`Suspicion`] to the log that all read; the suspected daemon, if it
-//! lives, writes its own record again, which clears it. What a daemon sends and what it reads so do not grow
-//! with the number of daemons, and neither does the time until a death shows.
+//! A daemon sends heartbeats to its watchers, which follow it on a ring of all live daemons. A watcher
+//! that misses them appends a [`Suspicion`] to the shared log; a suspected daemon that is alive refutes it by
+//! appending its own record again. Heartbeat traffic per daemon and the detection time do not depend on the
+//! number of daemons.
 
 use std::sync::Arc;
 
@@ -12,40 +12,39 @@
 
 use crate::presence::{Presence, PresenceState};
 
-/// The pause between two heartbeats. Each costs three datagrams of some 70 bytes, 1 KB a second.
+/// The interval between two heartbeats of a daemon to each of its watchers.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 200;
-/// How many daemons watch one. With its availability zone a daemon loses none of them, and of three two
-/// may die at the same moment without a later notice.
+/// How many daemons watch each daemon. Detection is not delayed if all but one of them fail with it.
 const WATCHERS_PER_DAEMON: usize = 3;
-/// A watched daemon is suspected after this silence: three heartbeats may be lost, as datagrams are now and then.
+/// A daemon is suspected this long after its last heartbeat; up to three lost datagrams are tolerated.
 const HEARTBEAT_TIMEOUT_MS: u64 = 700;
-/// The second and third watcher wait so much longer each, so that one suspicion is written and not three: the
-/// first one's is read within 60 ms.
+/// The delay per rank before a watcher suspects, so that lower ranks read the first watcher's suspicion
+/// instead of appending their own.
 const WATCHER_STAGGER_MS: u64 = 80;
-/// How long a new watcher waits for the first heartbeat: the watched daemon may read of it a second later, while
-/// both start.
+/// The timeout of a new watcher for the first heartbeat; the watched daemon may learn of it later.
 const FIRST_HEARTBEAT_TIMEOUT_MS: u64 = 2_000;
-/// A suspicion that was refuted though no heartbeat came doubles the patience up to this: where datagrams do not
-/// pass, a daemon that lives is suspected twice a minute and not each second.
+/// The upper bound of the timeout, which doubles with each suspicion that is refuted without a heartbeat. Limits
+/// false suspicions of live daemons whose datagrams are lost.
 const MAX_HEARTBEAT_TIMEOUT_MS: u64 = 30_000;
-/// Looks that are farther apart than the pause of a heartbeat and this had a pause of the watcher between them, or of
-/// its VM. Heartbeats that came meanwhile wait in its socket.
+/// Checks that are further apart than the heartbeat interval plus this mean that the watcher's process or VM was
+/// paused. Heartbeats that arrived meanwhile are still in its socket buffer.
 const STALL_THRESHOLD_MS: u64 = 200;
 
-/// A daemon that got no answer of the log for so long sends no heartbeats: it cannot keep what it makes, and its
-/// work is better off with one that can. Ways through peers are tried within 0.6 s, a slow log answers in 0.3.
+/// A daemon stops its heartbeats after this time without an answer of the log, so that its work moves to a daemon
+/// that can store results. Leaves time for slow answers and for failover to a peer.
 pub const HEARTBEAT_LOG_TIMEOUT_MS: u64 = 3_000;
-/// A watcher that got no answer of the log for so long suspects nobody: its reads are answered every 1.2 s.
+/// A watcher raises no suspicions after this time without an answer of the log. Exceeds the interval at which
+/// waiting reads are answered.
 pub const WATCHER_LOG_TIMEOUT_MS: u64 = 1_500;
 
-/// What a watcher writes of a daemon that has gone silent.
+/// A record that a watcher appends when a daemon's heartbeats stop.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspicion {
-    /// The daemon.
+    /// The suspected daemon.
     pub name: Arc<str>,
-    /// The life that went silent; a later one is not meant.
+    /// The suspected incarnation; later ones are not affected.
     pub incarnation: u64,
-    /// The watcher.
+    /// The watcher's name.
     pub by: Arc<str>,
 }
 
@@ -58,10 +57,10 @@
     is_watcher: bool,
 }
 
-/// The daemons that live, on a ring.
+/// A ring of all live daemons, which assigns watchers.
 ///
-/// The watchers of a daemon are those that follow it, of other availability zones first: a zone that loses
-/// its power, or its links, takes none of the watchers of its daemons along.
+/// The watchers of a daemon are the next ones on the ring in other availability zones, and in its own zone only
+/// if there are too few. Guards against a zone failure that stops a daemon together with its watchers.
 #[derive(Debug, Default)]
 pub struct WatchRing {
     members: Vec<RingMember>,
@@ -70,7 +69,7 @@
 }
 
 impl WatchRing {
-    /// Puts daemons on a ring, in an order that has nothing to do with their names or zones.
+    /// Builds the ring in hash order, independent of the order of names and zones.
     pub fn of<'p, Members>(members: Members) -> Self
     where
         Members: Iterator<Item = &'p Presence>,
@@ -100,7 +99,7 @@
         ring
     }
 
-    /// Where the watchers of a daemon are reached.
+    /// The addresses to which a daemon sends its heartbeats; empty if it is not on the ring.
     pub fn watchers_of(&self, name: &str) -> Vec<Arc<str>> {
         let Some(index) = self.members.iter().position(|member| &*member.name == name) else {
             return Vec::new();
@@ -111,7 +110,7 @@
             .collect()
     }
 
-    /// The daemons that a daemon watches, each with the number of watchers before it.
+    /// The daemons that a daemon watches, each with its rank among the watchers, starting at 0.
     pub fn watched_by(&self, name: &str) -> Vec<(Arc<str>, u64)> {
         let mut watched = Vec::new();
         for (index, member) in self.members.iter().enumerate() {
@@ -154,22 +153,22 @@
 #[derive(Debug)]
 struct Watched {
     rank: u64,
-    /// Silence until then is suspicious.
+    /// When the daemon is suspected unless a heartbeat arrives before.
     due_ms: u64,
     is_suspected: bool,
 }
 
-/// What a watcher knows of the daemons that it watches.
+/// The heartbeat deadlines of the daemons that one watcher watches.
 #[derive(Debug, Default)]
 pub struct WatchTable {
     watched: SortedMap<Arc<str>, Watched>,
-    /// How long a heartbeat is waited for after a suspicion that was refuted, for daemons of which none came since.
+    /// Backed-off timeouts of daemons that refuted a suspicion and have sent no heartbeat since.
     timeouts_ms: SortedMap<Arc<str>, u64>,
     last_check_ms: u64,
 }
 
 impl WatchTable {
-    /// Takes over which daemons are to be watched, each with the number of watchers before this one.
+    /// Replaces the set of watched daemons, each with this watcher's rank; known deadlines are kept.
     pub fn set_watched(&mut self, daemons: Vec<(Arc<str>, u64)>, now_ms: u64) {
         let is_watched = |name: &Arc<str>| daemons.iter().any(|(watched, _)| watched == name);
         self.watched.retain(|name, _| is_watched(name));
@@ -184,7 +183,7 @@
         }
     }
 
-    /// Takes over a heartbeat that came from a daemon itself.
+    /// Processes a heartbeat that was received from a daemon.
     pub fn on_heartbeat(&mut self, name: &str, now_ms: u64) {
         self.timeouts_ms.remove(name);
         if let Some(watched) = self.watched.get_mut(name) {
@@ -193,14 +192,14 @@
         }
     }
 
-    /// Notes that a watcher suspects a daemon: once is enough.
+    /// Records that some watcher suspects a daemon, so that this one does not suspect it as well.
     pub fn on_suspicion(&mut self, name: &str) {
         if let Some(watched) = self.watched.get_mut(name) {
             watched.is_suspected = true;
         }
     }
 
-    /// Takes over a daemon's own record in the log, with which it refutes a suspicion.
+    /// Processes a daemon's own record in the log, which refutes a suspicion.
     pub fn on_record(&mut self, name: &Arc<str>, now_ms: u64) {
         let timeout_ms = self.timeout_ms_of(name);
         let Some(watched) = self.watched.get_mut(name) else {
@@ -215,10 +214,10 @@
         }
     }
 
-    /// The daemons that have gone silent and that nobody suspects yet; from now on this watcher does.
+    /// Returns the daemons whose deadline has passed and that nobody suspects yet, and marks them as suspected.
     ///
-    /// Guards against a watcher that stood still itself: it would suspect all that it watches when it goes
-    /// on. The time for which it did not look counts for nobody.
+    /// Guards against a watcher that resumes after a pause and suspects all that it watches: the time of the
+    /// pause is added to every deadline.
     pub fn take_silent(&mut self, now_ms: u64) -> Vec<Arc<str>> {
         let elapsed_ms = now_ms.saturating_sub(self.last_check_ms);
         self.last_check_ms = now_ms;
@@ -237,7 +236,7 @@
         silent
     }
 
-    /// Notes that a suspicion could not be written: it is due again after the pause of a heartbeat.
+    /// Records that a suspicion could not be appended; it is due again after one heartbeat interval.
     pub fn on_suspicion_not_written(&mut self, name: &str, now_ms: u64) {
         if let Some(watched) = self.watched.get_mut(name) {
             watched.is_suspected = false;
@@ -245,11 +244,10 @@
         }
     }
 
-    /// Notes that this watcher does not read the log: it cannot see who refutes, and whoever does not reach the
-    /// log either sends no heartbeats.
+    /// Postpones all deadlines while this watcher cannot read the log.
     ///
-    /// Guards the end of an outage: daemons reach the log again within two seconds of each other, and the
-    /// first ones would suspect the rest.
+    /// Guards against false suspicions at the end of an outage of the log: daemons that cannot reach it send no
+    /// heartbeats, and they reach it again at different times.
     pub fn on_log_unreachable(&mut self, now_ms: u64) {
         self.last_check_ms = now_ms;
         for (_, watched) in self.watched.iter_mut() {
