--- a/crates/borageshore_membership/src/presence.rs
+++ b/crates/borageshore_membership/src/presence.rs
@@ -1,4 +1,4 @@
-//! Which daemons live, by what they and their watchers write to one log that every daemon reads.
+//! Liveness and work ownership of daemons, from records in a log that every daemon reads.
 
 use std::sync::Arc;
 
@@ -7,64 +7,62 @@
 
 use crate::watch::Suspicion;
 
-/// The shortest pause between two records of a daemon of which nothing changed.
+/// The minimum interval between two records of a daemon whose state has not changed.
 const MIN_RECORD_INTERVAL_MS: u64 = 500;
-/// Every record is read by every daemon: the pause grows with the square of their number, so that these
-/// records cause 250 reads of the log a second at the most, of 2,000 and more that it takes. They tell a few
-/// daemons of a death where datagrams do not pass; for many daemons watchers do.
+/// The interval grows by this with the square of the number of daemons. Every daemon reads every record, so this
+/// bounds the reads of all daemons together to 250 a second.
 const RECORD_INTERVAL_PER_PAIR_MS: u64 = 4;
-/// Records that a daemon may miss before it is taken for dead.
+/// How many record intervals may pass without a record before a daemon counts as dead.
 const MAX_MISSED_RECORDS: u64 = 3;
-/// Added for an append that waits and for the pace at which the log is read.
+/// The allowance for delayed appends and for the interval between reads of the log.
 const READ_DELAY_ALLOWANCE_MS: u64 = 300;
-/// The most by which one read moves the clock that silence is counted on.
+/// The maximum by which one read of the log advances the clock that record ages are measured on.
 const MAX_CLOCK_STEP_MS: u64 = 600;
-/// A daemon that is suspected has this long to say that it lives. It reads the suspicion and writes its
-/// record within 100 ms; a false alarm then changes nothing, where work was otherwise done twice.
+/// How long a suspected daemon has to refute the suspicion before it counts as dead. Guards against work that is
+/// taken over, and done twice, because of a false suspicion.
 pub const SUSPICION_TIMEOUT_MS: u64 = 250;
-/// A daemon that has been dead for this long is forgotten with its records: a VM that was replaced does not
-/// come back, and one that does writes its record again.
+/// Records of a daemon that has been dead for this long are removed; if it comes back, it writes its record again.
 const DEAD_RETENTION_MS: u64 = 60_000;
 
-/// Where a daemon is in its life, as it says itself.
+/// The lifecycle state that a daemon reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PresenceState {
-    /// It has no routes or endpoints yet.
+    /// It has not loaded routes and endpoints yet.
     Starting,
-    /// It takes callers and work.
+    /// It accepts callers and new work.
     Ready,
-    /// It finishes what it has.
+    /// It finishes its current work and accepts no more.
     Draining,
 }
 
-/// What a daemon says of itself.
+/// The record that a daemon writes about itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Presence {
-    /// Its name, one for each VM.
+    /// The daemon's name, unique for each VM.
     pub name: Arc<str>,
-    /// Rises with each start.
+    /// Increases with each start of the process.
     pub incarnation: u64,
-    /// Its availability zone.
+    /// The availability zone.
     pub zone: Arc<str>,
-    /// Where callers connect.
+    /// The address for callers.
     pub http_address: Arc<str>,
-    /// Where other daemons connect; empty if it is none that passes on calls to the store.
+    /// The address for other daemons; empty if this one does not forward calls to the store.
     #[serde(default)]
     pub peer_address: Arc<str>,
-    /// Where it is in its life.
+    /// The lifecycle state.
     pub state: PresenceState,
-    /// Its processor, in percent of a core.
+    /// The CPU capacity, in percent of a core.
     pub capacity_percent: u64,
-    /// The work that it runs; it stays the owner of this work as long as it lives.
+    /// The work that the daemon runs and owns as long as it is alive.
     pub holds: Vec<Arc<str>>,
 }
 
 #[derive(Debug)]
 struct KnownDaemon {
     presence: Presence,
-    /// When its record was read, on the clock that reads move.
+    /// When the record was read, on the `clock_ms` of the table.
     at_ms: u64,
-    /// Since when a watcher's suspicion stands, on the clock that goes on by itself.
+    /// When the first unrefuted suspicion was read, on the `now_ms` of the table.
     suspected_at_ms: Option<u64>,
 }
 
@@ -75,12 +73,11 @@
     }
 }
 
-/// The daemons by their records, and by what watchers write of them.
+/// All known daemons, from their own records and their watchers' suspicions.
 ///
-/// A suspicion that is not refuted within [`SUSPICION_TIMEOUT_MS`] is a death. Besides, silence is counted on a
-/// clock that moves only while the log is read with success, and by a bounded step for each read. While
-/// the log is away, or this process stood still, nobody ages: else the first look after an outage would
-/// declare every other daemon dead at once.
+/// A daemon counts as dead if a suspicion is not refuted within [`SUSPICION_TIMEOUT_MS`], or if its records stop.
+/// The age of records is measured on a clock that only successful reads of the log advance, by a bounded step each.
+/// Guards against declaring all daemons dead after an outage of the log or a pause of this process.
 #[derive(Debug, Default)]
 pub struct PresenceTable {
     daemons: SortedMap<Arc<str>, KnownDaemon>,
@@ -91,7 +88,7 @@
 }
 
 impl PresenceTable {
-    /// Notes that the log was read up to its end at `now_ms`.
+    /// Records that the log was read up to its end at `now_ms`.
     pub fn on_read(&mut self, now_ms: u64) {
         let step_ms = now_ms
             .saturating_sub(self.read_at_ms)
@@ -101,7 +98,7 @@
         self.advance(now_ms);
     }
 
-    /// Takes over the time, by which suspicions become deaths; says whether one did.
+    /// Advances the time to `now_ms`; returns whether a suspicion has timed out since the last call.
     pub fn advance(&mut self, now_ms: u64) -> bool {
         let before_ms = std::mem::replace(&mut self.now_ms, now_ms);
         let died = |daemon: &KnownDaemon| daemon.is_dead(now_ms) && !daemon.is_dead(before_ms);
@@ -110,18 +107,17 @@
         has_died
     }
 
-    /// Counts what changed of who lives and where; a record that says the same again is none.
+    /// The number of changes of membership or state so far; a repeated record does not count.
     pub fn changes(&self) -> u64 {
         self.changes
     }
 
-    /// Says whether the log was read yet.
+    /// Whether the log has been read at least once.
     pub fn is_known(&self) -> bool {
         self.read_at_ms > 0
     }
 
-    /// Takes over a daemon's record, which also refutes a suspicion; one of an earlier incarnation is out of
-    /// date.
+    /// Processes a daemon's record, which also refutes a suspicion. Records of earlier incarnations are ignored.
     pub fn on_presence(&mut self, presence: Presence) {
         let known = self.daemons.get(&presence.name);
         if known.is_some_and(|known| known.presence.incarnation > presence.incarnation) {
@@ -141,7 +137,7 @@
         self.daemons.insert(daemon.presence.name.clone(), daemon);
     }
 
-    /// Takes over a watcher's suspicion; the first one counts, until it is refuted.
+    /// Processes a watcher's suspicion. Its timeout runs from the first one that is not refuted.
     pub fn on_suspicion(&mut self, suspicion: &Suspicion, now_ms: u64) {
         if let Some(daemon) = self.daemons.get_mut(&suspicion.name)
             && daemon.presence.incarnation == suspicion.incarnation
@@ -150,18 +146,18 @@
         }
     }
 
-    /// Says whether a suspicion of a daemon stands.
+    /// Whether a daemon is under a suspicion that it has not refuted.
     pub fn is_suspected(&self, name: &str) -> bool {
         let daemon = self.daemons.get(name);
         daemon.is_some_and(|daemon| daemon.suspected_at_ms.is_some())
     }
 
-    /// Forgets a daemon that left.
+    /// Removes a daemon that left.
     pub fn on_left(&mut self, name: &str) {
         self.changes += u64::from(self.daemons.remove(name).is_some());
     }
 
-    /// The daemons whose records may be removed, as they have been dead for long.
+    /// The daemons that have been dead for so long that their records may be removed.
     pub fn expired(&self) -> Vec<Arc<str>> {
         let dead_after_ms = self.dead_after_ms() + DEAD_RETENTION_MS;
         let is_expired = |daemon: &&KnownDaemon| {
@@ -173,7 +169,7 @@
         expired.map(|daemon| daemon.presence.name.clone()).collect()
     }
 
-    /// The pause between two records of a daemon, by the number of daemons heard of.
+    /// The interval between two records of a daemon, which grows with the number of known daemons.
     pub fn record_interval_ms(&self) -> u64 {
         let daemons = self.daemons.len() as u64;
         MIN_RECORD_INTERVAL_MS.max(daemons * daemons * RECORD_INTERVAL_PER_PAIR_MS)
@@ -183,7 +179,7 @@
         MAX_MISSED_RECORDS * self.record_interval_ms() + READ_DELAY_ALLOWANCE_MS
     }
 
-    /// The daemons that live.
+    /// The daemons that are alive, in any state.
     pub fn live(&self) -> impl Iterator<Item = &Presence> {
         let dead_after_ms = self.dead_after_ms();
         let is_live = move |daemon: &&KnownDaemon| {
@@ -195,16 +191,16 @@
             .map(|daemon| &daemon.presence)
     }
 
-    /// The daemons that live and take callers and work.
+    /// The live daemons that accept callers and work.
     pub fn ready(&self) -> impl Iterator<Item = &Presence> {
         self.live()
             .filter(|presence| presence.state == PresenceState::Ready)
     }
 
-    /// The daemon that runs a piece of work: one that holds it already, else the first by
-    /// rendezvous for `key` among those that are able.
+    /// The owner of a piece of work: the daemon that runs it already, else the first eligible one by rendezvous
+    /// hashing of `key`.
     ///
-    /// Two daemons may answer differently for a moment; whoever uses this must bear two owners.
+    /// Daemons may disagree for a short time, so the work must tolerate two owners.
     pub fn owner_of(&self, work: &str, key: &str) -> Option<&str> {
         if let Some(holder) = self.holder_of(work) {
             return Some(holder);
@@ -212,8 +208,8 @@
         rank_by_rendezvous(key, self.eligible()).into_iter().next()
     }
 
-    /// The names of the daemons that take work of others: those with at least half of the largest
-    /// processor. A small one would run the items of a step at a fraction of the engines' pace.
+    /// The names of the daemons that may own work: ready ones with at least half of the largest CPU capacity.
+    /// Smaller ones could not keep up with the engines.
     pub fn eligible(&self) -> impl Iterator<Item = &str> {
         let largest = self.ready().map(|presence| presence.capacity_percent).max();
         let min_percent = largest.unwrap_or(0) / 2;
@@ -222,13 +218,13 @@
             .map(|presence| &*presence.name)
     }
 
-    /// The first live daemon, by name, that says it runs a piece of work.
+    /// The first live daemon, by name, whose record lists a piece of work.
     pub fn holder_of(&self, work: &str) -> Option<&str> {
         let holds = |presence: &&Presence| presence.holds.iter().any(|held| &**held == work);
         self.live().find(holds).map(|holder| &*holder.name)
     }
 
-    /// Where other daemons are asked to pass on calls to the store: those that are able to, of a zone first.
+    /// The addresses of eligible daemons that forward calls to the store, those of `zone` first.
     pub fn peer_addresses(&self, own_name: &str, zone: &str) -> Vec<Arc<str>> {
         let eligible: Vec<&str> = self.eligible().collect();
         let others = self.ready().filter(|presence| {
@@ -242,19 +238,19 @@
         all.map(|presence| presence.peer_address.clone()).collect()
     }
 
-    /// The incarnation of a daemon, as far as is known.
+    /// The latest known incarnation of a daemon.
     pub fn incarnation_of(&self, name: &str) -> Option<u64> {
         Some(self.daemons.get(name)?.presence.incarnation)
     }
 
-    /// Where a daemon is reached.
+    /// The address of a daemon for callers.
     pub fn address_of(&self, name: &str) -> Option<Arc<str>> {
         let daemon = self.daemons.get(name)?;
         Some(daemon.presence.http_address.clone())
     }
 
-    /// The addresses for a caller in an availability zone: those of its own zone if at least `min_count`
-    /// are ready there, else all.
+    /// The addresses for a caller: those in its availability zone if at least `min_count` are ready there, else
+    /// those in all zones.
     pub fn addresses_for(&self, zone: &str, min_count: usize) -> Vec<Arc<str>> {
         let same_zone: Vec<Arc<str>> = self
             .ready()
