--- a/crates/borageshore_membership/src/addresses.rs
+++ b/crates/borageshore_membership/src/addresses.rs
@@ -1,4 +1,4 @@
-//! The address list that callers ask for.
+//! The list of daemon addresses for a caller.
 
 use std::sync::Arc;
 
@@ -7,10 +7,10 @@
 use crate::members::Membership;
 
 impl Membership {
-    /// A small, stable list for one caller, spread over the daemons by rendezvous hashing.
+    /// Up to `count` addresses for one caller, chosen by rendezvous hashing, those of this zone first.
     ///
-    /// Daemons of this zone come first. Leaving, suspected and dead daemons are not listed; when that
-    /// leaves none, this daemon names itself, for an answer that fails beats an empty one.
+    /// Only live daemons that are not suspected are listed. The list is never empty: if there are none,
+    /// it holds this daemon's own address.
     pub fn address_list(&self, caller: &str, count: usize) -> Vec<Arc<str>> {
         let now_ms = self.now_ms();
         let own_zone = self.own().zone.clone();
--- a/crates/borageshore_membership/src/entry.rs
+++ b/crates/borageshore_membership/src/entry.rs
@@ -1,66 +1,66 @@
-//! What daemons tell of each other.
+//! The entries and messages of the gossip protocol.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// What a daemon says of itself, or its zone of it.
+/// The state of a daemon as it announces it, or as its zone declares it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// Serves and takes new work.
+    /// Serves and accepts new work.
     Live,
-    /// Takes no new callers: it serves what it has and goes, or it has just started.
+    /// Accepts no new callers, because it is draining or has just started.
     Leaving,
-    /// Stopped, or silent for longer than the detector allows.
+    /// Stopped, or declared dead by the failure detector.
     Dead,
 }
 
-/// One daemon as gossip carries it.
+/// The full entry of one daemon.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberEntry {
     /// The daemon's name.
     pub name: Arc<str>,
-    /// Rises with each start of the process.
+    /// Increases with each start of the process.
     pub incarnation: u64,
-    /// Rises with each heartbeat of the incarnation.
+    /// Increases with each heartbeat of the incarnation.
     pub counter: u64,
     /// The availability zone.
     pub zone: Arc<str>,
-    /// Where callers connect.
+    /// The address for callers.
     pub http_address: Arc<str>,
-    /// Where peers connect.
+    /// The address for peers.
     pub peer_address: Arc<str>,
-    /// Where gossip arrives.
+    /// The address for gossip datagrams.
     pub gossip_address: Arc<str>,
-    /// The state.
+    /// The announced or declared state.
     pub state: MemberState,
 }
 
 impl MemberEntry {
-    /// Says whether this entry tells something newer than `other` of the same daemon.
+    /// Whether this entry is newer than `other` of the same daemon.
     pub fn supersedes(&self, other: &MemberEntry) -> bool {
         let rank = |entry: &MemberEntry| (entry.incarnation, entry.counter, entry.state);
         rank(self) > rank(other)
     }
 }
 
-/// A sign of life of a daemon that the receiver knows already.
+/// A compact update for a daemon whose full entry the receiver already has.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
     /// The daemon's name.
     pub name: Arc<str>,
-    /// Its incarnation.
+    /// The incarnation that the heartbeat belongs to.
     pub incarnation: u64,
-    /// Its counter.
+    /// The heartbeat counter of the incarnation.
     pub counter: u64,
 }
 
-/// What one datagram carries.
+/// The content of one datagram.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct GossipMessage {
-    /// Whole entries: the sender's own, news, and a few others in turn.
+    /// Full entries: the sender's own, recent changes, and a few others in rotation.
     pub entries: Vec<MemberEntry>,
-    /// Signs of life, a third of an entry's size.
+    /// Heartbeats, each about a third of the size of an entry.
     pub heartbeats: Vec<Heartbeat>,
 }
--- a/crates/borageshore_membership/src/gossip.rs
+++ b/crates/borageshore_membership/src/gossip.rs
@@ -1,4 +1,4 @@
-//! What is sent to whom in a tick.
+//! Selection of the gossip targets and messages of a tick.
 
 use std::sync::Arc;
 
@@ -7,28 +7,28 @@
     members::{Health, Member, Membership},
 };
 
-/// How many peers of the own zone hear from a daemon in a tick.
+/// How many peers of this zone get a message in a tick.
 const ZONE_FANOUT: usize = 2;
-/// How many peers of other zones hear from it.
+/// How many peers of other zones get a message in a tick.
 const REMOTE_FANOUT: usize = 1;
-/// The most whole entries in a message, the sender's own included.
+/// The maximum number of full entries in a message before the rotating ones, including the sender's own.
 const ENTRIES_PER_MESSAGE: usize = 12;
-/// Whole entries that go around in turn beside the news, against news that never arrived.
+/// Full entries that are sent in rotation, which repairs changes whose messages were all lost.
 const ROTATING_ENTRIES: usize = 1;
-/// How many signs of life a message carries.
+/// The maximum number of heartbeats in a message.
 const HEARTBEATS_PER_MESSAGE: usize = 16;
-/// How many of those are kept for the sender's own zone.
+/// How many of the heartbeats are reserved for the sender's zone.
 const ZONE_HEARTBEATS_PER_MESSAGE: usize = 8;
 
 impl Membership {
-    /// Picks this tick's messages; `seed` varies the choice of peers.
+    /// Returns the messages of this tick by target address; `seed` randomises the choice of peers.
     pub fn gossip(&mut self, seed: u64, now_ms: u64) -> Vec<(Arc<str>, GossipMessage)> {
         let targets = self.targets(seed, now_ms);
         let messages = targets.into_iter().map(|target| (target, self.compose()));
         messages.collect()
     }
 
-    /// A message for everybody at once, for the last words of a daemon that stops.
+    /// Returns messages with this daemon's own entry to all peers of its zone, for a daemon that stops.
     pub fn final_messages(&self, now_ms: u64) -> Vec<(Arc<str>, GossipMessage)> {
         let zone = &self.own.zone;
         let peers = self
@@ -58,7 +58,7 @@
             REMOTE_FANOUT,
             seed.rotate_left(32),
         ));
-        // Seeds keep a restarted or cut-off daemon trying to find the others.
+        // Contacting seeds lets a restarted or isolated daemon find the others again.
         if let Some(address) = pick_seed(&self.seeds, seed)
             && (targets.is_empty() || seed.is_multiple_of(8))
             && *address != self.own.gossip_address
@@ -95,7 +95,7 @@
         message
     }
 
-    /// The members from a start that moves on with each message.
+    /// All members, starting at a position that advances with each message.
     fn rotated(&self) -> impl Iterator<Item = &Member> {
         let count = self.members.len();
         let start = if count == 0 { 0 } else { self.rotation % count };
@@ -105,7 +105,7 @@
             .chain(self.members.values().take(start))
     }
 
-    /// Adds signs of life until the message holds `limit` of them.
+    /// Adds heartbeats of `wanted` members until the message holds `limit` of them.
     fn add_heartbeats<Wanted>(&self, message: &mut GossipMessage, limit: usize, wanted: Wanted)
     where
         Wanted: Fn(&MemberEntry) -> bool,
--- a/crates/borageshore_membership/src/members.rs
+++ b/crates/borageshore_membership/src/members.rs
@@ -1,4 +1,4 @@
-//! The failure detector.
+//! The membership list and failure detector of the gossip protocol.
 
 use std::sync::Arc;
 
@@ -6,31 +6,31 @@
 
 use crate::entry::{GossipMessage, Heartbeat, MemberEntry, MemberState};
 
-/// The time between two heartbeats.
+/// The interval between two heartbeats.
 pub const TICK_MS: u64 = 1_000;
-/// Silence after which a daemon of the own zone gets no new work.
+/// A daemon of this zone is suspected, and gets no new work, this long after its last heartbeat.
 const SUSPECT_MS: u64 = 4_000;
-/// Silence after which a daemon of the own zone counts as dead.
+/// A daemon of this zone counts as dead this long after its last heartbeat.
 const DEAD_MS: u64 = 10_000;
-/// A tick later than this means that this process itself was paused.
+/// A longer gap between two ticks means that this process was paused.
 const PAUSE_THRESHOLD_MS: u64 = 3 * TICK_MS;
-/// How long a dead daemon is remembered, so that old gossip does not revive it.
+/// How long a dead daemon is kept in the list, so that old gossip does not revive it.
 const DEAD_RETENTION_MS: u64 = 120_000;
-/// Entries of other zones that a daemon hears in one tick at the least; see `gossip`.
+/// The minimum number of entries of other zones that a daemon receives in one tick; see `gossip`.
 const REMOTE_ENTRIES_PER_TICK: u64 = 16;
-/// How many refreshes of a remote entry may be missed before it counts as silent.
+/// How many refreshes of an entry of another zone may be missed before its timeouts start.
 const MAX_MISSED_REMOTE_REFRESHES: u64 = 6;
-/// In how many messages a change is repeated first of all.
+/// In how many messages a change is sent with priority.
 pub(crate) const CHANGE_TRANSMISSIONS: u32 = 8;
 
-/// How the local detector sees a daemon.
+/// The state of a daemon according to the local failure detector.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Health {
-    /// Heard of lately.
+    /// Heartbeats arrive in time.
     Alive,
-    /// Silent for a while; gets no new work, keeps what it has.
+    /// Heartbeats are late; the daemon gets no new work and keeps what it has.
     Suspect,
-    /// Silent for too long, or said to be dead.
+    /// Heartbeats stopped for too long, or the daemon was declared dead.
     Dead,
 }
 
@@ -41,7 +41,7 @@
     pub(crate) transmissions_left: u32,
 }
 
-/// All daemons as this one sees them.
+/// All daemons known to this one.
 #[derive(Debug)]
 pub struct Membership {
     pub(crate) own: MemberEntry,
@@ -52,7 +52,7 @@
 }
 
 impl Membership {
-    /// Opens a membership that knows this daemon and the gossip addresses of some others.
+    /// Creates a membership of this daemon alone; `seeds` are gossip addresses of other daemons.
     pub fn open(own: MemberEntry, seeds: Vec<Arc<str>>, now_ms: u64) -> Self {
         Self {
             own,
@@ -68,16 +68,16 @@
         &self.own
     }
 
-    /// Announces that this daemon takes callers from now on.
+    /// Announces that this daemon accepts callers.
     ///
-    /// Guards against callers sent to a daemon that has just started and has no settings yet: it opens
-    /// its membership as [`MemberState::Leaving`], so nobody lists it before this.
+    /// Guards against callers that are sent to a daemon without settings: a starting daemon is
+    /// [`MemberState::Leaving`], which is not listed, until this call.
     pub fn enter(&mut self) {
         self.own.state = MemberState::Live;
         self.own.counter += 1;
     }
 
-    /// Announces that this daemon leaves.
+    /// Announces that this daemon is leaving.
     pub fn leave(&mut self) {
         self.own.state = MemberState::Leaving;
         self.own.counter += 1;
@@ -89,10 +89,10 @@
         self.own.counter += 1;
     }
 
-    /// Advances time: counts the own heartbeat and gives up on the silent.
+    /// Advances the time to `now_ms`, counts a heartbeat of this daemon and declares silent ones dead.
     ///
-    /// Guards against blaming others for an own pause (SIGSTOP, a stalled VM): the gap shows as a late
-    /// tick, and every deadline moves by it, so others get a full period to be heard again.
+    /// Guards against declaring others dead after a pause of this process (SIGSTOP, a stalled VM): the
+    /// length of the gap between two ticks is added to all deadlines.
     pub fn advance(&mut self, now_ms: u64) {
         let gap_ms = now_ms.saturating_sub(self.last_tick_ms);
         self.last_tick_ms = now_ms;
@@ -109,10 +109,10 @@
         });
     }
 
-    /// Marks silent daemons of the own zone as dead for everybody.
+    /// Declares silent daemons of this zone dead, which gossip spreads to all daemons.
     ///
-    /// Guards against a cut-off observer: when more than half of the zone looks silent at once, the
-    /// fault is more likely here, so the verdict is kept local (`health` still avoids them).
+    /// Guards against an isolated observer: if more than half of the zone is silent, this daemon is the
+    /// likelier fault, so nothing is declared. `health` still reports them as dead.
     fn declare_dead(&mut self, now_ms: u64) {
         let zone = self.own.zone.clone();
         let in_zone =
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Takes in one entry; says nothing of entries that are no news.
+    /// Processes a received entry; entries that are not newer than the known one are ignored.
     pub fn on_entry(&mut self, entry: MemberEntry, now_ms: u64) {
         if entry.name == self.own.name {
             self.refute(&entry);
@@ -165,8 +165,8 @@
         member.entry = entry;
     }
 
-    /// Takes in a sign of life. One of an unknown daemon or incarnation is passed over: the whole
-    /// entry comes as news, and a daemon that starts asks a peer for all entries.
+    /// Processes a heartbeat. Those of unknown daemons or incarnations are ignored, as a full entry is
+    /// sent with every change and a starting daemon fetches all entries from a peer.
     pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now_ms: u64) {
         let Some(member) = self.members.get_mut(&heartbeat.name) else {
             return;
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Takes in a datagram.
+    /// Processes a received message.
     pub fn on_message(&mut self, message: GossipMessage, now_ms: u64) {
         for entry in message.entries {
             self.on_entry(entry, now_ms);
@@ -193,14 +193,14 @@
         }
     }
 
-    /// Outbids a rumour about this daemon: a verdict of death, or a counter of an earlier life.
+    /// Refutes a newer entry about this daemon, such as one that declares it dead, by raising the counter above it.
     fn refute(&mut self, received: &MemberEntry) {
         if received.incarnation == self.own.incarnation && received.supersedes(&self.own) {
             self.own.counter = received.counter + 1;
         }
     }
 
-    /// How the detector sees a daemon; `Dead` for one it has never heard of.
+    /// The health of a daemon; `Dead` if it is unknown.
     pub fn health(&self, name: &str, now_ms: u64) -> Health {
         if name == &*self.own.name {
             return Health::Alive;
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Heartbeats of other zones come around less often the more daemons there are.
+    /// Extra time for heartbeats of other zones, which arrive less often the more daemons there are.
     fn remote_slack_ms(&self, member: &Member) -> u64 {
         if member.entry.zone == self.own.zone {
             return 0;
@@ -243,7 +243,7 @@
         self.members.get(name).map(|member| &member.entry)
     }
 
-    /// All known daemons that are not dead, this one first.
+    /// All daemons that are not dead, this one first.
     pub fn entries(&self, now_ms: u64) -> impl Iterator<Item = (&MemberEntry, Health)> {
         let others = self
             .members
@@ -253,7 +253,7 @@
         own.chain(others.filter(|(_, health)| *health != Health::Dead))
     }
 
-    /// The daemons that may be given new work, this one included unless it leaves.
+    /// The daemons that may get new work, including this one if it is live.
     pub fn usable(&self, now_ms: u64) -> impl Iterator<Item = &MemberEntry> {
         self.entries(now_ms)
             .filter(|(entry, health)| *health == Health::Alive && entry.state == MemberState::Live)
