--- a/crates/borageshore_membership/src/lib.rs
+++ b/crates/borageshore_membership/src/lib.rs
@@ -1,11 +1,11 @@
-//! Which daemons live, and which of them callers should use.
+//! Membership and failure detection of daemons.
 //!
-//! Heartbeats travel by gossip over UDP: each tick a daemon sends its own entry and a bounded number
-//! of others to a few peers, mostly in its own availability zone. [`Membership`] is pure: the shell
-//! gives it time, a seed and messages, and sends what it returns.
+//! [`Membership`] is a gossip protocol over UDP: each tick a daemon sends its own entry and a bounded number
+//! of others to a few peers, mostly in its own availability zone. It does no I/O: the daemon passes in the
+//! time, a random seed and received messages, and sends what is returned.
 //!
-//! Where all daemons read one log, [`PresenceTable`] takes gossip's place: the log carries what changes, and
-//! [`WatchTable`] tells who has gone silent.
+//! Where all daemons read one log, [`PresenceTable`] replaces gossip: the log carries changes of membership, and
+//! [`WatchTable`] detects failures by heartbeats.
 //!
 //! ```
 //! use borageshore_membership::{MemberEntry, MemberState, Membership};
--- a/crates/borageshore_membership/src/relay.rs
+++ b/crates/borageshore_membership/src/relay.rs
@@ -1,27 +1,26 @@
-//! Who reads a stream of the log from whom.
+//! The relay tree through which the daemons of a zone read the log.
 
 use borageshore_base::rank_by_rendezvous;
 
-/// How many daemons of a zone read the log itself.
+/// How many daemons of a zone read from the log directly.
 const ROOT_READERS: usize = 2;
-/// How many daemons read from one other. Two keeps what a daemon sends to twice what it receives.
+/// How many daemons read from one relay, which bounds what it sends to this multiple of what it receives.
 const FANOUT: usize = 2;
 
-/// Where a daemon reads from.
+/// The source from which a daemon reads the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RelaySource<'m> {
-    /// The log itself.
+    /// The log service.
     Log,
     /// The daemon of this name.
     Peer(&'m str),
 }
 
-/// The source of `own` among the usable daemons of its zone after some failed attempts.
+/// The source of `own` among the usable daemons of its zone, after `failures` failed attempts in a row.
 ///
-/// Rendezvous order lays the daemons of a zone out as a tree: the first two read the log, each other
-/// one reads from the one half as far from the front. Nobody is elected; daemons that see different
-/// members only read from other places. Guards against a dead relay, a loop of such different views
-/// and an outage of the log alike: after a failure the log and ever other peers take turns.
+/// Rendezvous order arranges the daemons as a tree whose first two read from the log; no election is
+/// needed. Guards against dead relays, against loops between daemons with different member lists and
+/// against an outage of the log: failed attempts alternate between the log and changing peers.
 pub fn relay_source<'m, Members>(own: &str, members: Members, failures: usize) -> RelaySource<'m>
 where
     Members: IntoIterator<Item = &'m str>,
