--- a/crates/borageshore_membership/tests/detector.rs
+++ b/crates/borageshore_membership/tests/detector.rs
@@ -6,26 +6,26 @@
 use borageshore_membership::{Health, MemberEntry, MemberState, Membership, TICK_MS};
 
 /// Memberships that hear each other at once, except those that are cut off or paused.
-struct Zone {
+struct Cluster {
     now_ms: u64,
     daemons: SortedMap<Arc<str>, Membership>,
-    silent: Vec<Arc<str>>,
+    disconnected: Vec<Arc<str>>,
     rounds: u64,
 }
 
-impl Zone {
+impl Cluster {
     /// Daemons `d0`, `d1` and so on in these zones; all know `d0` as a seed.
     fn open(zones: &[&str]) -> Self {
-        let mut zone = Self {
+        let mut cluster = Self {
             now_ms: 0,
             daemons: SortedMap::default(),
-            silent: Vec::new(),
+            disconnected: Vec::new(),
             rounds: 0,
         };
-        for (number, name) in zones.iter().enumerate() {
-            zone.start(number, name, 1);
+        for (number, zone) in zones.iter().enumerate() {
+            cluster.start(number, zone, 1);
         }
-        zone
+        cluster
     }
 
     fn start(&mut self, number: usize, zone: &str, incarnation: u64) {
@@ -62,18 +62,18 @@
     fn round(&mut self) {
         self.rounds += 1;
         let names: Vec<Arc<str>> = self.daemons.keys().cloned().collect();
-        for (at, name) in names.iter().enumerate() {
-            if self.silent.contains(name) {
+        for (index, name) in names.iter().enumerate() {
+            if self.disconnected.contains(name) {
                 continue;
             }
             let daemon = self.daemons.get_mut(name).unwrap();
             daemon.advance(self.now_ms);
-            let seed = self.rounds.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ at as u64;
+            let seed = self.rounds.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ index as u64;
             for (target, message) in daemon.gossip(seed, self.now_ms) {
                 let reached = self
                     .daemons
                     .get_mut(&target)
-                    .filter(|_| !self.silent.contains(&target));
+                    .filter(|_| !self.disconnected.contains(&target));
                 if let Some(reached) = reached {
                     reached.on_message(message, self.now_ms);
                 }
@@ -86,105 +86,105 @@
     }
 }
 
-macro_rules! stories {
-    ($($name:ident: $story:expr;)*) => {
-        $(#[test] fn $name() { $story })*
+macro_rules! cases {
+    ($($name:ident: $body:expr;)*) => {
+        $(#[test] fn $name() { $body })*
     };
 }
 
-stories! {
-    everybody_hears_of_everybody: {
-        let mut zone = Zone::open(&["a", "a", "a", "b", "b", "c"]);
-        zone.run(20);
+cases! {
+    every_daemon_learns_of_every_other: {
+        let mut cluster = Cluster::open(&["a", "a", "a", "b", "b", "c"]);
+        cluster.run(20);
         for number in 1..6 {
-            assert_eq!(zone.health("d0", &format!("d{number}")), Health::Alive);
+            assert_eq!(cluster.health("d0", &format!("d{number}")), Health::Alive);
         }
     };
 
     // A daemon dies without a word. Callers must get no new address of it after a few seconds; first
     // it is suspected and gets no new work, then its zone declares it dead for the other zones too.
-    silence_is_suspected_before_death: {
-        let mut zone = Zone::open(&["a", "a", "a", "b"]);
-        zone.run(20);
-        zone.silent.push("d1".into());
-        zone.run(6);
-        assert_eq!(zone.health("d0", "d1"), Health::Suspect);
-        let listed = zone.daemons.get("d0").unwrap().address_list("caller", 9);
+    a_silent_daemon_is_suspected_before_it_is_dead: {
+        let mut cluster = Cluster::open(&["a", "a", "a", "b"]);
+        cluster.run(20);
+        cluster.disconnected.push("d1".into());
+        cluster.run(6);
+        assert_eq!(cluster.health("d0", "d1"), Health::Suspect);
+        let listed = cluster.daemons.get("d0").unwrap().address_list("caller", 9);
         assert!(!listed.contains(&"http-1".into()), "{listed:?}");
-        zone.run(10);
-        assert_eq!(zone.health("d0", "d1"), Health::Dead);
-        assert_eq!(zone.health("d3", "d1"), Health::Dead);
+        cluster.run(10);
+        assert_eq!(cluster.health("d0", "d1"), Health::Dead);
+        assert_eq!(cluster.health("d3", "d1"), Health::Dead);
     };
 
     // A daemon is paused for a minute (SIGSTOP, a stalled VM). When it wakes up it has heard of nobody
     // for a minute, but the fault is its own: it must not declare the others dead.
-    own_pause_blames_nobody: {
-        let mut zone = Zone::open(&["a", "a", "a", "a"]);
-        zone.run(20);
-        zone.silent.push("d0".into());
-        zone.run(60);
-        zone.silent.clear();
-        let now_ms = zone.now_ms;
-        let woken = zone.daemons.get_mut("d0").unwrap();
-        woken.advance(now_ms);
+    a_paused_daemon_declares_no_other_dead: {
+        let mut cluster = Cluster::open(&["a", "a", "a", "a"]);
+        cluster.run(20);
+        cluster.disconnected.push("d0".into());
+        cluster.run(60);
+        cluster.disconnected.clear();
+        let now_ms = cluster.now_ms;
+        let resumed = cluster.daemons.get_mut("d0").unwrap();
+        resumed.advance(now_ms);
         for number in 1..4 {
-            assert_eq!(woken.health(&format!("d{number}"), now_ms), Health::Alive);
+            assert_eq!(resumed.health(&format!("d{number}"), now_ms), Health::Alive);
         }
-        zone.run(20);
-        assert_eq!(zone.health("d3", "d0"), Health::Alive, "it is taken back after its own death");
+        cluster.run(20);
+        assert_eq!(cluster.health("d3", "d0"), Health::Alive, "it is taken back after its own death");
     };
 
     // A daemon loses its network. From there all others look dead; it must not spread that, and after
     // the repair everybody sees everybody again.
-    cut_off_daemon_spreads_no_verdict: {
-        let mut zone = Zone::open(&["a", "a", "a", "a"]);
-        zone.run(20);
+    an_isolated_daemon_does_not_spread_deaths: {
+        let mut cluster = Cluster::open(&["a", "a", "a", "a"]);
+        cluster.run(20);
         let others = ["d1", "d2", "d3"].map(Arc::from);
-        zone.silent.extend(others);
-        zone.run(30);
-        assert_eq!(zone.health("d0", "d1"), Health::Dead, "it avoids them itself");
-        let spread = zone.daemons.get("d0").unwrap().entries(0);
-        assert!(spread.into_iter().all(|(entry, _)| entry.state != MemberState::Dead));
-        zone.silent.clear();
-        zone.run(30);
+        cluster.disconnected.extend(others);
+        cluster.run(30);
+        assert_eq!(cluster.health("d0", "d1"), Health::Dead, "it avoids them itself");
+        let known = cluster.daemons.get("d0").unwrap().entries(0);
+        assert!(known.into_iter().all(|(entry, _)| entry.state != MemberState::Dead));
+        cluster.disconnected.clear();
+        cluster.run(30);
         for (observer, of) in [("d0", "d1"), ("d1", "d0"), ("d2", "d3")] {
-            assert_eq!(zone.health(observer, of), Health::Alive);
+            assert_eq!(cluster.health(observer, of), Health::Alive);
         }
     };
 
     // A daemon leaves gracefully. It is no longer listed as soon as its word arrives, long before any
     // silence could tell.
     leaving_is_known_at_once: {
-        let mut zone = Zone::open(&["a", "a", "a"]);
-        zone.run(20);
-        zone.daemons.get_mut("d1").unwrap().leave();
-        let now_ms = zone.now_ms;
-        for (target, message) in zone.daemons.get("d1").unwrap().final_messages(now_ms) {
-            zone.daemons.get_mut(&target).unwrap().on_message(message, now_ms);
+        let mut cluster = Cluster::open(&["a", "a", "a"]);
+        cluster.run(20);
+        cluster.daemons.get_mut("d1").unwrap().leave();
+        let now_ms = cluster.now_ms;
+        for (target, message) in cluster.daemons.get("d1").unwrap().final_messages(now_ms) {
+            cluster.daemons.get_mut(&target).unwrap().on_message(message, now_ms);
         }
-        let listed = zone.daemons.get("d0").unwrap().address_list("caller", 9);
+        let listed = cluster.daemons.get("d0").unwrap().address_list("caller", 9);
         assert_eq!(listed.len(), 2, "{listed:?}");
     };
 
     // A killed daemon is started anew at once. Its new incarnation replaces the old one everywhere,
     // also where old gossip of the first life still goes around.
     new_incarnation_replaces_the_old: {
-        let mut zone = Zone::open(&["a", "a", "a", "b", "b"]);
-        zone.run(20);
-        zone.start(1, "a", 2);
-        zone.run(20);
+        let mut cluster = Cluster::open(&["a", "a", "a", "b", "b"]);
+        cluster.run(20);
+        cluster.start(1, "a", 2);
+        cluster.run(20);
         for observer in ["d0", "d2", "d3", "d4"] {
-            let seen = zone.daemons.get(observer).unwrap().entry("d1").unwrap();
+            let seen = cluster.daemons.get(observer).unwrap().entry("d1").unwrap();
             assert_eq!(seen.incarnation, 2, "{observer}");
         }
     };
 
     // Caller lists are stable and spread: the same caller gets the same list, and no daemon is first
     // for everybody.
-    lists_are_stable_and_spread: {
-        let mut zone = Zone::open(&["a", "a", "a", "a", "b", "b"]);
-        zone.run(20);
-        let daemon = zone.daemons.get("d0").unwrap();
+    address_lists_are_stable_and_spread: {
+        let mut cluster = Cluster::open(&["a", "a", "a", "a", "b", "b"]);
+        cluster.run(20);
+        let daemon = cluster.daemons.get("d0").unwrap();
         assert_eq!(daemon.address_list("x", 3), daemon.address_list("x", 3));
         let mut firsts: Vec<Arc<str>> =
             (0..64).map(|caller| daemon.address_list(&format!("{caller}"), 3)[0].clone()).collect();
@@ -196,15 +196,15 @@
     // A daemon is stopped and started anew. Its zone hears of the new incarnation at once, before it
     // has any settings; a caller sent there then would be refused. It is listed only once it is ready.
     starting_daemon_is_not_listed: {
-        let mut zone = Zone::open(&["a", "a", "a"]);
-        zone.run(20);
-        zone.start(1, "a", 2);
-        zone.daemons.get_mut("d1").unwrap().leave();
-        zone.run(10);
-        let listed = |zone: &Zone| zone.daemons.get("d0").unwrap().address_list("caller", 9).len();
-        assert_eq!(listed(&zone), 2);
-        zone.daemons.get_mut("d1").unwrap().enter();
-        zone.run(10);
-        assert_eq!(listed(&zone), 3);
+        let mut cluster = Cluster::open(&["a", "a", "a"]);
+        cluster.run(20);
+        cluster.start(1, "a", 2);
+        cluster.daemons.get_mut("d1").unwrap().leave();
+        cluster.run(10);
+        let listed = |cluster: &Cluster| cluster.daemons.get("d0").unwrap().address_list("caller", 9).len();
+        assert_eq!(listed(&cluster), 2);
+        cluster.daemons.get_mut("d1").unwrap().enter();
+        cluster.run(10);
+        assert_eq!(listed(&cluster), 3);
     };
 }
--- a/crates/borageshore_membership/tests/presence.rs
+++ b/crates/borageshore_membership/tests/presence.rs
@@ -27,7 +27,7 @@
     }
 }
 
-fn holding(name: &str, work: &str) -> Presence {
+fn presence_with_work(name: &str, work: &str) -> Presence {
     Presence {
         holds: vec![work.into()],
         ..presence(name, "z1", PresenceState::Ready)
@@ -35,7 +35,7 @@
 }
 
 /// A table that has heard of three ready daemons at time 0.
-fn three() -> PresenceTable {
+fn three_ready_daemons() -> PresenceTable {
     let mut table = PresenceTable::default();
     table.on_read(0);
     for (name, zone) in [("vm-1", "z1"), ("vm-2", "z1"), ("vm-3", "z2")] {
@@ -57,8 +57,8 @@
 }
 
 cases! {
-    silence_while_the_log_is_read_is_death => {
-        let mut table = three();
+    a_daemon_without_records_while_the_log_is_read_is_dead => {
+        let mut table = three_ready_daemons();
         read_until(&mut table, 100, 1_000);
         table.on_presence(presence("vm-1", "z1", PresenceState::Ready));
         read_until(&mut table, 1_100, 2_400);
@@ -69,8 +69,8 @@
     // Callers hear of one address only, and that daemon starts everybody's work again.
     // The log is away for half a minute; the first read after it brings no heartbeat yet.
     // Counted on the wall clock, every other daemon has been silent for too long by then.
-    an_outage_of_the_log_kills_nobody => {
-        let mut table = three();
+    no_daemon_is_declared_dead_after_an_outage_of_the_log => {
+        let mut table = three_ready_daemons();
         read_until(&mut table, 100, 500);
         table.on_read(30_000);
         assert_eq!(table.live().count(), 3);
@@ -78,18 +78,18 @@
 
     // A daemon starts again and its last heartbeat of the life before is read after its first one.
     // Taken for news it would make the daemon the owner of work that it has forgotten.
-    a_heartbeat_of_an_earlier_life_is_ignored => {
-        let mut table = three();
+    a_record_of_an_earlier_incarnation_is_ignored => {
+        let mut table = three_ready_daemons();
         table.on_presence(Presence { incarnation: 2, ..presence("vm-1", "z1", PresenceState::Starting) });
-        table.on_presence(holding("vm-1", "s1"));
+        table.on_presence(presence_with_work("vm-1", "s1"));
         assert_eq!(table.holder_of("s1"), None);
         assert!(table.ready().all(|known| &*known.name != "vm-1"));
     }
 
     a_holder_stays_the_owner_whoever_comes_first_by_rendezvous => {
-        let mut table = three();
+        let mut table = three_ready_daemons();
         for name in ["vm-1", "vm-2", "vm-3"] {
-            table.on_presence(holding(name, "s1"));
+            table.on_presence(presence_with_work(name, "s1"));
             assert_eq!(table.owner_of("s1", "model"), Some(name));
             table.on_presence(presence(name, "z1", PresenceState::Ready));
         }
@@ -98,7 +98,7 @@
     // Each step of a trainer went to another daemon, which opened its own connections to all engines:
     // 1,448 new ones a day for 16,000 requests, and prompts' texts left from the step before were elsewhere.
     steps_of_one_trainer_have_one_owner => {
-        let table = three();
+        let table = three_ready_daemons();
         let owners: Vec<Option<&str>> = (0..20)
             .map(|step| table.owner_of(&format!("step-{step}"), "model"))
             .collect();
@@ -106,16 +106,16 @@
     }
 
     a_draining_daemon_keeps_what_it_holds_and_gets_nothing_new => {
-        let mut table = three();
-        table.on_presence(Presence { state: PresenceState::Draining, ..holding("vm-1", "s1") });
+        let mut table = three_ready_daemons();
+        table.on_presence(Presence { state: PresenceState::Draining, ..presence_with_work("vm-1", "s1") });
         assert_eq!(table.owner_of("s1", "model"), Some("vm-1"));
         for step in 0..50 {
             assert_ne!(table.owner_of(&format!("new-{step}"), &format!("key-{step}")), Some("vm-1"));
         }
     }
 
-    a_dead_owner_is_followed_by_another => {
-        let mut table = three();
+    a_dead_owner_is_replaced => {
+        let mut table = three_ready_daemons();
         let first = table.owner_of("s1", "model").unwrap().to_owned();
         read_until(&mut table, 100, 1_000);
         for name in ["vm-1", "vm-2", "vm-3"].into_iter().filter(|name| *name != first) {
@@ -128,8 +128,8 @@
 
     // Steps of one trainer run at a third of the engines' pace on some days and not on others.
     // Its owner by rendezvous was a VM with an eighth of a core, whose loop was behind the events.
-    small_vms_run_no_steps => {
-        let mut table = three();
+    small_vms_own_no_work => {
+        let mut table = three_ready_daemons();
         table.on_presence(Presence { capacity_percent: 12, ..presence("vm-4", "z1", PresenceState::Ready) });
         for step in 0..50 {
             assert_ne!(table.owner_of("s", &format!("key-{step}")), Some("vm-4"));
@@ -160,8 +160,8 @@
 
     // Steps stand still for seconds though a watcher has seen that the daemon which runs them is dead.
     // Its suspicion is the last word of it in the log, and time goes on without another record.
-    a_suspicion_that_nobody_refutes_is_a_death => {
-        let mut table = three();
+    a_suspicion_that_is_not_refuted_is_a_death => {
+        let mut table = three_ready_daemons();
         table.advance(1_000);
         table.on_suspicion(&suspicion("vm-2", 1), 1_000);
         assert!(table.is_suspected("vm-2"));
@@ -175,7 +175,7 @@
     // A daemon loses its work though it lives: datagrams were lost on their way.
     // It reads that it is suspected and writes its record again, in time or a little later.
     a_record_refutes_a_suspicion => {
-        let mut table = three();
+        let mut table = three_ready_daemons();
         table.on_suspicion(&suspicion("vm-2", 1), 1_000);
         table.on_presence(presence("vm-2", "z1", PresenceState::Ready));
         assert!(!table.advance(2_000));
@@ -187,16 +187,16 @@
 
     // A daemon that has just started again is taken for dead, and its callers are sent elsewhere.
     // Its watchers suspect the life before; their record comes after the first one of the new life.
-    a_suspicion_of_an_earlier_life_is_ignored => {
-        let mut table = three();
+    a_suspicion_of_an_earlier_incarnation_is_ignored => {
+        let mut table = three_ready_daemons();
         table.on_presence(Presence { incarnation: 2, ..presence("vm-2", "z1", PresenceState::Ready) });
         table.on_suspicion(&suspicion("vm-2", 1), 1_000);
         assert!(!table.advance(5_000));
         assert_eq!(table.live().count(), 3);
     }
 
-    dead_daemons_are_forgotten_after_a_minute => {
-        let mut table = three();
+    dead_daemons_expire_after_a_minute => {
+        let mut table = three_ready_daemons();
         table.on_suspicion(&suspicion("vm-2", 1), 1_000);
         table.advance(60_000);
         assert!(table.expired().is_empty());
@@ -205,14 +205,14 @@
     }
 
     callers_get_addresses_of_their_zone_if_there_is_a_choice => {
-        let table = three();
+        let table = three_ready_daemons();
         let near: Vec<Arc<str>> = vec!["vm-1:80".into(), "vm-2:80".into()];
         assert_eq!(table.addresses_for("z1", 2), near);
         assert_eq!(table.addresses_for("z2", 2).len(), 3);
     }
 
     a_daemon_that_left_is_not_listed => {
-        let mut table = three();
+        let mut table = three_ready_daemons();
         table.on_left("vm-2");
         assert_eq!(table.addresses_for("z1", 1), ["vm-1:80".into()]);
     }
--- a/crates/borageshore_membership/tests/relay.rs
+++ b/crates/borageshore_membership/tests/relay.rs
@@ -6,9 +6,9 @@
     (0..count).map(|number| format!("vm-{number}")).collect()
 }
 
-fn source(own: &str, names: &[String], failures: usize) -> RelaySource<'static> {
-    let found = relay_source(own, names.iter().map(String::as_str), failures);
-    match found {
+fn source_of(own: &str, names: &[String], failures: usize) -> RelaySource<'static> {
+    let chosen = relay_source(own, names.iter().map(String::as_str), failures);
+    match chosen {
         RelaySource::Log => RelaySource::Log,
         RelaySource::Peer(name) => RelaySource::Peer(String::leak(name.to_owned())),
     }
@@ -21,19 +21,19 @@
     let names = names(27);
     let roots = names
         .iter()
-        .filter(|name| source(name, &names, 0) == RelaySource::Log)
+        .filter(|name| source_of(name, &names, 0) == RelaySource::Log)
         .count();
     assert_eq!(roots, 2);
     for name in &names {
         let served = names
             .iter()
-            .filter(|own| source(own, &names, 0) == RelaySource::Peer(name))
+            .filter(|own| source_of(own, &names, 0) == RelaySource::Peer(name))
             .count();
         assert!(served <= 2, "{name} serves {served}");
-        let mut at: &str = name;
+        let mut reader: &str = name;
         let mut steps = 0;
-        while let RelaySource::Peer(parent) = source(at, &names, 0) {
-            at = parent;
+        while let RelaySource::Peer(parent) = source_of(reader, &names, 0) {
+            reader = parent;
             steps += 1;
         }
         assert!(steps <= 4, "{name} is {steps} steps away");
@@ -43,14 +43,14 @@
 /// A relay dies and nobody knows yet. Whoever read from it goes to the log, and when the log is down
 /// as well, to ever other peers.
 #[test]
-fn failures_lead_elsewhere() {
+fn failed_reads_alternate_between_log_and_peers() {
     let names = names(9);
     let reader = names
         .iter()
-        .find(|name| source(name, &names, 0) != RelaySource::Log)
+        .find(|name| source_of(name, &names, 0) != RelaySource::Log)
         .unwrap();
-    assert_eq!(source(reader, &names, 1), RelaySource::Log);
-    let peers = [2, 4, 6].map(|failures| source(reader, &names, failures));
+    assert_eq!(source_of(reader, &names, 1), RelaySource::Log);
+    let peers = [2, 4, 6].map(|failures| source_of(reader, &names, failures));
     assert!(
         peers
             .iter()
--- a/crates/borageshore_membership/tests/store_failover.rs
+++ b/crates/borageshore_membership/tests/store_failover.rs
@@ -9,7 +9,7 @@
 }
 
 cases! {
-    the_own_way_is_taken_as_long_as_it_is_open => {
+    calls_go_directly_while_the_store_answers => {
         let mut failover = StoreFailover::default();
         assert_eq!(failover.next_route(false, 0), StoreRoute::Direct);
         failover.on_direct_result(true, 10);
@@ -17,7 +17,7 @@
     }
 
     // A step waits for the end of a cut, though eleven other daemons reach the store.
-    a_peer_that_reaches_the_store_closes_the_own_way => {
+    calls_go_through_a_peer_that_reaches_the_store => {
         let mut failover = StoreFailover::default();
         failover.on_direct_result(false, 600);
         assert!(failover.on_peer_result(true, 610), "told once");
@@ -25,7 +25,7 @@
         assert_eq!(failover.next_route(false, 5_000), StoreRoute::Peer);
     }
 
-    a_closed_way_is_tried_by_calls_that_may_every_two_seconds => {
+    idempotent_calls_probe_the_direct_route_every_two_seconds => {
         let mut failover = StoreFailover::default();
         failover.on_direct_result(false, 0);
         failover.on_peer_result(true, 0);
@@ -39,7 +39,7 @@
     // Each daemon asks each other one while the store is down for all.
     // All daemons start at the same time, and the store turns some calls of all of them away.
     // Each gave such a call to a peer, and the store stayed at its limit for 10 s.
-    a_store_that_answers_now_and_then_is_left_alone => {
+    peers_are_not_asked_while_the_store_answers_some_calls => {
         let mut failover = StoreFailover::default();
         failover.on_direct_result(false, 100);
         failover.on_direct_result(false, 200);
@@ -65,7 +65,7 @@
     // A trainer reads an item at one position and later at another.
     // The answer to the append of its result was lost; it was given to a peer as well, under the same key,
     // and took the later place for readers that started after it.
-    a_lost_call_that_must_not_be_done_twice_goes_no_other_way => {
+    a_call_of_unknown_outcome_is_repeated_only_if_idempotent => {
         assert!(!StoreCallOutcome::Unknown.may_try_other_route(false));
         assert!(StoreCallOutcome::Unknown.may_try_other_route(true));
         assert!(StoreCallOutcome::Refused.may_try_other_route(false));
@@ -74,13 +74,13 @@
 
     // A trainer is told that nothing of its submission runs, and it runs.
     // The store refused it on one way; the peer that it was given to got no answer, and it was accepted.
-    what_may_have_been_done_is_not_undone_by_a_refusal => {
+    an_unknown_outcome_takes_precedence_over_a_refusal => {
         assert!(StoreCallOutcome::Unknown.takes_precedence_over(StoreCallOutcome::Refused));
         assert!(!StoreCallOutcome::Refused.takes_precedence_over(StoreCallOutcome::Unknown));
         assert!(StoreCallOutcome::Answered.takes_precedence_over(StoreCallOutcome::Unknown));
     }
 
-    a_daemon_helps_only_while_it_reaches_the_store_itself => {
+    a_daemon_forwards_calls_only_while_it_reaches_the_store => {
         let mut failover = StoreFailover::default();
         assert!(!failover.reaches_store(0), "nothing is known yet");
         failover.on_direct_result(true, 100);
--- a/crates/borageshore_membership/tests/watch.rs
+++ b/crates/borageshore_membership/tests/watch.rs
@@ -10,11 +10,11 @@
 /// The pace of the simulation.
 const STEP_MS: u64 = 10;
 /// The pause between two reads of the log.
-const READ_EVERY_MS: u64 = 50;
+const READ_INTERVAL_MS: u64 = 50;
 /// When all daemons know each other.
-const SETTLED_MS: u64 = 3_000;
+const WARM_UP_MS: u64 = 3_000;
 /// Silence, its rounding to a look, an append, a read, the time to refute.
-const NOTICED_WITHIN_MS: u64 = 1_300;
+const MAX_DETECTION_MS: u64 = 1_300;
 
 #[derive(Debug, Clone)]
 enum Record {
@@ -25,7 +25,7 @@
 /// What ails a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    Runs,
+    Running,
     /// Its process is gone, or its VM has no power.
     Dead,
     /// It stands still.
@@ -33,7 +33,7 @@
     /// It neither reads nor writes the log.
     CutFromLog,
     /// None of its datagrams arrives.
-    Mute,
+    HeartbeatsLost,
 }
 
 /// A daemon of one of some zones; it is reached under its number.
@@ -57,17 +57,17 @@
     table: PresenceTable,
     watch: WatchTable,
     ring: WatchRing,
-    as_of_changes: Option<u64>,
-    read_up_to: usize,
-    answered_at_ms: u64,
-    written_at_ms: u64,
+    ring_changes: Option<u64>,
+    next_record: usize,
+    last_read_ms: u64,
+    last_append_ms: u64,
     /// When it wrote that it lives, on being suspected.
-    refuted: usize,
+    refutations: usize,
 }
 
 /// Daemons, their log, and a network without delay.
 #[derive(Debug)]
-struct World {
+struct Simulation {
     now_ms: u64,
     daemons: Vec<Daemon>,
     log: Vec<Record>,
@@ -75,31 +75,31 @@
     suspicions: usize,
 }
 
-impl World {
+impl Simulation {
     fn start(daemons: usize, zones: usize) -> Self {
         let daemon = |number: usize| Daemon {
             own: presence(number, zones),
-            state: State::Runs,
+            state: State::Running,
             table: PresenceTable::default(),
             watch: WatchTable::default(),
             ring: WatchRing::default(),
-            as_of_changes: None,
-            read_up_to: 0,
-            answered_at_ms: 0,
-            written_at_ms: 0,
-            refuted: 0,
+            ring_changes: None,
+            next_record: 0,
+            last_read_ms: 0,
+            last_append_ms: 0,
+            refutations: 0,
         };
-        let mut world = Self {
+        let mut simulation = Self {
             now_ms: 0,
             daemons: (0..daemons).map(daemon).collect(),
             log: Vec::new(),
             is_log_up: true,
             suspicions: 0,
         };
-        let own = world.daemons.iter().map(|daemon| daemon.own.clone());
-        world.log = own.map(Record::Own).collect();
-        world.run_until(SETTLED_MS);
-        world
+        let own = simulation.daemons.iter().map(|daemon| daemon.own.clone());
+        simulation.log = own.map(Record::Own).collect();
+        simulation.run_until(WARM_UP_MS);
+        simulation
     }
 
     fn run_until(&mut self, until_ms: u64) {
@@ -116,23 +116,23 @@
             return;
         }
         // Daemons do not look and read all at the same moment.
-        let turn_ms = self.now_ms + number as u64 * STEP_MS;
+        let staggered_ms = self.now_ms + number as u64 * STEP_MS;
         let reaches_log = self.is_log_up && self.daemons[number].state != State::CutFromLog;
-        if turn_ms.is_multiple_of(READ_EVERY_MS) && reaches_log {
-            self.read(number);
+        if staggered_ms.is_multiple_of(READ_INTERVAL_MS) && reaches_log {
+            self.read_log(number);
         }
-        if turn_ms.is_multiple_of(HEARTBEAT_INTERVAL_MS) {
-            self.look(number);
+        if staggered_ms.is_multiple_of(HEARTBEAT_INTERVAL_MS) {
+            self.check_heartbeats(number);
         }
     }
 
-    fn read(&mut self, number: usize) {
+    fn read_log(&mut self, number: usize) {
         let now_ms = self.now_ms;
         let daemon = &mut self.daemons[number];
         daemon.table.on_read(now_ms);
-        daemon.answered_at_ms = now_ms;
+        daemon.last_read_ms = now_ms;
         let mut is_suspected = false;
-        for record in &self.log[daemon.read_up_to..] {
+        for record in &self.log[daemon.next_record..] {
             match record {
                 Record::Own(presence) => {
                     daemon.watch.on_record(&presence.name, now_ms);
@@ -147,26 +147,26 @@
                 }
             }
         }
-        daemon.read_up_to = self.log.len();
-        let is_due = now_ms >= daemon.written_at_ms + daemon.table.record_interval_ms();
+        daemon.next_record = self.log.len();
+        let is_due = now_ms >= daemon.last_append_ms + daemon.table.record_interval_ms();
         if is_suspected || is_due {
-            daemon.written_at_ms = now_ms;
-            daemon.refuted += usize::from(is_suspected);
+            daemon.last_append_ms = now_ms;
+            daemon.refutations += usize::from(is_suspected);
             self.log.push(Record::Own(daemon.own.clone()));
         }
     }
 
-    fn look(&mut self, number: usize) {
+    fn check_heartbeats(&mut self, number: usize) {
         let now_ms = self.now_ms;
         let daemon = &mut self.daemons[number];
         daemon.table.advance(now_ms);
-        if daemon.as_of_changes != Some(daemon.table.changes()) {
-            daemon.as_of_changes = Some(daemon.table.changes());
+        if daemon.ring_changes != Some(daemon.table.changes()) {
+            daemon.ring_changes = Some(daemon.table.changes());
             daemon.ring = WatchRing::of(daemon.table.live());
             let watched = daemon.ring.watched_by(&daemon.own.name);
             daemon.watch.set_watched(watched, now_ms);
         }
-        let log_silent_ms = now_ms - daemon.answered_at_ms;
+        let log_silent_ms = now_ms - daemon.last_read_ms;
         if log_silent_ms < WATCHER_LOG_TIMEOUT_MS {
             let silent = daemon.watch.take_silent(now_ms);
             let by = daemon.own.name.clone();
@@ -183,7 +183,7 @@
             daemon.watch.on_log_unreachable(now_ms);
         }
         let daemon = &self.daemons[number];
-        if log_silent_ms < HEARTBEAT_LOG_TIMEOUT_MS && daemon.state != State::Mute {
+        if log_silent_ms < HEARTBEAT_LOG_TIMEOUT_MS && daemon.state != State::HeartbeatsLost {
             let name = daemon.own.name.clone();
             for watcher in daemon.ring.watchers_of(&name) {
                 let watcher = &mut self.daemons[watcher.parse::<usize>().unwrap()];
@@ -194,33 +194,39 @@
         }
     }
 
-    fn set(&mut self, state: State, is_meant: impl Fn(usize, &Daemon) -> bool) {
+    fn set(&mut self, state: State, is_selected: impl Fn(usize, &Daemon) -> bool) {
         for (number, daemon) in self.daemons.iter_mut().enumerate() {
-            if is_meant(number, daemon) {
+            if is_selected(number, daemon) {
                 daemon.state = state;
             }
         }
     }
 
-    fn names(&self, is_meant: impl Fn(&Daemon) -> bool) -> Vec<Arc<str>> {
-        let meant = self.daemons.iter().filter(|daemon| is_meant(daemon));
-        let mut names: Vec<Arc<str>> = meant.map(|daemon| daemon.own.name.clone()).collect();
+    fn names(&self, is_selected: impl Fn(&Daemon) -> bool) -> Vec<Arc<str>> {
+        let selected = self.daemons.iter().filter(|daemon| is_selected(daemon));
+        let mut names: Vec<Arc<str>> = selected.map(|daemon| daemon.own.name.clone()).collect();
         names.sort_unstable();
         names
     }
 
     /// How long it takes until all that reach the log see just those live that do.
-    fn noticed_after_ms(&mut self, within_ms: u64) -> u64 {
+    fn convergence_ms(&mut self, within_ms: u64) -> u64 {
         let since_ms = self.now_ms;
-        let lives = |daemon: &Daemon| matches!(daemon.state, State::Runs | State::Mute);
-        let expected = self.names(lives);
+        let is_expected_live =
+            |daemon: &Daemon| matches!(daemon.state, State::Running | State::HeartbeatsLost);
+        let expected = self.names(is_expected_live);
         while self.now_ms < since_ms + within_ms {
             self.run_until(self.now_ms + STEP_MS);
-            let sees = |daemon: &Daemon| {
+            let has_converged = |daemon: &Daemon| {
                 let live = daemon.table.live().map(|presence| presence.name.clone());
                 live.collect::<Vec<_>>() == expected
             };
-            if self.daemons.iter().filter(|daemon| lives(daemon)).all(sees) {
+            if self
+                .daemons
+                .iter()
+                .filter(|daemon| is_expected_live(daemon))
+                .all(has_converged)
+            {
                 return self.now_ms - since_ms;
             }
         }
@@ -228,12 +234,12 @@
     }
 
     /// The daemons that others take for dead, each with how many do.
-    fn taken_for_dead(&self) -> BTreeMap<Arc<str>, usize> {
+    fn declared_dead(&self) -> BTreeMap<Arc<str>, usize> {
         let mut dead = BTreeMap::new();
         for daemon in self
             .daemons
             .iter()
-            .filter(|daemon| daemon.state == State::Runs)
+            .filter(|daemon| daemon.state == State::Running)
         {
             let live: Vec<&Presence> = daemon.table.live().collect();
             for other in &self.daemons {
@@ -255,98 +261,98 @@
 cases! {
     // Steps of a trainer stand still for 9 s, at 195 VMs, when the daemon that runs them is gone; at 12 for 1.7 s.
     // Each daemon wrote heartbeats at a pace that fell with their number, and three missed ones were a death.
-    a_death_shows_as_soon_among_many_daemons_as_among_few => {
+    detection_time_does_not_grow_with_the_number_of_daemons => {
         for daemons in [3, 12, 60, 195, 680] {
-            let mut world = World::start(daemons, 5.min(daemons));
-            world.set(State::Dead, |number, _| number == 1);
-            let noticed_ms = world.noticed_after_ms(NOTICED_WITHIN_MS);
-            assert!(noticed_ms > 700, "{noticed_ms} at {daemons}");
-            assert!(world.suspicions <= 2, "{} at {daemons}", world.suspicions);
+            let mut simulation = Simulation::start(daemons, 5.min(daemons));
+            simulation.set(State::Dead, |number, _| number == 1);
+            let detected_ms = simulation.convergence_ms(MAX_DETECTION_MS);
+            assert!(detected_ms > 700, "{detected_ms} at {daemons}");
+            assert!(simulation.suspicions <= 2, "{} at {daemons}", simulation.suspicions);
         }
     }
 
     // Callers of a zone without power are sent to its dead daemons for 9 s.
     // A daemon's watchers are in other zones, so that none of them is gone with it.
-    a_zone_without_power_shows_at_once => {
+    loss_of_a_zone_is_detected_in_the_same_time => {
         for (daemons, zones) in [(12, 3), (60, 4), (195, 5)] {
-            let mut world = World::start(daemons, zones);
-            world.set(State::Dead, |number, _| number % zones == 0);
-            world.noticed_after_ms(NOTICED_WITHIN_MS);
+            let mut simulation = Simulation::start(daemons, zones);
+            simulation.set(State::Dead, |number, _| number % zones == 0);
+            simulation.convergence_ms(MAX_DETECTION_MS);
         }
     }
 
     // Half of the daemons lose power at once, some together with all their watchers.
     // Those that come next on the ring wait for heartbeats that never come.
-    half_of_all_daemons_lost_at_once_show_though_watchers_are_among_them => {
+    loss_of_half_of_all_daemons_with_their_watchers_is_detected => {
         for daemons in [12, 195] {
-            let mut world = World::start(daemons, 3);
-            world.set(State::Dead, |number, _| (number * 7) % 11 < 6);
-            world.noticed_after_ms(2 * NOTICED_WITHIN_MS + 2_000);
+            let mut simulation = Simulation::start(daemons, 3);
+            simulation.set(State::Dead, |number, _| (number * 7) % 11 < 6);
+            simulation.convergence_ms(2 * MAX_DETECTION_MS + 2_000);
         }
     }
 
     // The work of a VM that stands still is taken over; when it goes on it is one of all again.
     // It finds itself suspected in the log and writes that it lives, and suspects nobody for its own pause.
-    a_frozen_daemon_is_taken_for_dead_and_comes_back => {
-        let mut world = World::start(60, 4);
-        world.set(State::Frozen, |number, _| number == 5);
-        world.noticed_after_ms(NOTICED_WITHIN_MS);
-        let suspicions = world.suspicions;
-        world.run_until(world.now_ms + 4_000);
-        world.set(State::Runs, |number, _| number == 5);
-        world.noticed_after_ms(500);
-        world.run_until(world.now_ms + 10_000);
-        assert_eq!(world.suspicions, suspicions);
+    a_frozen_daemon_is_declared_dead_and_rejoins => {
+        let mut simulation = Simulation::start(60, 4);
+        simulation.set(State::Frozen, |number, _| number == 5);
+        simulation.convergence_ms(MAX_DETECTION_MS);
+        let suspicions = simulation.suspicions;
+        simulation.run_until(simulation.now_ms + 4_000);
+        simulation.set(State::Running, |number, _| number == 5);
+        simulation.convergence_ms(500);
+        simulation.run_until(simulation.now_ms + 10_000);
+        assert_eq!(simulation.suspicions, suspicions);
     }
 
     // Everybody's work begins again after an outage of the store.
     // Daemons reach the log again one after the other; those that come first suspect nobody by what they
     // missed meanwhile.
-    an_outage_of_the_log_kills_nobody => {
-        let mut world = World::start(60, 4);
-        world.is_log_up = false;
-        world.run_until(world.now_ms + 7_000);
-        world.is_log_up = true;
-        world.set(State::CutFromLog, |number, _| number % 3 == 0);
-        world.run_until(world.now_ms + 1_900);
-        world.set(State::Runs, |_, _| true);
+    no_daemon_is_declared_dead_after_an_outage_of_the_log => {
+        let mut simulation = Simulation::start(60, 4);
+        simulation.is_log_up = false;
+        simulation.run_until(simulation.now_ms + 7_000);
+        simulation.is_log_up = true;
+        simulation.set(State::CutFromLog, |number, _| number % 3 == 0);
+        simulation.run_until(simulation.now_ms + 1_900);
+        simulation.set(State::Running, |_, _| true);
         for _ in 0..100 {
-            world.run_until(world.now_ms + 50);
-            assert_eq!(world.taken_for_dead(), BTreeMap::new());
+            simulation.run_until(simulation.now_ms + 50);
+            assert_eq!(simulation.declared_dead(), BTreeMap::new());
         }
     }
 
     // A daemon goes on with steps for as long as it is cut off from the store, and nothing of them arrives.
     // Its process and its links to others are sound, so that it went on to say that it lives.
-    a_daemon_that_cannot_reach_the_log_is_taken_for_dead => {
-        let mut world = World::start(60, 4);
-        world.set(State::CutFromLog, |number, _| number == 5);
-        world.noticed_after_ms(HEARTBEAT_LOG_TIMEOUT_MS + NOTICED_WITHIN_MS);
+    a_daemon_that_cannot_reach_the_log_is_declared_dead => {
+        let mut simulation = Simulation::start(60, 4);
+        simulation.set(State::CutFromLog, |number, _| number == 5);
+        simulation.convergence_ms(HEARTBEAT_LOG_TIMEOUT_MS + MAX_DETECTION_MS);
     }
 
     // A daemon loses its work and its callers again and again, though it serves them.
     // Its datagrams do not arrive; it refutes each suspicion in time, and they come ever more rarely.
     a_daemon_whose_heartbeats_are_lost_keeps_its_work => {
-        let mut world = World::start(60, 4);
-        world.set(State::Mute, |number, _| number == 5);
+        let mut simulation = Simulation::start(60, 4);
+        simulation.set(State::HeartbeatsLost, |number, _| number == 5);
         for _ in 0..1_200 {
-            world.run_until(world.now_ms + 50);
-            assert_eq!(world.taken_for_dead(), BTreeMap::new());
+            simulation.run_until(simulation.now_ms + 50);
+            assert_eq!(simulation.declared_dead(), BTreeMap::new());
         }
-        let refuted = world.daemons[5].refuted;
-        assert!((2..=8).contains(&refuted), "{refuted} suspicions in a minute");
+        let refutations = simulation.daemons[5].refutations;
+        assert!((2..=8).contains(&refutations), "{refutations} suspicions in a minute");
     }
 
-    daemons_that_all_live_suspect_nobody => {
+    live_daemons_are_never_suspected => {
         for daemons in [2, 12, 195] {
-            let mut world = World::start(daemons, 3);
-            world.run_until(60_000);
-            assert_eq!(world.suspicions, 0);
+            let mut simulation = Simulation::start(daemons, 3);
+            simulation.run_until(60_000);
+            assert_eq!(simulation.suspicions, 0);
         }
     }
 
     // Watching costs as much at 1,000 daemons as at 12.
-    a_daemon_watches_a_few_others_in_other_zones => {
+    watchers_are_few_and_in_other_zones => {
         for (daemons, zones) in [(12, 3), (195, 5), (1_000, 25), (30, 1)] {
             let members: Vec<Presence> = (0..daemons)
                 .map(|number| presence(number, zones))
