--- a/crates/borageshore_membership/tests/detector.rs
+++ b/crates/borageshore_membership/tests/detector.rs
@@ -1,11 +1,11 @@
-//! The failure detector among a few memberships, with a clock moved by hand.
+//! The gossip failure detector among a few daemons with a simulated clock and network.
 
 use std::sync::Arc;
 
 use borageshore_base::SortedMap;
 use borageshore_membership::{Health, MemberEntry, MemberState, Membership, TICK_MS};
 
-/// Memberships that hear each other at once, except those that are cut off or paused.
+/// Daemons that receive messages without delay, except those that are disconnected or paused.
 struct Cluster {
     now_ms: u64,
     daemons: SortedMap<Arc<str>, Membership>,
@@ -14,7 +14,7 @@
 }
 
 impl Cluster {
-    /// Daemons `d0`, `d1` and so on in these zones; all know `d0` as a seed.
+    /// Starts daemons `d0`, `d1` and so on in the given zones, with `d0` as the seed of all.
     fn open(zones: &[&str]) -> Self {
         let mut cluster = Self {
             now_ms: 0,
@@ -41,7 +41,7 @@
             state: MemberState::Live,
         };
         let mut membership = Membership::open(own, vec!["d0".into()], self.now_ms);
-        // A daemon that starts asks a peer for everything.
+        // A starting daemon fetches all entries from a peer.
         if let Some(peer) = self.daemons.values().next() {
             let entries: Vec<MemberEntry> =
                 peer.entries(self.now_ms).map(|(e, _)| e.clone()).collect();
@@ -101,8 +101,8 @@
         }
     };
 
-    // A daemon dies without a word. Callers must get no new address of it after a few seconds; first
-    // it is suspected and gets no new work, then its zone declares it dead for the other zones too.
+    // Guards against callers that are sent to a crashed daemon: it is unlisted as soon as it is suspected, and
+    // other zones learn of its death.
     a_silent_daemon_is_suspected_before_it_is_dead: {
         let mut cluster = Cluster::open(&["a", "a", "a", "b"]);
         cluster.run(20);
@@ -116,8 +116,7 @@
         assert_eq!(cluster.health("d3", "d1"), Health::Dead);
     };
 
-    // A daemon is paused for a minute (SIGSTOP, a stalled VM). When it wakes up it has heard of nobody
-    // for a minute, but the fault is its own: it must not declare the others dead.
+    // Guards against a daemon that resumes after a pause (SIGSTOP, a stalled VM) and declares all others dead.
     a_paused_daemon_declares_no_other_dead: {
         let mut cluster = Cluster::open(&["a", "a", "a", "a"]);
         cluster.run(20);
@@ -134,8 +133,7 @@
         assert_eq!(cluster.health("d3", "d0"), Health::Alive, "it is taken back after its own death");
     };
 
-    // A daemon loses its network. From there all others look dead; it must not spread that, and after
-    // the repair everybody sees everybody again.
+    // Guards against a daemon without network that declares all others dead and spreads this once it reconnects.
     an_isolated_daemon_does_not_spread_deaths: {
         let mut cluster = Cluster::open(&["a", "a", "a", "a"]);
         cluster.run(20);
@@ -152,8 +150,7 @@
         }
     };
 
-    // A daemon leaves gracefully. It is no longer listed as soon as its word arrives, long before any
-    // silence could tell.
+    // Guards against listing a daemon that stops gracefully until its heartbeats time out.
     leaving_is_known_at_once: {
         let mut cluster = Cluster::open(&["a", "a", "a"]);
         cluster.run(20);
@@ -166,8 +163,7 @@
         assert_eq!(listed.len(), 2, "{listed:?}");
     };
 
-    // A killed daemon is started anew at once. Its new incarnation replaces the old one everywhere,
-    // also where old gossip of the first life still goes around.
+    // Guards against gossip about the previous incarnation that hides a restarted daemon.
     new_incarnation_replaces_the_old: {
         let mut cluster = Cluster::open(&["a", "a", "a", "b", "b"]);
         cluster.run(20);
@@ -179,8 +175,7 @@
         }
     };
 
-    // Caller lists are stable and spread: the same caller gets the same list, and no daemon is first
-    // for everybody.
+    // Guards against lists that change between calls and against one daemon that is first for all callers.
     address_lists_are_stable_and_spread: {
         let mut cluster = Cluster::open(&["a", "a", "a", "a", "b", "b"]);
         cluster.run(20);
@@ -193,8 +188,7 @@
         assert_eq!(firsts.len(), 4, "the zone's four daemons share the callers: {firsts:?}");
     };
 
-    // A daemon is stopped and started anew. Its zone hears of the new incarnation at once, before it
-    // has any settings; a caller sent there then would be refused. It is listed only once it is ready.
+    // Guards against callers that are sent to a restarted daemon before it has settings and are refused.
     starting_daemon_is_not_listed: {
         let mut cluster = Cluster::open(&["a", "a", "a"]);
         cluster.run(20);
--- a/crates/borageshore_membership/tests/presence.rs
+++ b/crates/borageshore_membership/tests/presence.rs
@@ -1,4 +1,4 @@
-//! Liveness and ownership from records in a log.
+//! Liveness and work ownership from records in a log.
 
 use std::sync::Arc;
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// A table that has heard of three ready daemons at time 0.
+/// A table with three ready daemons whose records were read at time 0.
 fn three_ready_daemons() -> PresenceTable {
     let mut table = PresenceTable::default();
     table.on_read(0);
@@ -66,9 +66,7 @@
         assert_eq!(live, ["vm-1"]);
     }
 
-    // Callers hear of one address only, and that daemon starts everybody's work again.
-    // The log is away for half a minute; the first read after it brings no heartbeat yet.
-    // Counted on the wall clock, every other daemon has been silent for too long by then.
+    // Guards against ageing records by wall-clock time: the first read after an outage brings no new records yet.
     no_daemon_is_declared_dead_after_an_outage_of_the_log => {
         let mut table = three_ready_daemons();
         read_until(&mut table, 100, 500);
@@ -76,8 +74,7 @@
         assert_eq!(table.live().count(), 3);
     }
 
-    // A daemon starts again and its last heartbeat of the life before is read after its first one.
-    // Taken for news it would make the daemon the owner of work that it has forgotten.
+    // Guards against a late record of the previous incarnation that makes a restarted daemon own work it lost.
     a_record_of_an_earlier_incarnation_is_ignored => {
         let mut table = three_ready_daemons();
         table.on_presence(Presence { incarnation: 2, ..presence("vm-1", "z1", PresenceState::Starting) });
@@ -95,8 +92,7 @@
         }
     }
 
-    // Each step of a trainer went to another daemon, which opened its own connections to all engines:
-    // 1,448 new ones a day for 16,000 requests, and prompts' texts left from the step before were elsewhere.
+    // Guards against moving a trainer to another daemon with each step, which loses connections and cached texts.
     steps_of_one_trainer_have_one_owner => {
         let table = three_ready_daemons();
         let owners: Vec<Option<&str>> = (0..20)
@@ -126,8 +122,7 @@
         assert_ne!(next, first);
     }
 
-    // Steps of one trainer run at a third of the engines' pace on some days and not on others.
-    // Its owner by rendezvous was a VM with an eighth of a core, whose loop was behind the events.
+    // Guards against steps that are limited by the CPU of a small VM.
     small_vms_own_no_work => {
         let mut table = three_ready_daemons();
         table.on_presence(Presence { capacity_percent: 12, ..presence("vm-4", "z1", PresenceState::Ready) });
@@ -137,8 +132,8 @@
         assert_eq!(table.addresses_for("z1", 2).len(), 3, "callers reach it all the same");
     }
 
-    // The store is asked for the same records by each of a thousand daemons, and serves nobody any more.
-    // Each wrote a record of itself at a pace that its number did not slow enough, and all read all of them.
+    // Guards against a store that is overloaded by reads of these records, which grow with the square of the
+    // number of daemons.
     records_of_many_daemons_cause_no_more_reads_than_those_of_a_few => {
         for daemons in [12, 60, 195, 680_u64] {
             let mut table = PresenceTable::default();
@@ -158,8 +153,7 @@
         }
     }
 
-    // Steps stand still for seconds though a watcher has seen that the daemon which runs them is dead.
-    // Its suspicion is the last word of it in the log, and time goes on without another record.
+    // Guards against a suspicion that does not time out because no further record is read.
     a_suspicion_that_is_not_refuted_is_a_death => {
         let mut table = three_ready_daemons();
         table.advance(1_000);
@@ -172,8 +166,7 @@
         assert_eq!(table.live().count(), 2);
     }
 
-    // A daemon loses its work though it lives: datagrams were lost on their way.
-    // It reads that it is suspected and writes its record again, in time or a little later.
+    // Guards against a live daemon that stays dead after a false suspicion, whether it refutes it in time or late.
     a_record_refutes_a_suspicion => {
         let mut table = three_ready_daemons();
         table.on_suspicion(&suspicion("vm-2", 1), 1_000);
@@ -185,8 +178,7 @@
         assert_eq!(table.live().count(), 3);
     }
 
-    // A daemon that has just started again is taken for dead, and its callers are sent elsewhere.
-    // Its watchers suspect the life before; their record comes after the first one of the new life.
+    // Guards against a suspicion of the previous incarnation that declares a restarted daemon dead.
     a_suspicion_of_an_earlier_incarnation_is_ignored => {
         let mut table = three_ready_daemons();
         table.on_presence(Presence { incarnation: 2, ..presence("vm-2", "z1", PresenceState::Ready) });
--- a/crates/borageshore_membership/tests/relay.rs
+++ b/crates/borageshore_membership/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The tree of relays of a zone.
+//! The shape of a zone's relay tree and the sources after failures.
 
 use borageshore_membership::{RelaySource, relay_source};
 
@@ -14,8 +14,8 @@
     }
 }
 
-/// Two daemons of a zone of 27 read the log, nobody serves more than two others, and every daemon
-/// reaches the log in a few steps.
+/// Guards against too many readers of the log, overloaded relays and long chains: in a zone of 27, two
+/// daemons read the log, none serves more than two others, and the depth is at most four.
 #[test]
 fn tree_is_narrow_and_shallow() {
     let names = names(27);
@@ -40,8 +40,7 @@
     }
 }
 
-/// A relay dies and nobody knows yet. Whoever read from it goes to the log, and when the log is down
-/// as well, to ever other peers.
+/// Guards against readers that stay with a dead relay, or with the log while it is down.
 #[test]
 fn failed_reads_alternate_between_log_and_peers() {
     let names = names(9);
--- a/crates/borageshore_membership/tests/store_failover.rs
+++ b/crates/borageshore_membership/tests/store_failover.rs
@@ -1,4 +1,4 @@
-//! The way to the store.
+//! Routes of calls to the store, directly and through peers.
 
 use borageshore_membership::{StoreCallOutcome, StoreFailover, StoreRoute};
 
@@ -16,7 +16,7 @@
         assert_eq!(failover.next_route(true, 20), StoreRoute::Direct);
     }
 
-    // A step waits for the end of a cut, though eleven other daemons reach the store.
+    // Guards against work that waits for a daemon's own connection while its peers reach the store.
     calls_go_through_a_peer_that_reaches_the_store => {
         let mut failover = StoreFailover::default();
         failover.on_direct_result(false, 600);
@@ -36,9 +36,7 @@
         assert_eq!(failover.next_route(false, 2_101), StoreRoute::Direct);
     }
 
-    // Each daemon asks each other one while the store is down for all.
-    // All daemons start at the same time, and the store turns some calls of all of them away.
-    // Each gave such a call to a peer, and the store stayed at its limit for 10 s.
+    // Guards against keeping an overloaded store overloaded by sending each rejected call again through a peer.
     peers_are_not_asked_while_the_store_answers_some_calls => {
         let mut failover = StoreFailover::default();
         failover.on_direct_result(false, 100);
@@ -54,6 +52,7 @@
         assert!(!failover.may_ask_peers(3_000));
     }
 
+    // Guards against daemons that forward calls to each other while the store is down.
     nobody_goes_through_peers_while_the_store_is_down_for_all => {
         let mut failover = StoreFailover::default();
         failover.on_direct_result(false, 0);
@@ -62,9 +61,7 @@
         assert!(!failover.reaches_store(20));
     }
 
-    // A trainer reads an item at one position and later at another.
-    // The answer to the append of its result was lost; it was given to a peer as well, under the same key,
-    // and took the later place for readers that started after it.
+    // Guards against a result that is appended twice, which moves it to another position for later readers.
     a_call_of_unknown_outcome_is_repeated_only_if_idempotent => {
         assert!(!StoreCallOutcome::Unknown.may_try_other_route(false));
         assert!(StoreCallOutcome::Unknown.may_try_other_route(true));
@@ -72,8 +69,7 @@
         assert!(!StoreCallOutcome::Answered.may_try_other_route(true));
     }
 
-    // A trainer is told that nothing of its submission runs, and it runs.
-    // The store refused it on one way; the peer that it was given to got no answer, and it was accepted.
+    // Guards against telling a trainer that a submission was refused although another attempt was accepted.
     an_unknown_outcome_takes_precedence_over_a_refusal => {
         assert!(StoreCallOutcome::Unknown.takes_precedence_over(StoreCallOutcome::Refused));
         assert!(!StoreCallOutcome::Refused.takes_precedence_over(StoreCallOutcome::Unknown));
--- a/crates/borageshore_membership/tests/watch.rs
+++ b/crates/borageshore_membership/tests/watch.rs
@@ -1,4 +1,4 @@
-//! Failure detection among daemons that read one log: how soon deaths show, and who is suspected wrongly.
+//! Detection time and false suspicions of the heartbeat watch, in a simulation of many daemons.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -7,13 +7,13 @@
     Suspicion, WATCHER_LOG_TIMEOUT_MS, WatchRing, WatchTable,
 };
 
-/// The pace of the simulation.
+/// The time step of the simulation.
 const STEP_MS: u64 = 10;
-/// The pause between two reads of the log.
+/// The interval between two reads of the log.
 const READ_INTERVAL_MS: u64 = 50;
-/// When all daemons know each other.
+/// The time by which all daemons know each other.
 const WARM_UP_MS: u64 = 3_000;
-/// Silence, its rounding to a look, an append, a read, the time to refute.
+/// The bound on detection: the heartbeat timeout, a check interval, an append, a read and the suspicion timeout.
 const MAX_DETECTION_MS: u64 = 1_300;
 
 #[derive(Debug, Clone)]
@@ -22,21 +22,21 @@
     Suspect(Suspicion),
 }
 
-/// What ails a daemon.
+/// The simulated state of a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     Running,
-    /// Its process is gone, or its VM has no power.
+    /// The process or its VM is gone.
     Dead,
-    /// It stands still.
+    /// The process is paused.
     Frozen,
-    /// It neither reads nor writes the log.
+    /// The daemon can neither read nor append to the log.
     CutFromLog,
-    /// None of its datagrams arrives.
+    /// None of the daemon's datagrams arrives.
     HeartbeatsLost,
 }
 
-/// A daemon of one of some zones; it is reached under its number.
+/// A daemon in one of `zones` zones, whose peer address is its number.
 fn presence(number: usize, zones: usize) -> Presence {
     Presence {
         name: format!("vm-{number}").into(),
@@ -61,7 +61,7 @@
     next_record: usize,
     last_read_ms: u64,
     last_append_ms: u64,
-    /// When it wrote that it lives, on being suspected.
+    /// How many suspicions the daemon has refuted.
     refutations: usize,
 }
 
@@ -115,7 +115,7 @@
         if matches!(self.daemons[number].state, State::Dead | State::Frozen) {
             return;
         }
-        // Daemons do not look and read all at the same moment.
+        // Daemons check and read at different times.
         let staggered_ms = self.now_ms + number as u64 * STEP_MS;
         let reaches_log = self.is_log_up && self.daemons[number].state != State::CutFromLog;
         if staggered_ms.is_multiple_of(READ_INTERVAL_MS) && reaches_log {
@@ -209,7 +209,7 @@
         names
     }
 
-    /// How long it takes until all that reach the log see just those live that do.
+    /// The time until all daemons that reach the log agree that exactly these are alive.
     fn convergence_ms(&mut self, within_ms: u64) -> u64 {
         let since_ms = self.now_ms;
         let is_expected_live =
@@ -233,7 +233,7 @@
         panic!("not noticed within {within_ms} ms")
     }
 
-    /// The daemons that others take for dead, each with how many do.
+    /// The daemons that running ones consider dead, each with the number of these.
     fn declared_dead(&self) -> BTreeMap<Arc<str>, usize> {
         let mut dead = BTreeMap::new();
         for daemon in self
@@ -259,8 +259,7 @@
 }
 
 cases! {
-    // Steps of a trainer stand still for 9 s, at 195 VMs, when the daemon that runs them is gone; at 12 for 1.7 s.
-    // Each daemon wrote heartbeats at a pace that fell with their number, and three missed ones were a death.
+    // Guards against a takeover of work that takes longer the more daemons there are.
     detection_time_does_not_grow_with_the_number_of_daemons => {
         for daemons in [3, 12, 60, 195, 680] {
             let mut simulation = Simulation::start(daemons, 5.min(daemons));
@@ -271,8 +270,7 @@
         }
     }
 
-    // Callers of a zone without power are sent to its dead daemons for 9 s.
-    // A daemon's watchers are in other zones, so that none of them is gone with it.
+    // Guards against slow detection of a zone failure because watchers failed together with their daemons.
     loss_of_a_zone_is_detected_in_the_same_time => {
         for (daemons, zones) in [(12, 3), (60, 4), (195, 5)] {
             let mut simulation = Simulation::start(daemons, zones);
@@ -281,8 +279,8 @@
         }
     }
 
-    // Half of the daemons lose power at once, some together with all their watchers.
-    // Those that come next on the ring wait for heartbeats that never come.
+    // Guards against failures that are never detected because all watchers failed too. New watchers must time
+    // out on the first heartbeat.
     loss_of_half_of_all_daemons_with_their_watchers_is_detected => {
         for daemons in [12, 195] {
             let mut simulation = Simulation::start(daemons, 3);
@@ -291,8 +289,7 @@
         }
     }
 
-    // The work of a VM that stands still is taken over; when it goes on it is one of all again.
-    // It finds itself suspected in the log and writes that it lives, and suspects nobody for its own pause.
+    // Guards against a resumed daemon that stays dead for the others or suspects those that it watches.
     a_frozen_daemon_is_declared_dead_and_rejoins => {
         let mut simulation = Simulation::start(60, 4);
         simulation.set(State::Frozen, |number, _| number == 5);
@@ -305,9 +302,7 @@
         assert_eq!(simulation.suspicions, suspicions);
     }
 
-    // Everybody's work begins again after an outage of the store.
-    // Daemons reach the log again one after the other; those that come first suspect nobody by what they
-    // missed meanwhile.
+    // Guards against restarts of all work after an outage of the log, whose daemons reconnect at different times.
     no_daemon_is_declared_dead_after_an_outage_of_the_log => {
         let mut simulation = Simulation::start(60, 4);
         simulation.is_log_up = false;
@@ -322,16 +317,15 @@
         }
     }
 
-    // A daemon goes on with steps for as long as it is cut off from the store, and nothing of them arrives.
-    // Its process and its links to others are sound, so that it went on to say that it lives.
+    // Guards against a daemon that keeps its work by heartbeats although it cannot store any results.
     a_daemon_that_cannot_reach_the_log_is_declared_dead => {
         let mut simulation = Simulation::start(60, 4);
         simulation.set(State::CutFromLog, |number, _| number == 5);
         simulation.convergence_ms(HEARTBEAT_LOG_TIMEOUT_MS + MAX_DETECTION_MS);
     }
 
-    // A daemon loses its work and its callers again and again, though it serves them.
-    // Its datagrams do not arrive; it refutes each suspicion in time, and they come ever more rarely.
+    // Guards against a healthy daemon that loses its work because its datagrams are lost. The timeout backs
+    // off with each refuted suspicion.
     a_daemon_whose_heartbeats_are_lost_keeps_its_work => {
         let mut simulation = Simulation::start(60, 4);
         simulation.set(State::HeartbeatsLost, |number, _| number == 5);
@@ -351,7 +345,7 @@
         }
     }
 
-    // Watching costs as much at 1,000 daemons as at 12.
+    // Guards against a watching load that grows with the number of daemons.
     watchers_are_few_and_in_other_zones => {
         for (daemons, zones) in [(12, 3), (195, 5), (1_000, 25), (30, 1)] {
             let members: Vec<Presence> = (0..daemons)
