--- a/crates/borageshore_lease/src/agent.rs
+++ b/crates/borageshore_lease/src/agent.rs
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ObservedRenewal {
     offset: u64,
-    seen_at_ms: u64,
+    observed_at_ms: u64,
 }
 
 /// Decides when a daemon renews its lease, claims shards and may act on them.
@@ -101,8 +101,8 @@
     pub fn on_contact(&mut self, heard_at_ms: u64) {
         let previous_ms = self.last_contact_ms.unwrap_or(heard_at_ms);
         if heard_at_ms > previous_ms + CONTACT_GAP_MS {
-            for (_, seen) in self.observed_renewals.iter_mut() {
-                seen.seen_at_ms = seen.seen_at_ms.max(heard_at_ms);
+            for (_, renewal) in self.observed_renewals.iter_mut() {
+                renewal.observed_at_ms = renewal.observed_at_ms.max(heard_at_ms);
             }
         }
         self.last_contact_ms = Some(previous_ms.max(heard_at_ms));
@@ -116,9 +116,9 @@
     /// The epoch of a shard that this daemon owns according to the log, even if its lease has expired
     /// since. Actions require [`LeaseAgent::epoch`].
     pub fn owned_epoch(&self, table: &LeaseTable, shard: &str) -> Option<u64> {
-        let found = table.shard(shard)?;
-        let is_owner = found.owner.as_ref() == Some(&self.session);
-        is_owner.then_some(found.epoch)
+        let current = table.shard(shard)?;
+        let is_owner = current.owner.as_ref() == Some(&self.session);
+        is_owner.then_some(current.epoch)
     }
 
     /// The epoch of a shard if this daemon owns it and its lease is valid at `now_ms`.
@@ -160,7 +160,7 @@
             session.clone(),
             ObservedRenewal {
                 offset,
-                seen_at_ms: now_ms,
+                observed_at_ms: now_ms,
             },
         );
         if *session != self.session {
@@ -224,13 +224,13 @@
             let known = self
                 .observed_renewals
                 .get(name)
-                .is_some_and(|seen| seen.offset >= offset);
+                .is_some_and(|renewal| renewal.offset >= offset);
             if !known {
                 self.observed_renewals.insert(
                     name.clone(),
                     ObservedRenewal {
                         offset,
-                        seen_at_ms: now_ms,
+                        observed_at_ms: now_ms,
                     },
                 );
             }
@@ -272,14 +272,14 @@
         shard: &Arc<str>,
         now_ms: u64,
     ) -> Option<ShardClaim> {
-        let found = table.shard(shard);
-        let observed_epoch = found.map_or(0, |found| found.epoch);
+        let current = table.shard(shard);
+        let observed_epoch = current.map_or(0, |current| current.epoch);
         let free = ShardClaim {
             shard: shard.clone(),
             observed_epoch,
             observed_renewal: None,
         };
-        let Some(owner) = found.and_then(|found| found.owner.as_ref()) else {
+        let Some(owner) = current.and_then(|current| current.owner.as_ref()) else {
             return Some(free);
         };
         let Some(session) = table.session(owner) else {
@@ -288,9 +288,9 @@
         if *owner == self.session {
             return None;
         }
-        let seen = self.observed_renewals.get(owner)?;
-        let expires_at_ms = seen.seen_at_ms + session.ttl_ms + margin_ms(session.ttl_ms);
-        let observed_renewal = Some(seen.offset);
+        let renewal = self.observed_renewals.get(owner)?;
+        let expires_at_ms = renewal.observed_at_ms + session.ttl_ms + margin_ms(session.ttl_ms);
+        let observed_renewal = Some(renewal.offset);
         (now_ms >= expires_at_ms).then_some(ShardClaim {
             observed_renewal,
             ..free
