--- a/crates/borageshore_lease/src/lib.rs
+++ b/crates/borageshore_lease/src/lib.rs
@@ -7,7 +7,7 @@
 //! ```
 //! use borageshore_lease::margin_ms;
 //!
-//! assert!(margin_ms(5_000) < 5_000 / 4, "a holder may use most of its TTL");
+//! assert!(margin_ms(5_000) < 5_000 / 4, "a holder keeps most of its time");
 //! ```
 
 mod agent;
--- a/crates/borageshore_membership/src/presence.rs
+++ b/crates/borageshore_membership/src/presence.rs
@@ -16,7 +16,7 @@
 const MAX_MISSED_RECORDS: u64 = 3;
 /// The allowance for delayed appends and for the interval between reads of the log.
 const READ_DELAY_ALLOWANCE_MS: u64 = 300;
-/// The maximum by which one read of the log advances the clock that record ages are measured on.
+/// The limit by which one read of the log advances the clock that record ages are measured on.
 const MAX_CLOCK_STEP_MS: u64 = 600;
 /// How long a suspected daemon has to refute the suspicion before it counts as dead. Guards against work that is
 /// taken over, and done twice, because of a false suspicion.
--- a/crates/borageshore_membership/src/watch.rs
+++ b/crates/borageshore_membership/src/watch.rs
@@ -14,14 +14,14 @@
 
 /// The interval between two heartbeats of a daemon to each of its watchers.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 200;
-/// How many daemons watch each daemon. Detection is not delayed if all but one of them fail with it.
+/// How many daemons watch each daemon. A new watcher is needed only if all of them fail together with it.
 const WATCHERS_PER_DAEMON: usize = 3;
 /// A daemon is suspected this long after its last heartbeat; up to three lost datagrams are tolerated.
 const HEARTBEAT_TIMEOUT_MS: u64 = 700;
 /// The delay per rank before a watcher suspects, so that lower ranks read the first watcher's suspicion
 /// instead of appending their own.
 const WATCHER_STAGGER_MS: u64 = 80;
-/// The timeout of a new watcher for the first heartbeat; the watched daemon may learn of it later.
+/// The timeout of a new watcher for the first heartbeat, as the watched daemon may learn of the watcher later.
 const FIRST_HEARTBEAT_TIMEOUT_MS: u64 = 2_000;
 /// The upper bound of the timeout, which doubles with each suspicion that is refuted without a heartbeat. Limits
 /// false suspicions of live daemons whose datagrams are lost.
