--- a/crates/borageshore_lease/src/agent.rs
+++ b/crates/borageshore_lease/src/agent.rs
@@ -1,4 +1,4 @@
-//! One daemon's view of its own and other leases in time.
+//! Renewal, expiry and takeover of leases, as one daemon sees them on its own clock.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -7,47 +7,48 @@
 
 use crate::table::{LeaseRecord, LeaseTable, ShardClaim};
 
-/// How far two clocks may run apart, as a share of the time measured.
+/// The largest difference between the rates of two clocks, in percent.
 const CLOCK_RATE_BOUND_PERCENT: u64 = 2;
-/// Added to every margin, for timers that fire late.
+/// The part of the margin that covers late timers, whatever the TTL.
 const MARGIN_FLOOR_MS: u64 = 100;
-/// A lease is renewed this many times in its life.
+/// How often a lease is renewed within one TTL.
 const RENEWALS_PER_TTL: u64 = 3;
-/// How much longer each lower-ranked candidate waits before it claims a free shard.
+/// The delay per rank before a candidate claims a free shard.
 const CANDIDATE_STAGGER_MS: u64 = 1_000;
-/// A longer silence between the log and this daemon counts as an outage. Above the time that a quiet
-/// log leaves between two answers, also through a relay.
+/// A longer gap between two answers of the log counts as an outage. Exceeds the poll interval of an
+/// idle log, also when it is read through a relay.
 const CONTACT_GAP_MS: u64 = 2_500;
-/// After this long without a verdict a claim is made anew.
+/// A claim that has not come back from the log after this time is sent again.
 const CLAIM_RETRY_MS: u64 = 3_000;
 
-/// The time by which a holder stops early and a successor waits longer.
+/// The safety margin of a lease: the holder stops this long before the TTL ends, and a successor waits
+/// this long after it.
 pub fn margin_ms(ttl_ms: u64) -> u64 {
     ttl_ms * CLOCK_RATE_BOUND_PERCENT / 100 + MARGIN_FLOOR_MS
 }
 
-/// A shard that this daemon is a candidate for.
+/// A shard that this daemon may claim, with its rank among the candidates.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Want {
+pub struct Candidacy {
     /// The shard.
     pub shard: Arc<str>,
-    /// This daemon's place among the candidates, the first being 0.
+    /// The rank among the candidates; 0 claims first.
     pub rank: u64,
 }
 
-/// The shards that `own` is one of the first `candidates` members for.
-pub fn wants_of<'m, Members>(
+/// The shards for which `own` ranks among the first `candidates` members by rendezvous hashing.
+pub fn candidacies_of<'m, Members>(
     own: &str,
     shards: &[Arc<str>],
     members: Members,
     candidates: usize,
-) -> Vec<Want>
+) -> Vec<Candidacy>
 where
     Members: Iterator<Item = &'m str> + Clone,
 {
     let ranked = shards.iter().filter_map(|shard| {
         let rank = rank_within(shard, own, members.clone(), candidates)? as u64;
-        Some(Want {
+        Some(Candidacy {
             shard: shard.clone(),
             rank,
         })
@@ -56,56 +57,55 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct SeenRenewal {
+struct ObservedRenewal {
     offset: u64,
-    seen_at_ms: u64,
+    observed_at_ms: u64,
 }
 
-/// Decides when a daemon renews, claims and may act.
+/// Decides when a daemon renews its lease, claims shards and may act on them.
 ///
-/// Guards against a holder that was paused and still believes that it holds its lease: its time is
-/// counted from before it sent the renewal, and [`LeaseAgent::epoch`] checks it at each action, so it
-/// stops a margin before any successor, who counts from when it saw that renewal, may claim.
+/// Guards against a paused holder that acts on an expired lease: the holder counts the TTL from before
+/// it sent the renewal, a successor from when it read that renewal, and [`LeaseAgent::epoch`] checks
+/// the time at each action. The holder therefore stops before any successor may claim.
 #[derive(Debug)]
 pub struct LeaseAgent {
     session: Arc<str>,
     valid_until_ms: u64,
-    sent: VecDeque<(u64, u64)>,
+    sent_renewals: VecDeque<(u64, u64)>,
     last_sent_ms: Option<u64>,
-    seen: SortedMap<Arc<str>, SeenRenewal>,
+    observed_renewals: SortedMap<Arc<str>, ObservedRenewal>,
     claimed_at_ms: SortedMap<Arc<str>, u64>,
     free_since_ms: SortedMap<Arc<str>, u64>,
-    contact_ms: Option<u64>,
+    last_contact_ms: Option<u64>,
 }
 
 impl LeaseAgent {
-    /// Opens an agent for a daemon incarnation.
+    /// Creates an agent without a lease. `session` identifies the daemon incarnation.
     pub fn open(session: Arc<str>) -> Self {
         Self {
             session,
             valid_until_ms: 0,
-            sent: VecDeque::new(),
+            sent_renewals: VecDeque::new(),
             last_sent_ms: None,
-            seen: SortedMap::default(),
+            observed_renewals: SortedMap::default(),
             claimed_at_ms: SortedMap::default(),
             free_since_ms: SortedMap::default(),
-            contact_ms: None,
+            last_contact_ms: None,
         }
     }
 
-    /// Notes that the state of the log at `heard_at_ms` is known.
+    /// Records that the log answered at `heard_at_ms`.
     ///
-    /// Guards against all leases changing hands after an outage of the log: no holder could renew
-    /// meanwhile, and whoever had waited would claim first. The wait for a renewal counts only while
-    /// there is contact, so after a gap every holder gets its whole time again.
+    /// Guards against a takeover of all leases after an outage of the log, during which no holder could
+    /// renew: after a gap every lease gets its full TTL again.
     pub fn on_contact(&mut self, heard_at_ms: u64) {
-        let last_ms = self.contact_ms.unwrap_or(heard_at_ms);
-        if heard_at_ms > last_ms + CONTACT_GAP_MS {
-            for (_, seen) in self.seen.iter_mut() {
-                seen.seen_at_ms = seen.seen_at_ms.max(heard_at_ms);
+        let previous_ms = self.last_contact_ms.unwrap_or(heard_at_ms);
+        if heard_at_ms > previous_ms + CONTACT_GAP_MS {
+            for (_, renewal) in self.observed_renewals.iter_mut() {
+                renewal.observed_at_ms = renewal.observed_at_ms.max(heard_at_ms);
             }
         }
-        self.contact_ms = Some(last_ms.max(heard_at_ms));
+        self.last_contact_ms = Some(previous_ms.max(heard_at_ms));
     }
 
     /// The session's name.
@@ -113,27 +113,27 @@
         &self.session
     }
 
-    /// The epoch of a shard that the log says is this daemon's. Its lease may have run out meanwhile:
-    /// whoever wants to act asks [`LeaseAgent::epoch`].
+    /// The epoch of a shard that this daemon owns according to the log, even if its lease has expired
+    /// since. Actions require [`LeaseAgent::epoch`].
     pub fn owned_epoch(&self, table: &LeaseTable, shard: &str) -> Option<u64> {
-        let found = table.shard(shard)?;
-        let is_owner = found.owner.as_ref() == Some(&self.session);
-        is_owner.then_some(found.epoch)
+        let current = table.shard(shard)?;
+        let is_owner = current.owner.as_ref() == Some(&self.session);
+        is_owner.then_some(current.epoch)
     }
 
-    /// The epoch of a shard if this daemon may act on it at `now_ms`.
+    /// The epoch of a shard if this daemon owns it and its lease is valid at `now_ms`.
     pub fn epoch(&self, table: &LeaseTable, shard: &str, now_ms: u64) -> Option<u64> {
         self.owned_epoch(table, shard)
             .filter(|_| now_ms < self.valid_until_ms)
     }
 
-    /// Notes that a renewal was handed to the proposer under `sequence` at `now_ms`.
+    /// Records that a renewal was handed to the proposer under `sequence` at `now_ms`.
     pub fn on_renewal_sent(&mut self, sequence: u64, now_ms: u64) {
-        self.sent.push_back((sequence, now_ms));
+        self.sent_renewals.push_back((sequence, now_ms));
         self.last_sent_ms = Some(now_ms);
     }
 
-    /// Notes a folded record.
+    /// Processes a record that was applied to the lease table.
     pub fn on_applied(&mut self, offset: u64, envelope: &Envelope<LeaseRecord>, now_ms: u64) {
         match &envelope.body {
             LeaseRecord::Renew { session, ttl_ms } => {
@@ -156,21 +156,21 @@
         offset: u64,
         now_ms: u64,
     ) {
-        self.seen.insert(
+        self.observed_renewals.insert(
             session.clone(),
-            SeenRenewal {
+            ObservedRenewal {
                 offset,
-                seen_at_ms: now_ms,
+                observed_at_ms: now_ms,
             },
         );
         if *session != self.session {
             return;
         }
-        while let Some((sent_sequence, sent_at_ms)) = self.sent.front().copied() {
+        while let Some((sent_sequence, sent_at_ms)) = self.sent_renewals.front().copied() {
             if sent_sequence > sequence {
                 break;
             }
-            self.sent.pop_front();
+            self.sent_renewals.pop_front();
             if sent_sequence == sequence {
                 let until_ms = sent_at_ms + ttl_ms.saturating_sub(margin_ms(ttl_ms));
                 self.valid_until_ms = self.valid_until_ms.max(until_ms);
@@ -178,16 +178,17 @@
         }
     }
 
-    /// Says what to append now. `wants` are the shards that should be owned by somebody.
+    /// Returns the records to append now: a renewal if one is due, and claims on free shards among
+    /// `candidacies`.
     pub fn tick(
         &mut self,
         table: &LeaseTable,
-        wants: &[Want],
+        candidacies: &[Candidacy],
         ttl_ms: u64,
         now_ms: u64,
     ) -> Vec<LeaseRecord> {
-        self.watch_sessions(table, now_ms);
-        let claims = self.due_claims(table, wants, now_ms);
+        self.track_sessions(table, now_ms);
+        let claims = self.due_claims(table, candidacies, now_ms);
         let needs_session = table.owns_any(&self.session) || !claims.is_empty();
         let mut records = Vec::new();
         if needs_session && self.renewal_due(ttl_ms, now_ms) {
@@ -216,63 +217,69 @@
         }
     }
 
-    /// Starts the clock of sessions that came with a snapshot, whose renewals were never seen.
-    fn watch_sessions(&mut self, table: &LeaseTable, now_ms: u64) {
+    /// Starts the TTL of sessions that were restored from a snapshot, so that their renewals were not read.
+    fn track_sessions(&mut self, table: &LeaseTable, now_ms: u64) {
         for (name, session) in table.sessions() {
             let offset = session.renewed_offset;
             let known = self
-                .seen
+                .observed_renewals
                 .get(name)
-                .is_some_and(|seen| seen.offset >= offset);
+                .is_some_and(|renewal| renewal.offset >= offset);
             if !known {
-                self.seen.insert(
+                self.observed_renewals.insert(
                     name.clone(),
-                    SeenRenewal {
+                    ObservedRenewal {
                         offset,
-                        seen_at_ms: now_ms,
+                        observed_at_ms: now_ms,
                     },
                 );
             }
         }
-        self.seen.retain(|name, _| table.session(name).is_some());
+        self.observed_renewals
+            .retain(|name, _| table.session(name).is_some());
     }
 
-    fn due_claims(&mut self, table: &LeaseTable, wants: &[Want], now_ms: u64) -> Vec<ShardClaim> {
+    fn due_claims(
+        &mut self,
+        table: &LeaseTable,
+        candidacies: &[Candidacy],
+        now_ms: u64,
+    ) -> Vec<ShardClaim> {
         let mut claims = Vec::new();
-        for want in wants {
-            let Some(claim) = self.claim_if_free(table, &want.shard, now_ms) else {
-                self.free_since_ms.remove(&want.shard);
+        for candidacy in candidacies {
+            let Some(claim) = self.claim_if_free(table, &candidacy.shard, now_ms) else {
+                self.free_since_ms.remove(&candidacy.shard);
                 continue;
             };
             let free_since_ms = *self
                 .free_since_ms
-                .get_or_insert_with(want.shard.clone(), || now_ms);
-            let asked = self.claimed_at_ms.get(&want.shard);
-            if asked.is_some_and(|asked_ms| now_ms < asked_ms + CLAIM_RETRY_MS) {
+                .get_or_insert_with(candidacy.shard.clone(), || now_ms);
+            let last_claim = self.claimed_at_ms.get(&candidacy.shard);
+            if last_claim.is_some_and(|claimed_ms| now_ms < claimed_ms + CLAIM_RETRY_MS) {
                 continue;
             }
-            if now_ms >= free_since_ms + want.rank * CANDIDATE_STAGGER_MS {
+            if now_ms >= free_since_ms + candidacy.rank * CANDIDATE_STAGGER_MS {
                 claims.push(claim);
             }
         }
         claims
     }
 
-    /// The claim to make for a shard whose owner is gone or has run out of time.
+    /// The claim for a shard that has no owner or whose owner's lease has expired.
     fn claim_if_free(
         &self,
         table: &LeaseTable,
         shard: &Arc<str>,
         now_ms: u64,
     ) -> Option<ShardClaim> {
-        let found = table.shard(shard);
-        let observed_epoch = found.map_or(0, |found| found.epoch);
+        let current = table.shard(shard);
+        let observed_epoch = current.map_or(0, |current| current.epoch);
         let free = ShardClaim {
             shard: shard.clone(),
             observed_epoch,
             observed_renewal: None,
         };
-        let Some(owner) = found.and_then(|found| found.owner.as_ref()) else {
+        let Some(owner) = current.and_then(|current| current.owner.as_ref()) else {
             return Some(free);
         };
         let Some(session) = table.session(owner) else {
@@ -281,9 +288,9 @@
         if *owner == self.session {
             return None;
         }
-        let seen = self.seen.get(owner)?;
-        let expires_at_ms = seen.seen_at_ms + session.ttl_ms + margin_ms(session.ttl_ms);
-        let observed_renewal = Some(seen.offset);
+        let renewal = self.observed_renewals.get(owner)?;
+        let expires_at_ms = renewal.observed_at_ms + session.ttl_ms + margin_ms(session.ttl_ms);
+        let observed_renewal = Some(renewal.offset);
         (now_ms >= expires_at_ms).then_some(ShardClaim {
             observed_renewal,
             ..free
--- a/crates/borageshore_membership/src/lib.rs
+++ b/crates/borageshore_membership/src/lib.rs
@@ -1,11 +1,11 @@
-//! Which daemons live, and which of them callers should use.
+//! Membership and failure detection of daemons.
 //!
-//! Heartbeats travel by gossip over UDP: each tick a daemon sends its own entry and a bounded number
-//! of others to a few peers, mostly in its own availability zone. [`Membership`] is pure: the shell
-//! gives it time, a seed and messages, and sends what it returns.
+//! [`Membership`] is a gossip protocol over UDP: each tick a daemon sends its own entry and a bounded number
+//! of others to a few peers, mostly in its own availability zone. It does no I/O: the daemon passes in the
+//! time, a random seed and received messages, and sends what is returned.
 //!
-//! Where all daemons read one log, [`PresenceTable`] takes gossip's place: the log carries what changes, and
-//! [`WatchTable`] tells who has gone silent.
+//! Where all daemons read one log, [`PresenceTable`] replaces gossip: the log carries changes of membership, and
+//! [`WatchTable`] detects failures by heartbeats.
 //!
 //! ```
 //! use borageshore_membership::{MemberEntry, MemberState, Membership};
@@ -30,16 +30,17 @@
 mod members;
 mod presence;
 mod relay;
-mod store_way;
+mod store_failover;
 mod watch;
 
 pub use self::{
     entry::{GossipMessage, Heartbeat, MemberEntry, MemberState},
     members::{Health, Membership, TICK_MS},
-    presence::{Presence, PresenceState, PresenceTable, REFUTED_WITHIN_MS},
+    presence::{Presence, PresenceState, PresenceTable, SUSPICION_TIMEOUT_MS},
     relay::{RelaySource, relay_source},
-    store_way::{CallEnd, PROBE_EVERY_MS, StoreWay, Way},
+    store_failover::{PROBE_INTERVAL_MS, StoreCallOutcome, StoreFailover, StoreRoute},
     watch::{
-        HEARTBEAT_EVERY_MS, SEES_WITHIN_MS, SPEAKS_WITHIN_MS, Suspicion, WatchRing, WatchTable,
+        HEARTBEAT_INTERVAL_MS, HEARTBEAT_LOG_TIMEOUT_MS, Suspicion, WATCHER_LOG_TIMEOUT_MS,
+        WatchRing, WatchTable,
     },
 };
--- a/crates/borageshore_membership/src/members.rs
+++ b/crates/borageshore_membership/src/members.rs
@@ -1,4 +1,4 @@
-//! The failure detector.
+//! The membership list and failure detector of the gossip protocol.
 
 use std::sync::Arc;
 
@@ -6,31 +6,31 @@
 
 use crate::entry::{GossipMessage, Heartbeat, MemberEntry, MemberState};
 
-/// The time between two heartbeats.
+/// The interval between two heartbeats.
 pub const TICK_MS: u64 = 1_000;
-/// Silence after which a daemon of the own zone gets no new work.
+/// A daemon of this zone is suspected, and gets no new work, this long after its last heartbeat.
 const SUSPECT_MS: u64 = 4_000;
-/// Silence after which a daemon of the own zone counts as dead.
+/// A daemon of this zone counts as dead this long after its last heartbeat.
 const DEAD_MS: u64 = 10_000;
-/// A tick later than this means that this process itself was paused.
-const OWN_PAUSE_MS: u64 = 3 * TICK_MS;
-/// How long a dead daemon is remembered, so that old gossip does not revive it.
-const DEAD_MEMORY_MS: u64 = 120_000;
-/// Entries of other zones that a daemon hears in one tick at the least; see `gossip`.
+/// A longer gap between two ticks means that this process was paused.
+const PAUSE_THRESHOLD_MS: u64 = 3 * TICK_MS;
+/// How long a dead daemon is kept in the list, so that old gossip does not revive it.
+const DEAD_RETENTION_MS: u64 = 120_000;
+/// The minimum number of entries of other zones that a daemon receives in one tick; see `gossip`.
 const REMOTE_ENTRIES_PER_TICK: u64 = 16;
-/// How many refreshes of a remote entry may be missed before it counts as silent.
-const REMOTE_MISSES: u64 = 6;
-/// In how many messages a change is repeated first of all.
-pub(crate) const NEWS_REPEATS: u32 = 8;
+/// How many refreshes of an entry of another zone may be missed before its timeouts start.
+const MAX_MISSED_REMOTE_REFRESHES: u64 = 6;
+/// In how many messages a change is sent with priority.
+pub(crate) const CHANGE_TRANSMISSIONS: u32 = 8;
 
-/// How the local detector sees a daemon.
+/// The state of a daemon according to the local failure detector.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Health {
-    /// Heard of lately.
+    /// Heartbeats arrive in time.
     Alive,
-    /// Silent for a while; gets no new work, keeps what it has.
+    /// Heartbeats are late; the daemon gets no new work and keeps what it has.
     Suspect,
-    /// Silent for too long, or said to be dead.
+    /// Heartbeats stopped for too long, or the daemon was declared dead.
     Dead,
 }
 
@@ -38,28 +38,28 @@
 pub(crate) struct Member {
     pub(crate) entry: MemberEntry,
     pub(crate) advanced_at_ms: u64,
-    pub(crate) news_left: u32,
+    pub(crate) transmissions_left: u32,
 }
 
-/// All daemons as this one sees them.
+/// All daemons known to this one.
 #[derive(Debug)]
 pub struct Membership {
     pub(crate) own: MemberEntry,
     pub(crate) seeds: Vec<Arc<str>>,
     pub(crate) members: SortedMap<Arc<str>, Member>,
     pub(crate) rotation: usize,
-    ticked_at_ms: u64,
+    last_tick_ms: u64,
 }
 
 impl Membership {
-    /// Opens a membership that knows this daemon and the gossip addresses of some others.
+    /// Creates a membership of this daemon alone; `seeds` are gossip addresses of other daemons.
     pub fn open(own: MemberEntry, seeds: Vec<Arc<str>>, now_ms: u64) -> Self {
         Self {
             own,
             seeds,
             members: SortedMap::default(),
             rotation: 0,
-            ticked_at_ms: now_ms,
+            last_tick_ms: now_ms,
         }
     }
 
@@ -68,16 +68,16 @@
         &self.own
     }
 
-    /// Announces that this daemon takes callers from now on.
+    /// Announces that this daemon accepts callers.
     ///
-    /// Guards against callers sent to a daemon that has just started and has no settings yet: it opens
-    /// its membership as [`MemberState::Leaving`], so nobody lists it before this.
+    /// Guards against callers that are sent to a daemon without settings: a starting daemon is
+    /// [`MemberState::Leaving`], which is not listed, until this call.
     pub fn enter(&mut self) {
         self.own.state = MemberState::Live;
         self.own.counter += 1;
     }
 
-    /// Announces that this daemon leaves.
+    /// Announces that this daemon is leaving.
     pub fn leave(&mut self) {
         self.own.state = MemberState::Leaving;
         self.own.counter += 1;
@@ -89,15 +89,15 @@
         self.own.counter += 1;
     }
 
-    /// Advances time: counts the own heartbeat and gives up on the silent.
+    /// Advances the time to `now_ms`, counts a heartbeat of this daemon and declares silent ones dead.
     ///
-    /// Guards against blaming others for an own pause (SIGSTOP, a stalled VM): the gap shows as a late
-    /// tick, and every deadline moves by it, so others get a full period to be heard again.
+    /// Guards against declaring others dead after a pause of this process (SIGSTOP, a stalled VM): the
+    /// length of the gap between two ticks is added to all deadlines.
     pub fn advance(&mut self, now_ms: u64) {
-        let gap_ms = now_ms.saturating_sub(self.ticked_at_ms);
-        self.ticked_at_ms = now_ms;
+        let gap_ms = now_ms.saturating_sub(self.last_tick_ms);
+        self.last_tick_ms = now_ms;
         self.own.counter += 1;
-        if gap_ms > OWN_PAUSE_MS {
+        if gap_ms > PAUSE_THRESHOLD_MS {
             for (_, member) in self.members.iter_mut() {
                 member.advanced_at_ms += gap_ms;
             }
@@ -105,14 +105,14 @@
         self.declare_dead(now_ms);
         self.members.retain(|_, member| {
             member.entry.state != MemberState::Dead
-                || now_ms < member.advanced_at_ms + DEAD_MEMORY_MS
+                || now_ms < member.advanced_at_ms + DEAD_RETENTION_MS
         });
     }
 
-    /// Marks silent daemons of the own zone as dead for everybody.
+    /// Declares silent daemons of this zone dead, which gossip spreads to all daemons.
     ///
-    /// Guards against a cut-off observer: when more than half of the zone looks silent at once, the
-    /// fault is more likely here, so the verdict is kept local (`health` still avoids them).
+    /// Guards against an isolated observer: if more than half of the zone is silent, this daemon is the
+    /// likelier fault, so nothing is declared. `health` still reports them as dead.
     fn declare_dead(&mut self, now_ms: u64) {
         let zone = self.own.zone.clone();
         let in_zone =
@@ -132,11 +132,11 @@
             let member = self.members.get_mut(&name).expect("listed just now");
             member.entry.state = MemberState::Dead;
             member.advanced_at_ms = now_ms;
-            member.news_left = NEWS_REPEATS;
+            member.transmissions_left = CHANGE_TRANSMISSIONS;
         }
     }
 
-    /// Takes in one entry; says nothing of entries that are no news.
+    /// Processes a received entry; entries that are not newer than the known one are ignored.
     pub fn on_entry(&mut self, entry: MemberEntry, now_ms: u64) {
         if entry.name == self.own.name {
             self.refute(&entry);
@@ -146,7 +146,7 @@
             if entry.state != MemberState::Dead {
                 let member = Member {
                     advanced_at_ms: now_ms,
-                    news_left: NEWS_REPEATS,
+                    transmissions_left: CHANGE_TRANSMISSIONS,
                     entry,
                 };
                 self.members.insert(member.entry.name.clone(), member);
@@ -159,31 +159,31 @@
         let changed =
             entry.incarnation != member.entry.incarnation || entry.state != member.entry.state;
         if changed {
-            member.news_left = NEWS_REPEATS;
+            member.transmissions_left = CHANGE_TRANSMISSIONS;
         }
         member.advanced_at_ms = now_ms;
         member.entry = entry;
     }
 
-    /// Takes in a sign of life. One of an unknown daemon or incarnation is passed over: the whole
-    /// entry comes as news, and a daemon that starts asks a peer for all entries.
+    /// Processes a heartbeat. Those of unknown daemons or incarnations are ignored, as a full entry is
+    /// sent with every change and a starting daemon fetches all entries from a peer.
     pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now_ms: u64) {
         let Some(member) = self.members.get_mut(&heartbeat.name) else {
             return;
         };
-        let is_same_life = heartbeat.incarnation == member.entry.incarnation;
-        if !is_same_life || heartbeat.counter <= member.entry.counter {
+        let is_same_incarnation = heartbeat.incarnation == member.entry.incarnation;
+        if !is_same_incarnation || heartbeat.counter <= member.entry.counter {
             return;
         }
         member.entry.counter = heartbeat.counter;
         member.advanced_at_ms = now_ms;
         if member.entry.state == MemberState::Dead {
             member.entry.state = MemberState::Live;
-            member.news_left = NEWS_REPEATS;
+            member.transmissions_left = CHANGE_TRANSMISSIONS;
         }
     }
 
-    /// Takes in a datagram.
+    /// Processes a received message.
     pub fn on_message(&mut self, message: GossipMessage, now_ms: u64) {
         for entry in message.entries {
             self.on_entry(entry, now_ms);
@@ -193,14 +193,14 @@
         }
     }
 
-    /// Outbids a rumour about this daemon: a verdict of death, or a counter of an earlier life.
-    fn refute(&mut self, rumour: &MemberEntry) {
-        if rumour.incarnation == self.own.incarnation && rumour.supersedes(&self.own) {
-            self.own.counter = rumour.counter + 1;
+    /// Refutes a newer entry about this daemon, such as one that declares it dead, by raising the counter above it.
+    fn refute(&mut self, received: &MemberEntry) {
+        if received.incarnation == self.own.incarnation && received.supersedes(&self.own) {
+            self.own.counter = received.counter + 1;
         }
     }
 
-    /// How the detector sees a daemon; `Dead` for one it has never heard of.
+    /// The health of a daemon; `Dead` if it is unknown.
     pub fn health(&self, name: &str, now_ms: u64) -> Health {
         if name == &*self.own.name {
             return Health::Alive;
@@ -226,13 +226,13 @@
         }
     }
 
-    /// Heartbeats of other zones come around less often the more daemons there are.
+    /// Extra time for heartbeats of other zones, which arrive less often the more daemons there are.
     fn remote_slack_ms(&self, member: &Member) -> u64 {
         if member.entry.zone == self.own.zone {
             return 0;
         }
         let refresh_ms = self.members.len() as u64 * TICK_MS / REMOTE_ENTRIES_PER_TICK;
-        refresh_ms * REMOTE_MISSES
+        refresh_ms * MAX_MISSED_REMOTE_REFRESHES
     }
 
     /// The entry of a daemon, this one included.
@@ -243,7 +243,7 @@
         self.members.get(name).map(|member| &member.entry)
     }
 
-    /// All known daemons that are not dead, this one first.
+    /// All daemons that are not dead, this one first.
     pub fn entries(&self, now_ms: u64) -> impl Iterator<Item = (&MemberEntry, Health)> {
         let others = self
             .members
@@ -253,7 +253,7 @@
         own.chain(others.filter(|(_, health)| *health != Health::Dead))
     }
 
-    /// The daemons that may be given new work, this one included unless it leaves.
+    /// The daemons that may get new work, including this one if it is live.
     pub fn usable(&self, now_ms: u64) -> impl Iterator<Item = &MemberEntry> {
         self.entries(now_ms)
             .filter(|(entry, health)| *health == Health::Alive && entry.state == MemberState::Live)
@@ -272,6 +272,6 @@
 
     /// The time of the last tick.
     pub fn now_ms(&self) -> u64 {
-        self.ticked_at_ms
+        self.last_tick_ms
     }
 }
--- a/crates/borageshore_membership/src/watch.rs
+++ b/crates/borageshore_membership/src/watch.rs
@@ -1,9 +1,9 @@
-//! Failure detection: each daemon is watched by a few others, whatever the number of all.
+//! Heartbeat failure detection in which a fixed number of daemons watch each daemon.
 //!
-//! A daemon sends a heartbeat to its watchers, which it finds on a ring of all daemons that live. A
-//! watcher that hears nothing writes a [`Suspicion`] to the log that all read; the suspected daemon, if it
-//! lives, writes its own record again, which clears it. What a daemon sends and what it reads so do not grow
-//! with the number of daemons, and neither does the time until a death shows.
+//! A daemon sends heartbeats to its watchers, which follow it on a ring of all live daemons. A watcher
+//! that misses them appends a [`Suspicion`] to the shared log; a suspected daemon that is alive refutes it by
+//! appending its own record again. Heartbeat traffic per daemon and the detection time do not depend on the
+//! number of daemons.
 
 use std::sync::Arc;
 
@@ -12,45 +12,44 @@
 
 use crate::presence::{Presence, PresenceState};
 
-/// The pause between two heartbeats. Each costs three datagrams of some 70 bytes, 1 KB a second.
-pub const HEARTBEAT_EVERY_MS: u64 = 200;
-/// How many daemons watch one. With its availability zone a daemon loses none of them, and of three two
-/// may die at the same moment without a later notice.
-const WATCHERS: usize = 3;
-/// A watched daemon is suspected after this silence: three heartbeats may be lost, as datagrams are now and then.
-const SILENCE_MS: u64 = 700;
-/// The second and third watcher wait so much longer each, so that one suspicion is written and not three: the
-/// first one's is read within 60 ms.
-const RANK_STEP_MS: u64 = 80;
-/// How long a new watcher waits for the first heartbeat: the watched daemon may read of it a second later, while
-/// both start.
-const FIRST_PATIENCE_MS: u64 = 2_000;
-/// A suspicion that was refuted though no heartbeat came doubles the patience up to this: where datagrams do not
-/// pass, a daemon that lives is suspected twice a minute and not each second.
-const MOST_PATIENCE_MS: u64 = 30_000;
-/// Looks that are farther apart than the pause of a heartbeat and this had a pause of the watcher between them, or of
-/// its VM. Heartbeats that came meanwhile wait in its socket.
-const STALL_MS: u64 = 200;
+/// The interval between two heartbeats of a daemon to each of its watchers.
+pub const HEARTBEAT_INTERVAL_MS: u64 = 200;
+/// How many daemons watch each daemon. A new watcher is needed only if all of them fail together with it.
+const WATCHERS_PER_DAEMON: usize = 3;
+/// A daemon is suspected this long after its last heartbeat; up to three lost datagrams are tolerated.
+const HEARTBEAT_TIMEOUT_MS: u64 = 700;
+/// The delay per rank before a watcher suspects, so that lower ranks read the first watcher's suspicion
+/// instead of appending their own.
+const WATCHER_STAGGER_MS: u64 = 80;
+/// The timeout of a new watcher for the first heartbeat, as the watched daemon may learn of the watcher later.
+const FIRST_HEARTBEAT_TIMEOUT_MS: u64 = 2_000;
+/// The upper bound of the timeout, which doubles with each suspicion that is refuted without a heartbeat. Limits
+/// false suspicions of live daemons whose datagrams are lost.
+const MAX_HEARTBEAT_TIMEOUT_MS: u64 = 30_000;
+/// Checks that are further apart than the heartbeat interval plus this mean that the watcher's process or VM was
+/// paused. Heartbeats that arrived meanwhile are still in its socket buffer.
+const STALL_THRESHOLD_MS: u64 = 200;
 
-/// A daemon that got no answer of the log for so long sends no heartbeats: it cannot keep what it makes, and its
-/// work is better off with one that can. Ways through peers are tried within 0.6 s, a slow log answers in 0.3.
-pub const SPEAKS_WITHIN_MS: u64 = 3_000;
-/// A watcher that got no answer of the log for so long suspects nobody: its reads are answered every 1.2 s.
-pub const SEES_WITHIN_MS: u64 = 1_500;
+/// A daemon stops its heartbeats after this time without an answer of the log, so that its work moves to a daemon
+/// that can store results. Leaves time for slow answers and for failover to a peer.
+pub const HEARTBEAT_LOG_TIMEOUT_MS: u64 = 3_000;
+/// A watcher raises no suspicions after this time without an answer of the log. Exceeds the interval at which
+/// waiting reads are answered.
+pub const WATCHER_LOG_TIMEOUT_MS: u64 = 1_500;
 
-/// What a watcher writes of a daemon that has gone silent.
+/// A record that a watcher appends when a daemon's heartbeats stop.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspicion {
-    /// The daemon.
+    /// The suspected daemon.
     pub name: Arc<str>,
-    /// The life that went silent; a later one is not meant.
+    /// The suspected incarnation; later ones are not affected.
     pub incarnation: u64,
-    /// The watcher.
+    /// The watcher's name.
     pub by: Arc<str>,
 }
 
 #[derive(Debug)]
-struct Place {
+struct RingMember {
     weight: u64,
     name: Arc<str>,
     zone: usize,
@@ -58,19 +57,19 @@
     is_watcher: bool,
 }
 
-/// The daemons that live, on a ring.
+/// A ring of all live daemons, which assigns watchers.
 ///
-/// The watchers of a daemon are those that follow it, of other availability zones first: a zone that loses
-/// its power, or its links, takes none of the watchers of its daemons along.
+/// The watchers of a daemon are the next ones on the ring in other availability zones, and in its own zone only
+/// if there are too few. Guards against a zone failure that stops a daemon together with its watchers.
 #[derive(Debug, Default)]
 pub struct WatchRing {
-    places: Vec<Place>,
+    members: Vec<RingMember>,
     /// The number of watchers in each zone.
     watchers_by_zone: Vec<usize>,
 }
 
 impl WatchRing {
-    /// Puts daemons on a ring, in an order that has nothing to do with their names or zones.
+    /// Builds the ring in hash order, independent of the order of names and zones.
     pub fn of<'p, Members>(members: Members) -> Self
     where
         Members: Iterator<Item = &'p Presence>,
@@ -87,7 +86,7 @@
             let is_watcher =
                 member.state == PresenceState::Ready && !member.peer_address.is_empty();
             ring.watchers_by_zone[zone] += usize::from(is_watcher);
-            ring.places.push(Place {
+            ring.members.push(RingMember {
                 weight: rendezvous_weight("watch", &member.name),
                 name: member.name.clone(),
                 zone,
@@ -95,55 +94,55 @@
                 is_watcher,
             });
         }
-        ring.places
+        ring.members
             .sort_by(|a, b| a.weight.cmp(&b.weight).then_with(|| a.name.cmp(&b.name)));
         ring
     }
 
-    /// Where the watchers of a daemon are reached.
+    /// The addresses to which a daemon sends its heartbeats; empty if it is not on the ring.
     pub fn watchers_of(&self, name: &str) -> Vec<Arc<str>> {
-        let Some(at) = self.places.iter().position(|place| &*place.name == name) else {
+        let Some(index) = self.members.iter().position(|member| &*member.name == name) else {
             return Vec::new();
         };
-        let watchers = self.watchers_at(at).into_iter();
+        let watchers = self.watchers_at(index).into_iter();
         watchers
-            .map(|watcher| self.places[watcher].address.clone())
+            .map(|watcher| self.members[watcher].address.clone())
             .collect()
     }
 
-    /// The daemons that a daemon watches, each with the number of watchers before it.
+    /// The daemons that a daemon watches, each with its rank among the watchers, starting at 0.
     pub fn watched_by(&self, name: &str) -> Vec<(Arc<str>, u64)> {
         let mut watched = Vec::new();
-        for (at, place) in self.places.iter().enumerate() {
-            let watchers = self.watchers_at(at);
+        for (index, member) in self.members.iter().enumerate() {
+            let watchers = self.watchers_at(index);
             let rank = watchers
                 .iter()
-                .position(|watcher| &*self.places[*watcher].name == name);
+                .position(|watcher| &*self.members[*watcher].name == name);
             if let Some(rank) = rank {
-                watched.push((place.name.clone(), rank as u64));
+                watched.push((member.name.clone(), rank as u64));
             }
         }
         watched
     }
 
-    fn watchers_at(&self, at: usize) -> Vec<usize> {
-        let own_zone = self.places[at].zone;
+    fn watchers_at(&self, index: usize) -> Vec<usize> {
+        let own_zone = self.members[index].zone;
         let all: usize = self.watchers_by_zone.iter().sum();
-        let far = all - self.watchers_by_zone[own_zone];
-        let mut near_wanted = WATCHERS - far.min(WATCHERS);
-        let mut wanted = WATCHERS;
-        let mut watchers = Vec::with_capacity(WATCHERS);
-        let others = (at + 1..self.places.len()).chain(0..at);
-        for other in others.filter(|other| self.places[*other].is_watcher) {
-            if self.places[other].zone == own_zone {
-                if near_wanted == 0 {
+        let in_other_zones = all - self.watchers_by_zone[own_zone];
+        let mut same_zone_slots = WATCHERS_PER_DAEMON - in_other_zones.min(WATCHERS_PER_DAEMON);
+        let mut slots_left = WATCHERS_PER_DAEMON;
+        let mut watchers = Vec::with_capacity(WATCHERS_PER_DAEMON);
+        let others = (index + 1..self.members.len()).chain(0..index);
+        for other in others.filter(|other| self.members[*other].is_watcher) {
+            if self.members[other].zone == own_zone {
+                if same_zone_slots == 0 {
                     continue;
                 }
-                near_wanted -= 1;
+                same_zone_slots -= 1;
             }
             watchers.push(other);
-            wanted -= 1;
-            if wanted == 0 {
+            slots_left -= 1;
+            if slots_left == 0 {
                 break;
             }
         }
@@ -154,27 +153,27 @@
 #[derive(Debug)]
 struct Watched {
     rank: u64,
-    /// Silence until then is suspicious.
+    /// When the daemon is suspected unless a heartbeat arrives before.
     due_ms: u64,
     is_suspected: bool,
 }
 
-/// What a watcher knows of the daemons that it watches.
+/// The heartbeat deadlines of the daemons that one watcher watches.
 #[derive(Debug, Default)]
 pub struct WatchTable {
     watched: SortedMap<Arc<str>, Watched>,
-    /// How long a heartbeat is waited for after a suspicion that was refuted, for daemons of which none came since.
-    patience_ms: SortedMap<Arc<str>, u64>,
-    looked_at_ms: u64,
+    /// Backed-off timeouts of daemons that refuted a suspicion and have sent no heartbeat since.
+    timeouts_ms: SortedMap<Arc<str>, u64>,
+    last_check_ms: u64,
 }
 
 impl WatchTable {
-    /// Takes over which daemons are to be watched, each with the number of watchers before this one.
-    pub fn watch(&mut self, daemons: Vec<(Arc<str>, u64)>, now_ms: u64) {
+    /// Replaces the set of watched daemons, each with this watcher's rank; known deadlines are kept.
+    pub fn set_watched(&mut self, daemons: Vec<(Arc<str>, u64)>, now_ms: u64) {
         let is_watched = |name: &Arc<str>| daemons.iter().any(|(watched, _)| watched == name);
         self.watched.retain(|name, _| is_watched(name));
         for (name, rank) in daemons {
-            let due_ms = now_ms + self.patience_of(&name) + rank * RANK_STEP_MS;
+            let due_ms = now_ms + self.timeout_ms_of(&name) + rank * WATCHER_STAGGER_MS;
             let watched = self.watched.get_or_insert_with(name, || Watched {
                 rank,
                 due_ms,
@@ -184,46 +183,46 @@
         }
     }
 
-    /// Takes over a heartbeat that came from a daemon itself.
+    /// Processes a heartbeat that was received from a daemon.
     pub fn on_heartbeat(&mut self, name: &str, now_ms: u64) {
-        self.patience_ms.remove(name);
+        self.timeouts_ms.remove(name);
         if let Some(watched) = self.watched.get_mut(name) {
-            watched.due_ms = now_ms + SILENCE_MS + watched.rank * RANK_STEP_MS;
+            watched.due_ms = now_ms + HEARTBEAT_TIMEOUT_MS + watched.rank * WATCHER_STAGGER_MS;
             watched.is_suspected = false;
         }
     }
 
-    /// Notes that a watcher suspects a daemon: once is enough.
+    /// Records that some watcher suspects a daemon, so that this one does not suspect it as well.
     pub fn on_suspicion(&mut self, name: &str) {
         if let Some(watched) = self.watched.get_mut(name) {
             watched.is_suspected = true;
         }
     }
 
-    /// Takes over a daemon's own record in the log, with which it refutes a suspicion.
+    /// Processes a daemon's own record in the log, which refutes a suspicion.
     pub fn on_record(&mut self, name: &Arc<str>, now_ms: u64) {
-        let patience_ms = self.patience_of(name);
+        let timeout_ms = self.timeout_ms_of(name);
         let Some(watched) = self.watched.get_mut(name) else {
             return;
         };
         if std::mem::take(&mut watched.is_suspected) {
-            watched.due_ms = now_ms + patience_ms;
-            let doubled_ms = (2 * patience_ms).min(MOST_PATIENCE_MS);
-            self.patience_ms.insert(name.clone(), doubled_ms);
+            watched.due_ms = now_ms + timeout_ms;
+            let doubled_ms = (2 * timeout_ms).min(MAX_HEARTBEAT_TIMEOUT_MS);
+            self.timeouts_ms.insert(name.clone(), doubled_ms);
         } else {
-            watched.due_ms = watched.due_ms.max(now_ms + SILENCE_MS);
+            watched.due_ms = watched.due_ms.max(now_ms + HEARTBEAT_TIMEOUT_MS);
         }
     }
 
-    /// The daemons that have gone silent and that nobody suspects yet; from now on this watcher does.
+    /// Returns the daemons whose deadline has passed and that nobody suspects yet, and marks them as suspected.
     ///
-    /// Guards against a watcher that stood still itself: it would suspect all that it watches when it goes
-    /// on. The time for which it did not look counts for nobody.
+    /// Guards against a watcher that resumes after a pause and suspects all that it watches: the time of the
+    /// pause is added to every deadline.
     pub fn take_silent(&mut self, now_ms: u64) -> Vec<Arc<str>> {
-        let pause_ms = now_ms.saturating_sub(self.looked_at_ms);
-        self.looked_at_ms = now_ms;
-        let stalled_ms = match pause_ms > HEARTBEAT_EVERY_MS + STALL_MS {
-            true => pause_ms,
+        let elapsed_ms = now_ms.saturating_sub(self.last_check_ms);
+        self.last_check_ms = now_ms;
+        let stalled_ms = match elapsed_ms > HEARTBEAT_INTERVAL_MS + STALL_THRESHOLD_MS {
+            true => elapsed_ms,
             false => 0,
         };
         let mut silent = Vec::new();
@@ -237,28 +236,27 @@
         silent
     }
 
-    /// Notes that a suspicion could not be written: it is due again after the pause of a heartbeat.
-    pub fn on_not_written(&mut self, name: &str, now_ms: u64) {
+    /// Records that a suspicion could not be appended; it is due again after one heartbeat interval.
+    pub fn on_suspicion_not_written(&mut self, name: &str, now_ms: u64) {
         if let Some(watched) = self.watched.get_mut(name) {
             watched.is_suspected = false;
-            watched.due_ms = now_ms + HEARTBEAT_EVERY_MS;
+            watched.due_ms = now_ms + HEARTBEAT_INTERVAL_MS;
         }
     }
 
-    /// Notes that this watcher does not read the log: it cannot see who refutes, and whoever does not reach the
-    /// log either sends no heartbeats.
+    /// Postpones all deadlines while this watcher cannot read the log.
     ///
-    /// Guards the end of an outage: daemons reach the log again within two seconds of each other, and the
-    /// first ones would suspect the rest.
-    pub fn on_blind(&mut self, now_ms: u64) {
-        self.looked_at_ms = now_ms;
+    /// Guards against false suspicions at the end of an outage of the log: daemons that cannot reach it send no
+    /// heartbeats, and they reach it again at different times.
+    pub fn on_log_unreachable(&mut self, now_ms: u64) {
+        self.last_check_ms = now_ms;
         for (_, watched) in self.watched.iter_mut() {
-            watched.due_ms = watched.due_ms.max(now_ms + FIRST_PATIENCE_MS);
+            watched.due_ms = watched.due_ms.max(now_ms + FIRST_HEARTBEAT_TIMEOUT_MS);
         }
     }
 
-    fn patience_of(&self, name: &str) -> u64 {
-        let patience_ms = self.patience_ms.get(name).copied();
-        patience_ms.unwrap_or(FIRST_PATIENCE_MS)
+    fn timeout_ms_of(&self, name: &str) -> u64 {
+        let timeout_ms = self.timeouts_ms.get(name).copied();
+        timeout_ms.unwrap_or(FIRST_HEARTBEAT_TIMEOUT_MS)
     }
 }
