--- a/crates/borageshore_duty/src/holder.rs
+++ b/crates/borageshore_duty/src/holder.rs
@@ -6,7 +6,7 @@
 
 /// The holder of a duty among the daemons that take work: the last one goes on as long as it is among them, so that
 /// a daemon that comes back does not take turns with another one; else the first by rendezvous.
-pub fn holder_among<'a>(
+pub fn select_holder<'a>(
     duty: &str,
     last: Option<&'a Arc<str>>,
     able: &'a [Arc<str>],
--- a/crates/borageshore_duty/src/lib.rs
+++ b/crates/borageshore_duty/src/lib.rs
@@ -22,7 +22,7 @@
 mod terms;
 
 pub use self::{
-    holder::holder_among,
+    holder::select_holder,
     leases::DutyLeases,
     terms::{DutyTerms, SendWindow},
 };
--- a/crates/borageshore_duty/tests/duty.rs
+++ b/crates/borageshore_duty/tests/duty.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use borageshore_duty::{DutyLeases, DutyTerms, holder_among};
+use borageshore_duty::{DutyLeases, DutyTerms, select_holder};
 
 const TERMS: DutyTerms = DutyTerms {
     lease_ms: 3_000,
@@ -77,11 +77,11 @@
     the_last_holder_goes_on_while_it_takes_work => {
         let (all, some) = (names(&["vm-1", "vm-2", "vm-3"]), names(&["vm-1", "vm-3"]));
         let last: Arc<str> = "vm-2".into();
-        assert_eq!(holder_among("duties", Some(&last), &all), Some("vm-2"));
-        let next = holder_among("duties", Some(&last), &some);
+        assert_eq!(select_holder("duties", Some(&last), &all), Some("vm-2"));
+        let next = select_holder("duties", Some(&last), &some);
         assert!(next.is_some_and(|next| next != "vm-2"));
-        assert_eq!(next, holder_among("duties", None, &some), "all agree on the successor");
-        assert_eq!(holder_among("duties", None, &[]), None);
+        assert_eq!(next, select_holder("duties", None, &some), "all agree on the successor");
+        assert_eq!(select_holder("duties", None, &[]), None);
     }
 
     // Daemons announce, freeze, lose their memory and send late, in any order. Whatever they do, a subject never sees
--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -4,7 +4,7 @@
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
 use borageshore_batch::{NamedVersion, OrderLeases, SwapRound};
-use borageshore_duty::{DutyTerms, SendWindow, holder_among};
+use borageshore_duty::{DutyTerms, SendWindow, select_holder};
 use borageshore_net::boot_time_ms;
 use borageshore_platform::{KeyedRecord, StoreError, Topic};
 use bytes::Bytes;
@@ -157,7 +157,7 @@
         let holder = {
             let leases = self.announcements.leases.borrow();
             let last = leases.newest_holder();
-            holder_among(RANKED_BY, last, &able).map(Arc::<str>::from)
+            select_holder(RANKED_BY, last, &able).map(Arc::<str>::from)
         };
         let is_own = holder.as_deref() == Some(&*self.members.own_name());
         self.follow.next_offset().filter(|_| is_own)
