--- a/crates/borageshore_duty/src/leases.rs
+++ b/crates/borageshore_duty/src/leases.rs
@@ -19,7 +19,7 @@
 pub struct DutyLeases {
     /// Announcements from before may have been forgotten with the log's history.
     began_at_ms: u64,
-    wait_ms: u64,
+    takeover_delay_ms: u64,
     newest_holder: Option<Arc<str>>,
     /// Subjects that others had just acted on when the newest announcement was made.
     newest_others: Vec<Arc<str>>,
@@ -27,11 +27,11 @@
 }
 
 impl DutyLeases {
-    /// Opens the table of a process that begins to read announcements at `now_ms`; a successor waits for `wait_ms`.
-    pub fn open(now_ms: u64, wait_ms: u64) -> Self {
+    /// Opens the table of a process that begins to read announcements at `now_ms`; a successor waits for `takeover_delay_ms`.
+    pub fn open(now_ms: u64, takeover_delay_ms: u64) -> Self {
         Self {
             began_at_ms: now_ms,
-            wait_ms,
+            takeover_delay_ms,
             newest_holder: None,
             newest_others: Vec::new(),
             last: SortedMap::default(),
@@ -64,7 +64,7 @@
 
     /// Says whether `holder` may act on a subject at `now_ms`.
     pub fn may_act(&self, holder: &str, subject: &str, now_ms: u64) -> bool {
-        let has_passed = |seen_at_ms: u64| now_ms >= seen_at_ms + self.wait_ms;
+        let has_passed = |seen_at_ms: u64| now_ms >= seen_at_ms + self.takeover_delay_ms;
         match self.last.get(subject) {
             Some(last) => &*last.holder == holder || has_passed(last.seen_at_ms),
             // No announcement is known. The holder of the newest one goes by what it wrote there of the others, also
@@ -91,6 +91,6 @@
 
     /// Begins anew after announcements were missed.
     pub fn begin_again(&mut self, now_ms: u64) {
-        *self = Self::open(now_ms, self.wait_ms);
+        *self = Self::open(now_ms, self.takeover_delay_ms);
     }
 }
--- a/crates/borageshore_duty/src/lib.rs
+++ b/crates/borageshore_duty/src/lib.rs
@@ -7,10 +7,10 @@
 //! Times are those of a clock that counts suspensions.
 //!
 //! ```
-//! use borageshore_duty::{DutyLeases, DutyTerms};
+//! use borageshore_duty::{DutyLeases, DutyTiming};
 //!
-//! let terms = DutyTerms { lease_ms: 3_000, sent_within_ms: 500, margin_ms: 300 };
-//! let mut leases = DutyLeases::open(0, terms.wait_ms());
+//! let terms = DutyTiming { lease_ms: 3_000, send_window_ms: 500, margin_ms: 300 };
+//! let mut leases = DutyLeases::open(0, terms.takeover_delay_ms());
 //! leases.on_round(&"vm-1".into(), &["usage".into()], &[], 10_000);
 //! assert!(leases.may_act("vm-1", "usage", 10_100));
 //! assert!(!leases.may_act("vm-2", "usage", 10_100));
@@ -24,5 +24,5 @@
 pub use self::{
     holder::select_holder,
     leases::DutyLeases,
-    terms::{DutyTerms, SendWindow},
+    terms::{DutyTiming, SendWindow},
 };
--- a/crates/borageshore_duty/src/terms.rs
+++ b/crates/borageshore_duty/src/terms.rs
@@ -2,25 +2,25 @@
 
 /// The times of a duty.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct DutyTerms {
+pub struct DutyTiming {
     /// Two holders act on one subject at least this far apart.
     pub lease_ms: u64,
     /// What was announced leaves within this time of its announcement, or not at all.
-    pub sent_within_ms: u64,
+    pub send_window_ms: u64,
     /// What a call takes on its way, and the delay of a successor's own reads.
     pub margin_ms: u64,
 }
 
-impl DutyTerms {
+impl DutyTiming {
     /// How long a successor waits after it has read a holder's announcement.
-    pub fn wait_ms(&self) -> u64 {
-        self.lease_ms + self.sent_within_ms + self.margin_ms
+    pub fn takeover_delay_ms(&self) -> u64 {
+        self.lease_ms + self.send_window_ms + self.margin_ms
     }
 
     /// The time in which what is announced from `now_ms` on may be sent.
     pub fn send_window(&self, now_ms: u64) -> SendWindow {
         SendWindow {
-            until_ms: now_ms + self.sent_within_ms,
+            until_ms: now_ms + self.send_window_ms,
         }
     }
 }
--- a/crates/borageshore_duty/tests/duty.rs
+++ b/crates/borageshore_duty/tests/duty.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use borageshore_duty::{DutyLeases, DutyTerms, select_holder};
+use borageshore_duty::{DutyLeases, DutyTiming, select_holder};
 
-const TERMS: DutyTerms = DutyTerms {
+const TERMS: DutyTiming = DutyTiming {
     lease_ms: 3_000,
-    sent_within_ms: 500,
+    send_window_ms: 500,
     margin_ms: 300,
 };
 /// Reading what another daemon appended takes no longer.
@@ -18,7 +18,7 @@
 }
 
 fn leases_at(now_ms: u64) -> DutyLeases {
-    DutyLeases::open(now_ms, TERMS.wait_ms())
+    DutyLeases::open(now_ms, TERMS.takeover_delay_ms())
 }
 
 macro_rules! cases {
--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -4,7 +4,7 @@
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
 use borageshore_batch::{NamedVersion, OrderLeases, SwapRound};
-use borageshore_duty::{DutyTerms, SendWindow, select_holder};
+use borageshore_duty::{DutyTiming, SendWindow, select_holder};
 use borageshore_net::boot_time_ms;
 use borageshore_platform::{KeyedRecord, StoreError, Topic};
 use bytes::Bytes;
@@ -99,7 +99,7 @@
     members: Rc<Members>,
     announcements: Rc<Announcements>,
     follow: Rc<Follow<Announcements>>,
-    terms: DutyTerms,
+    terms: DutyTiming,
 }
 
 /// What was announced: its epoch, and until when it may be sent.
@@ -125,15 +125,15 @@
         usage: Rc<UsageReports>,
         lease_ms: u64,
     ) -> Rc<Self> {
-        let terms = DutyTerms {
+        let terms = DutyTiming {
             lease_ms,
-            sent_within_ms: SENT_WITHIN_MS,
+            send_window_ms: SENT_WITHIN_MS,
             margin_ms: MARGIN_MS,
         };
         let announcements = Rc::new(Announcements {
             endpoints,
             usage,
-            leases: RefCell::new(OrderLeases::open(boot_time_ms(), terms.wait_ms())),
+            leases: RefCell::new(OrderLeases::open(boot_time_ms(), terms.takeover_delay_ms())),
             round_came: Notify::new(),
         });
         Rc::new(Self {
