--- a/crates/borageshore_batch/src/order_lease.rs
+++ b/crates/borageshore_batch/src/order_lease.rs
@@ -30,7 +30,7 @@
         let engines = round.orders.iter().map(|(engine, ..)| engine);
         let (engines, others) = (ids_of(engines), ids_of(&round.others_ordered));
         self.duties
-            .on_round(&round.holder, &engines, &others, now_ms);
+            .on_announcement(&round.holder, &engines, &others, now_ms);
     }
 
     /// Who announced the newest round.
@@ -50,7 +50,7 @@
 
     /// Begins anew after rounds were missed.
     pub fn begin_again(&mut self, now_ms: u64) {
-        self.duties.begin_again(now_ms);
+        self.duties.reset(now_ms);
     }
 
     /// The leases of all duties, engines among their subjects by id.
--- a/crates/borageshore_duty/src/leases.rs
+++ b/crates/borageshore_duty/src/leases.rs
@@ -39,7 +39,7 @@
     }
 
     /// Takes over an announcement that was read at `now_ms`: who acts, on what, and what it knew of others.
-    pub fn on_round(
+    pub fn on_announcement(
         &mut self,
         holder: &Arc<str>,
         subjects: &[Arc<str>],
@@ -90,7 +90,7 @@
     }
 
     /// Begins anew after announcements were missed.
-    pub fn begin_again(&mut self, now_ms: u64) {
+    pub fn reset(&mut self, now_ms: u64) {
         *self = Self::open(now_ms, self.takeover_delay_ms);
     }
 }
--- a/crates/borageshore_duty/tests/duty.rs
+++ b/crates/borageshore_duty/tests/duty.rs
@@ -35,7 +35,7 @@
         assert!(window.is_open(10_500));
         assert!(!window.is_open(10_501));
         let mut successor = leases_at(0);
-        successor.on_round(&"vm-1".into(), &names(&[SUBJECT]), &[], 10_000);
+        successor.on_announcement(&"vm-1".into(), &names(&[SUBJECT]), &[], 10_000);
         let takes_over_ms = (10_000..).find(|now_ms| successor.may_act("vm-2", SUBJECT, *now_ms)).unwrap();
         assert!(!window.is_open(takes_over_ms), "both act");
         assert!(takes_over_ms >= 10_500 + TERMS.lease_ms, "within the lease");
@@ -46,8 +46,8 @@
     // of it and waits in turn.
     a_holder_that_comes_back_waits_for_its_successor => {
         let mut first = leases_at(0);
-        first.on_round(&"vm-1".into(), &names(&[SUBJECT]), &[], 10_000);
-        first.on_round(&"vm-2".into(), &names(&[SUBJECT]), &[], 14_000);
+        first.on_announcement(&"vm-1".into(), &names(&[SUBJECT]), &[], 10_000);
+        first.on_announcement(&"vm-2".into(), &names(&[SUBJECT]), &[], 14_000);
         assert!(!first.may_act("vm-1", SUBJECT, 17_799));
         assert!(first.may_act("vm-1", SUBJECT, 17_800));
     }
@@ -64,12 +64,12 @@
     // An announcement of one duty makes a daemon the holder of all, and the leases of the others are forgotten.
     other_subjects_keep_their_leases => {
         let mut leases = leases_at(0);
-        leases.on_round(&"vm-1".into(), &names(&["e0"]), &[], 10_000);
+        leases.on_announcement(&"vm-1".into(), &names(&["e0"]), &[], 10_000);
         let others = leases.held_by_others("vm-2", 10_100);
-        leases.on_round(&"vm-2".into(), &names(&[SUBJECT]), &others, 10_100);
+        leases.on_announcement(&"vm-2".into(), &names(&[SUBJECT]), &others, 10_100);
         assert!(!leases.may_act("vm-2", "e0", 13_000));
         let mut restarted = leases_at(10_200);
-        restarted.on_round(&"vm-2".into(), &names(&[SUBJECT]), &others, 10_300);
+        restarted.on_announcement(&"vm-2".into(), &names(&[SUBJECT]), &others, 10_300);
         assert!(!restarted.may_act("vm-2", "e0", 13_000));
         assert!(restarted.may_act("vm-2", SUBJECT, 10_301));
     }
@@ -108,7 +108,7 @@
                 for (holder, at_ms) in &log[*read..] {
                     let seen_at_ms = (*at_ms + READ_WITHIN_MS).min(now_ms);
                     let seen_at_ms = if what & 0x80 != 0 { now_ms } else { seen_at_ms };
-                    leases.on_round(holder, &names(&[SUBJECT]), &[], seen_at_ms);
+                    leases.on_announcement(holder, &names(&[SUBJECT]), &[], seen_at_ms);
                 }
                 *read = log.len();
                 if leases.may_act(&name, SUBJECT, now_ms) {
--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -61,7 +61,7 @@
         let mut leases = self.leases.borrow_mut();
         let subjects = [USAGE.into()];
         let duties = leases.duties_mut();
-        duties.on_round(&report.holder, &subjects, &report.others, boot_time_ms());
+        duties.on_announcement(&report.holder, &subjects, &report.others, boot_time_ms());
     }
 }
 
