--- a/crates/borageshore_gateway/src/config.rs
+++ b/crates/borageshore_gateway/src/config.rs
@@ -4,7 +4,7 @@
 
 use borageshore_base::{Fault, ResultCode};
 use borageshore_settings::{FileFault, malformed};
-use borageshore_usage::UsageTimes;
+use borageshore_usage::UsageTiming;
 use serde::Deserialize;
 
 use crate::mechanisms::Mechanism;
@@ -70,10 +70,10 @@
 
 impl DutyConfig {
     /// The times of reports of usage, if they are wanted.
-    pub fn usage_times(&self) -> Option<UsageTimes> {
-        Some(UsageTimes {
+    pub fn usage_times(&self) -> Option<UsageTiming> {
+        Some(UsageTiming {
             window_ms: self.usage_window_s? * 1_000,
-            late_ms: self.usage_late_s? * 1_000,
+            report_deadline_ms: self.usage_late_s? * 1_000,
         })
     }
 
--- a/crates/borageshore_gateway/src/usage/counter.rs
+++ b/crates/borageshore_gateway/src/usage/counter.rs
@@ -9,7 +9,7 @@
 use borageshore_base::rendezvous_weight;
 use borageshore_net::sleep_ms;
 use borageshore_platform::{StoreError, Topic};
-use borageshore_usage::{OwnCounts, UsageTimes, Window};
+use borageshore_usage::{OwnCounts, UsageTiming, Window};
 use bytes::Bytes;
 use tokio::sync::Notify;
 
@@ -30,7 +30,7 @@
 /// daemon that is killed loses none, and where they are many the loss is a small part.
 #[derive(Debug)]
 pub(crate) struct UsageCounter {
-    times: UsageTimes,
+    times: UsageTiming,
     time: Rc<SharedTime>,
     store: Store,
     members: Rc<Members>,
@@ -46,7 +46,7 @@
 
 impl UsageCounter {
     pub(crate) fn spawn(
-        times: UsageTimes,
+        times: UsageTiming,
         time: Rc<SharedTime>,
         store: Store,
         members: Rc<Members>,
@@ -104,7 +104,7 @@
     }
 
     async fn tell(&self) -> Result<(), StoreError> {
-        let oldest = self.times.first_open(self.time.unix_ms());
+        let oldest = self.times.first_reportable(self.time.unix_ms());
         self.counts.borrow_mut().forget_before(oldest);
         let untold = self.counts.borrow_mut().take_untold();
         let (name, incarnation) = self.members.own_life();
--- a/crates/borageshore_gateway/src/usage/records.rs
+++ b/crates/borageshore_gateway/src/usage/records.rs
@@ -3,7 +3,7 @@
 use std::{cell::RefCell, sync::Arc};
 
 use borageshore_platform::KeyedRecord;
-use borageshore_usage::{Counts, Reports, UsageTimes, Window};
+use borageshore_usage::{Counts, Reports, UsageTiming, Window};
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
@@ -86,7 +86,7 @@
     /// The window to report next, with its counts if they are fixed.
     pub(super) fn next(
         &self,
-        times: &UsageTimes,
+        times: &UsageTiming,
         unix_ms: u64,
     ) -> Option<(Window, Option<Counts>)> {
         let reports = self.reports.borrow();
@@ -105,10 +105,10 @@
         others: Vec<Arc<str>>,
         window: Window,
         counts: &Counts,
-        first_remembered: Window,
+        first_retained: Window,
     ) -> Vec<(Arc<str>, Bytes)> {
         let reports = self.reports.borrow();
-        let taken = reports.taken_from(first_remembered);
+        let taken = reports.taken_from(first_retained);
         let record = ReportRecord {
             holder,
             others,
@@ -116,7 +116,7 @@
             counts: listed(counts),
             taken: taken.iter().map(|window| window.0).collect(),
         };
-        let old = reports.before(first_remembered);
+        let old = reports.before(first_retained);
         let removals = old
             .into_iter()
             .map(|window| (report_key(window), Bytes::new()));
--- a/crates/borageshore_gateway/src/usage/reporter.rs
+++ b/crates/borageshore_gateway/src/usage/reporter.rs
@@ -5,7 +5,7 @@
 use borageshore_diagnostics::Instruments;
 use borageshore_net::{Clock, sleep_ms};
 use borageshore_platform::{DutyCaller, DutyClient};
-use borageshore_usage::{Counts, UsageTimes, Window};
+use borageshore_usage::{Counts, UsageTiming, Window};
 
 use super::{USAGE, records::UsageReports, view::UsageView};
 use crate::{duties::Duties, members::Members, store_path::Store, true_time::SharedTime};
@@ -16,7 +16,7 @@
 /// What the reporter needs of the rest of the daemon.
 #[derive(Debug)]
 pub(crate) struct ReporterParts {
-    pub(crate) times: UsageTimes,
+    pub(crate) times: UsageTiming,
     pub(crate) client: DutyClient,
     pub(crate) duties: Rc<Duties>,
     pub(crate) reports: Rc<UsageReports>,
@@ -56,7 +56,7 @@
             if parts.duties.may_act(USAGE) {
                 self.report_next(at, view).await;
             }
-            let first = parts.times.first_remembered(parts.time.unix_ms());
+            let first = parts.times.first_retained(parts.time.unix_ms());
             if std::mem::replace(&mut cleaned, first) < first {
                 view.forget_before(first).await;
             }
@@ -82,7 +82,7 @@
             parts.duties.held_by_others(),
             window,
             &counts,
-            parts.times.first_remembered(parts.time.unix_ms()),
+            parts.times.first_retained(parts.time.unix_ms()),
         );
         let Some(announced) = parts.duties.announce(at, &records).await else {
             return;
--- a/crates/borageshore_usage/src/lib.rs
+++ b/crates/borageshore_usage/src/lib.rs
@@ -23,7 +23,7 @@
 
 pub use self::{
     own_counts::OwnCounts,
-    plan::{Reports, UsageTimes},
+    plan::{Reports, UsageTiming},
     totals::Totals,
     window::Window,
 };
--- a/crates/borageshore_usage/src/plan.rs
+++ b/crates/borageshore_usage/src/plan.rs
@@ -11,28 +11,31 @@
 
 /// The times of reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct UsageTimes {
+pub struct UsageTiming {
     /// The length of a window.
     pub window_ms: u64,
     /// A report is due so long after its window's end.
-    pub late_ms: u64,
+    pub report_deadline_ms: u64,
 }
 
-impl UsageTimes {
+impl UsageTiming {
     /// The first window whose report is not overdue.
-    pub fn first_open(&self, unix_ms: u64) -> Window {
-        Window::at(unix_ms.saturating_sub(self.late_ms), self.window_ms)
+    pub fn first_reportable(&self, unix_ms: u64) -> Window {
+        Window::at(
+            unix_ms.saturating_sub(self.report_deadline_ms),
+            self.window_ms,
+        )
     }
 
     /// The first window that anybody may ask for.
-    pub fn first_remembered(&self, unix_ms: u64) -> Window {
-        let kept_ms = self.late_ms * REMEMBERED_TIMES;
+    pub fn first_retained(&self, unix_ms: u64) -> Window {
+        let kept_ms = self.report_deadline_ms * REMEMBERED_TIMES;
         Window::at(unix_ms.saturating_sub(kept_ms), self.window_ms)
     }
 
     /// Says whether a window's counts have had time to come in.
     fn may_fix(&self, window: Window, unix_ms: u64) -> bool {
-        let waited_ms = self.late_ms * FIXED_AFTER_PERCENT / 100;
+        let waited_ms = self.report_deadline_ms * FIXED_AFTER_PERCENT / 100;
         unix_ms >= window.end_ms(self.window_ms) + waited_ms
     }
 }
@@ -69,8 +72,8 @@
     }
 
     /// The next window to report at a moment in true time, with its counts if they are fixed; the oldest first.
-    pub fn next(&self, times: &UsageTimes, unix_ms: u64) -> Option<(Window, Option<&Counts>)> {
-        let first = times.first_open(unix_ms).0;
+    pub fn next(&self, times: &UsageTiming, unix_ms: u64) -> Option<(Window, Option<&Counts>)> {
+        let first = times.first_reportable(unix_ms).0;
         let windows = (first..).map(Window);
         let mut ended = windows.take_while(|window| times.may_fix(*window, unix_ms));
         ended.find_map(|window| match self.fixed.get(&window) {
--- a/crates/borageshore_usage/tests/usage.rs
+++ b/crates/borageshore_usage/tests/usage.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use borageshore_usage::{Counts, OwnCounts, Reports, Totals, UsageTimes, Window};
+use borageshore_usage::{Counts, OwnCounts, Reports, Totals, UsageTiming, Window};
 
-const TIMES: UsageTimes = UsageTimes {
+const TIMES: UsageTiming = UsageTiming {
     window_ms: 5_000,
-    late_ms: 10_000,
+    report_deadline_ms: 10_000,
 };
 
 fn counts(list: &[(&str, u64)]) -> Counts {
