--- a/crates/borageshore_gateway/src/usage/view.rs
+++ b/crates/borageshore_gateway/src/usage/view.rs
@@ -40,7 +40,7 @@
             };
             self.keys.borrow_mut().insert(record.key.clone(), window);
             match total_counts(value) {
-                Some(counts) => self.totals.borrow_mut().learn(window, &life, &counts),
+                Some(counts) => self.totals.borrow_mut().merge(window, &life, &counts),
                 None => log::error!(key = &*record.key; "a total of usage cannot be read"),
             }
         }
--- a/crates/borageshore_usage/src/lib.rs
+++ b/crates/borageshore_usage/src/lib.rs
@@ -10,8 +10,8 @@
 //! own.add(Window(7), &"mill".into(), 1);
 //! let mut totals = Totals::default();
 //! for (window, counts) in own.take_untold() {
-//!     totals.learn(window, &"vm-1.12".into(), &counts);
-//!     totals.learn(window, &"vm-1.12".into(), &counts);
+//!     totals.merge(window, &"vm-1.12".into(), &counts);
+//!     totals.merge(window, &"vm-1.12".into(), &counts);
 //! }
 //! assert_eq!(totals.of(Window(7)).get("mill"), Some(&1));
 //! ```
--- a/crates/borageshore_usage/src/totals.rs
+++ b/crates/borageshore_usage/src/totals.rs
@@ -17,7 +17,7 @@
 
 impl Totals {
     /// Takes over what one life of a daemon has counted in a window.
-    pub fn learn(&mut self, window: Window, author: &Arc<str>, counts: &Counts) {
+    pub fn merge(&mut self, window: Window, author: &Arc<str>, counts: &Counts) {
         let authors = self.windows.get_or_insert_with(window, SortedMap::default);
         let known = authors.get_or_insert_with(author.clone(), Counts::default);
         for (organisation, count) in counts.iter() {
--- a/crates/borageshore_usage/tests/usage.rs
+++ b/crates/borageshore_usage/tests/usage.rs
@@ -36,9 +36,9 @@
     a_total_that_comes_late_takes_nothing_back => {
         let mut totals = Totals::default();
         let author: Arc<str> = "vm-1.5".into();
-        totals.learn(Window(3), &author, &counts(&[("mill", 7), ("farm", 1)]));
-        totals.learn(Window(3), &author, &counts(&[("mill", 5)]));
-        totals.learn(Window(3), &"vm-1.6".into(), &counts(&[("mill", 2)]));
+        totals.merge(Window(3), &author, &counts(&[("mill", 7), ("farm", 1)]));
+        totals.merge(Window(3), &author, &counts(&[("mill", 5)]));
+        totals.merge(Window(3), &"vm-1.6".into(), &counts(&[("mill", 2)]));
         assert_eq!(listed(&totals.of(Window(3))), [("farm".into(), 1), ("mill".into(), 9)]);
         assert!(totals.of(Window(4)).is_empty());
     }
@@ -124,7 +124,7 @@
             }
             let mut totals = Totals::default();
             for (window, author, counts) in records.iter().chain(records.iter().rev()) {
-                totals.learn(*window, author, counts);
+                totals.merge(*window, author, counts);
             }
             assert_eq!(totals.of(Window(1)).get("mill").copied().unwrap_or(0), told);
         });
