--- a/crates/borageshore_gateway/src/usage/counter.rs
+++ b/crates/borageshore_gateway/src/usage/counter.rs
@@ -70,7 +70,7 @@
 
     /// Says whether something counted is not in the store yet.
     pub(crate) fn is_unwritten(&self) -> bool {
-        self.is_writing.get() || self.counts.borrow().is_untold()
+        self.is_writing.get() || self.counts.borrow().is_dirty()
     }
 
     fn add(&self, organisation: &Arc<str>, begun_at_ms: u64) {
@@ -82,7 +82,7 @@
     async fn run(self: Rc<Self>) {
         loop {
             self.counted.notified().await;
-            while self.counts.borrow().is_untold() {
+            while self.counts.borrow().is_dirty() {
                 self.is_writing.set(true);
                 let told = self.tell().await;
                 self.is_writing.set(false);
@@ -106,7 +106,7 @@
     async fn tell(&self) -> Result<(), StoreError> {
         let oldest = self.times.first_reportable(self.time.unix_ms());
         self.counts.borrow_mut().forget_before(oldest);
-        let untold = self.counts.borrow_mut().take_untold();
+        let untold = self.counts.borrow_mut().take_dirty();
         let (name, incarnation) = self.members.own_life();
         let author = Author {
             life: format!("{name}.{incarnation}").into(),
@@ -129,7 +129,7 @@
                 self.generation.set(self.generation.get() + 1);
             }
             let windows = untold.iter().map(|(window, _)| *window);
-            self.counts.borrow_mut().put_back(windows);
+            self.counts.borrow_mut().mark_dirty(windows);
         }
         appended.map(|_| ())
     }
--- a/crates/borageshore_usage/src/lib.rs
+++ b/crates/borageshore_usage/src/lib.rs
@@ -9,7 +9,7 @@
 //! let mut own = OwnCounts::default();
 //! own.add(Window(7), &"mill".into(), 1);
 //! let mut totals = Totals::default();
-//! for (window, counts) in own.take_untold() {
+//! for (window, counts) in own.take_dirty() {
 //!     totals.merge(window, &"vm-1.12".into(), &counts);
 //!     totals.merge(window, &"vm-1.12".into(), &counts);
 //! }
--- a/crates/borageshore_usage/src/own_counts.rs
+++ b/crates/borageshore_usage/src/own_counts.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Default)]
 struct Counted {
     counts: Counts,
-    is_untold: bool,
+    is_dirty: bool,
 }
 
 /// The requests that one life of a daemon sent, by window.
@@ -25,19 +25,19 @@
         *counted
             .counts
             .get_or_insert_with(organisation.clone(), || 0) += count;
-        counted.is_untold = true;
+        counted.is_dirty = true;
     }
 
     /// Says whether something is yet to be told.
-    pub fn is_untold(&self) -> bool {
-        self.windows.values().any(|counted| counted.is_untold)
+    pub fn is_dirty(&self) -> bool {
+        self.windows.values().any(|counted| counted.is_dirty)
     }
 
     /// Takes the totals of all windows that have something untold.
-    pub fn take_untold(&mut self) -> Vec<(Window, Counts)> {
+    pub fn take_dirty(&mut self) -> Vec<(Window, Counts)> {
         let mut untold = Vec::new();
         for (window, counted) in self.windows.iter_mut() {
-            if std::mem::take(&mut counted.is_untold) {
+            if std::mem::take(&mut counted.is_dirty) {
                 untold.push((*window, counted.counts.clone()));
             }
         }
@@ -45,13 +45,13 @@
     }
 
     /// Notes windows that could not be told.
-    pub fn put_back<Windows>(&mut self, windows: Windows)
+    pub fn mark_dirty<Windows>(&mut self, windows: Windows)
     where
         Windows: IntoIterator<Item = Window>,
     {
         for window in windows {
             if let Some(counted) = self.windows.get_mut(&window) {
-                counted.is_untold = true;
+                counted.is_dirty = true;
             }
         }
     }
--- a/crates/borageshore_usage/tests/usage.rs
+++ b/crates/borageshore_usage/tests/usage.rs
@@ -46,16 +46,16 @@
     what_could_not_be_told_is_told_again_with_what_came_since => {
         let mut own = OwnCounts::default();
         own.add(Window(3), &"mill".into(), 1);
-        let told = own.take_untold();
-        assert!(!own.is_untold());
+        let told = own.take_dirty();
+        assert!(!own.is_dirty());
         own.add(Window(3), &"mill".into(), 1);
-        own.put_back(told.iter().map(|(window, _)| *window));
-        let again = own.take_untold();
+        own.mark_dirty(told.iter().map(|(window, _)| *window));
+        let again = own.take_dirty();
         assert_eq!(again.len(), 1);
         assert_eq!(again[0].1.get("mill"), Some(&2));
         own.forget_before(Window(4));
-        own.put_back([Window(3)]);
-        assert!(!own.is_untold());
+        own.mark_dirty([Window(3)]);
+        assert!(!own.is_dirty());
     }
 
     // The platform gets two reports of one window that differ.
@@ -117,7 +117,7 @@
                     untold[life] += u64::from(*count);
                 } else {
                     let author: Arc<str> = format!("vm.{life}").into();
-                    let totals = lives[life].take_untold();
+                    let totals = lives[life].take_dirty();
                     records.extend(totals.into_iter().map(|(window, counts)| (window, author.clone(), counts)));
                     told += std::mem::take(&mut untold[life]);
                 }
