--- a/crates/borageshore_gateway/src/usage/records.rs
+++ b/crates/borageshore_gateway/src/usage/records.rs
@@ -67,9 +67,9 @@
     pub(crate) fn take(&self, record: &ReportRecord) {
         let mut reports = self.reports.borrow_mut();
         let counts = counted(record.counts.clone());
-        reports.on_fixed(Window(record.window), &counts);
+        reports.on_finalized(Window(record.window), &counts);
         for taken in &record.taken {
-            reports.on_taken(Window(*taken));
+            reports.on_accepted(Window(*taken));
         }
     }
 
@@ -95,7 +95,7 @@
     }
 
     pub(super) fn on_taken(&self, window: Window) {
-        self.reports.borrow_mut().on_taken(window);
+        self.reports.borrow_mut().on_accepted(window);
     }
 
     /// The records by which a holder announces a window's report, and drops those that nobody asks for any more.
@@ -108,7 +108,7 @@
         first_retained: Window,
     ) -> Vec<(Arc<str>, Bytes)> {
         let reports = self.reports.borrow();
-        let taken = reports.taken_from(first_retained);
+        let taken = reports.accepted_from(first_retained);
         let record = ReportRecord {
             holder,
             others,
@@ -116,7 +116,7 @@
             counts: listed(counts),
             taken: taken.iter().map(|window| window.0).collect(),
         };
-        let old = reports.before(first_retained);
+        let old = reports.windows_before(first_retained);
         let removals = old
             .into_iter()
             .map(|window| (report_key(window), Bytes::new()));
--- a/crates/borageshore_usage/src/plan.rs
+++ b/crates/borageshore_usage/src/plan.rs
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone)]
 struct Report {
     counts: Counts,
-    is_taken: bool,
+    is_accepted: bool,
 }
 
 /// The reports that are fixed, and whether the platform has them.
@@ -57,17 +57,17 @@
 
 impl Reports {
     /// Takes over the record that fixes a window's report; a later one changes nothing.
-    pub fn on_fixed(&mut self, window: Window, counts: &Counts) {
+    pub fn on_finalized(&mut self, window: Window, counts: &Counts) {
         self.fixed.get_or_insert_with(window, || Report {
             counts: counts.clone(),
-            is_taken: false,
+            is_accepted: false,
         });
     }
 
     /// Takes over that the platform has a window's report.
-    pub fn on_taken(&mut self, window: Window) {
+    pub fn on_accepted(&mut self, window: Window) {
         if let Some(report) = self.fixed.get_mut(&window) {
-            report.is_taken = true;
+            report.is_accepted = true;
         }
     }
 
@@ -77,21 +77,21 @@
         let windows = (first..).map(Window);
         let mut ended = windows.take_while(|window| times.may_fix(*window, unix_ms));
         ended.find_map(|window| match self.fixed.get(&window) {
-            Some(report) if report.is_taken => None,
+            Some(report) if report.is_accepted => None,
             Some(report) => Some((window, Some(&report.counts))),
             None => Some((window, None)),
         })
     }
 
     /// The windows whose report the platform has, from one on.
-    pub fn taken_from(&self, first: Window) -> Vec<Window> {
-        let taken = self.fixed.iter().filter(|(_, report)| report.is_taken);
+    pub fn accepted_from(&self, first: Window) -> Vec<Window> {
+        let taken = self.fixed.iter().filter(|(_, report)| report.is_accepted);
         let windows = taken.map(|(window, _)| *window);
         windows.filter(|window| *window >= first).collect()
     }
 
     /// The windows before one.
-    pub fn before(&self, first: Window) -> Vec<Window> {
+    pub fn windows_before(&self, first: Window) -> Vec<Window> {
         let windows = self.fixed.keys().copied();
         windows.take_while(|window| *window < first).collect()
     }
--- a/crates/borageshore_usage/tests/usage.rs
+++ b/crates/borageshore_usage/tests/usage.rs
@@ -62,16 +62,16 @@
     // A holder fixes a report and dies; late counts come in; its successor reports those as well.
     a_fixed_report_is_never_changed => {
         let mut reports = Reports::default();
-        reports.on_fixed(Window(3), &counts(&[("mill", 7)]));
-        reports.on_fixed(Window(3), &counts(&[("mill", 8)]));
+        reports.on_finalized(Window(3), &counts(&[("mill", 7)]));
+        reports.on_finalized(Window(3), &counts(&[("mill", 8)]));
         let (window, fixed) = reports.next(&TIMES, 25_000).unwrap();
         assert_eq!((window, fixed.map(listed)), (Window(3), Some(vec![("mill".into(), 7)])));
     }
 
     a_report_waits_for_counts_and_ends_when_it_is_overdue => {
         let mut reports = Reports::default();
-        reports.on_fixed(Window(2), &counts(&[]));
-        reports.on_taken(Window(2));
+        reports.on_finalized(Window(2), &counts(&[]));
+        reports.on_accepted(Window(2));
         // Window 3 ends at 20 s; its report is due at 30 s.
         assert_eq!(reports.next(&TIMES, 22_499), None);
         assert_eq!(reports.next(&TIMES, 22_500).map(|(window, _)| window), Some(Window(3)));
@@ -81,10 +81,10 @@
 
     what_the_platform_has_is_not_sent_again => {
         let mut reports = Reports::default();
-        reports.on_fixed(Window(3), &counts(&[]));
-        reports.on_taken(Window(3));
+        reports.on_finalized(Window(3), &counts(&[]));
+        reports.on_accepted(Window(3));
         assert_eq!(reports.next(&TIMES, 25_000), None);
-        assert_eq!(reports.taken_from(Window(0)), [Window(3)]);
+        assert_eq!(reports.accepted_from(Window(0)), [Window(3)]);
     }
 
     // A daemon that never reports grows by 50 MB a day.
@@ -92,14 +92,14 @@
     a_report_is_forgotten_once_its_record_is_removed => {
         let mut reports = Reports::default();
         for window in 1..=3 {
-            reports.on_fixed(Window(window), &counts(&[("mill", 1)]));
-            reports.on_taken(Window(window));
+            reports.on_finalized(Window(window), &counts(&[("mill", 1)]));
+            reports.on_accepted(Window(window));
         }
-        let old = reports.before(Window(3));
+        let old = reports.windows_before(Window(3));
         assert_eq!(old, [Window(1), Window(2)]);
         old.into_iter().for_each(|window| reports.forget(window));
-        assert_eq!(reports.taken_from(Window(0)), [Window(3)]);
-        assert!(reports.before(Window(3)).is_empty());
+        assert_eq!(reports.accepted_from(Window(0)), [Window(3)]);
+        assert!(reports.windows_before(Window(3)).is_empty());
     }
 
     // Daemons count, tell, die and tell again in any order: a reader of all records has the sum of what each life
