--- a/crates/borageshore_access/src/decision.rs
+++ b/crates/borageshore_access/src/decision.rs
@@ -26,7 +26,7 @@
     /// The time since it was asked for, suspensions included; `None` if nothing was read yet.
     pub age_ms: Option<u64>,
     /// A key is good within this age; `None` where a key that was taken away may be good for longer.
-    pub most_age_ms: Option<u64>,
+    pub max_age_ms: Option<u64>,
 }
 
 impl KeyView {
@@ -34,8 +34,8 @@
     ///
     /// Guards against a VM that is cut off or was suspended: it serves a key that was taken away meanwhile. The age
     /// counts from the question, as an answer may be read long after it was given.
-    pub fn is_good(&self) -> bool {
-        match (self.age_ms, self.most_age_ms) {
+    pub fn is_fresh(&self) -> bool {
+        match (self.age_ms, self.max_age_ms) {
             (Some(age_ms), Some(most_ms)) => age_ms <= most_ms,
             (Some(_), None) => true,
             (None, _) => false,
@@ -69,7 +69,7 @@
     match owner {
         // Without a key it would run as well.
         owner if asked.is_public => Access::Granted(owner.cloned()),
-        Some(owner) if view.is_good() => Access::Granted(Some(owner.clone())),
+        Some(owner) if view.is_fresh() => Access::Granted(Some(owner.clone())),
         Some(_) => Access::ViewTooOld,
         None if view.may_deny() => Access::Denied,
         None => Access::Unconfirmed,
--- a/crates/borageshore_access/tests/access.rs
+++ b/crates/borageshore_access/tests/access.rs
@@ -33,7 +33,7 @@
 fn aged(age_ms: u64) -> KeyView {
     KeyView {
         age_ms: Some(age_ms),
-        most_age_ms: Some(MOST_AGE_MS),
+        max_age_ms: Some(MOST_AGE_MS),
     }
 }
 
@@ -70,13 +70,13 @@
         let table = organisations(&[("mill", &["k1"])]);
         assert!(name(decide(&table, with_key("k1"), aged(MOST_AGE_MS))).is_some());
         assert_eq!(decide(&table, with_key("k1"), aged(MOST_AGE_MS + 1)), Access::ViewTooOld);
-        let never_read = KeyView { age_ms: None, most_age_ms: None };
+        let never_read = KeyView { age_ms: None, max_age_ms: None };
         assert_eq!(decide(&table, with_key("k1"), never_read), Access::ViewTooOld);
     }
 
     without_a_bound_a_known_key_stays_good => {
         let table = organisations(&[("mill", &["k1"])]);
-        let view = KeyView { age_ms: Some(3_600_000), most_age_ms: None };
+        let view = KeyView { age_ms: Some(3_600_000), max_age_ms: None };
         assert!(name(decide(&table, with_key("k1"), view)).is_some());
     }
 
--- a/crates/borageshore_gateway/src/access.rs
+++ b/crates/borageshore_gateway/src/access.rs
@@ -133,7 +133,7 @@
             .filter(|_| self.routes.is_readable());
         KeyView {
             age_ms: asked_at_ms.map(|asked_at_ms| boot_time_ms().saturating_sub(asked_at_ms)),
-            most_age_ms: self.most_age_ms,
+            max_age_ms: self.most_age_ms,
         }
     }
 
