--- a/crates/borageshore_access/src/decision.rs
+++ b/crates/borageshore_access/src/decision.rs
@@ -62,7 +62,7 @@
 
 /// Decides about a request.
 pub fn decide(organisations: &Organisations, asked: Credentials, view: KeyView) -> Access {
-    if !organisations.are_named() {
+    if !organisations.are_configured() {
         return Access::Granted(None);
     }
     let owner = asked.key.and_then(|key| organisations.owner_of(&key));
--- a/crates/borageshore_access/src/organisations.rs
+++ b/crates/borageshore_access/src/organisations.rs
@@ -49,7 +49,7 @@
     }
 
     /// Says whether the operator names any; without, callers need no key.
-    pub fn are_named(&self) -> bool {
+    pub fn are_configured(&self) -> bool {
         !self.by_name.is_empty()
     }
 
--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -205,7 +205,10 @@
             Ok(pass) => pass,
             Err(denial) => return denial.answer(),
         };
-        if self.routes.with_organisations(Organisations::are_named) {
+        if self
+            .routes
+            .with_organisations(Organisations::are_configured)
+        {
             call.drop_key();
         }
         let body = match read_body(body, server_limits()).await {
