--- a/crates/borageshore_access/src/decision.rs
+++ b/crates/borageshore_access/src/decision.rs
@@ -61,7 +61,7 @@
 }
 
 /// Decides about a request.
-pub fn decide(organisations: &Organisations, asked: Credentials, view: KeyView) -> Access {
+pub fn authorize(organisations: &Organisations, asked: Credentials, view: KeyView) -> Access {
     if !organisations.are_configured() {
         return Access::Granted(None);
     }
--- a/crates/borageshore_access/src/lib.rs
+++ b/crates/borageshore_access/src/lib.rs
@@ -18,7 +18,7 @@
 mod scope;
 
 pub use self::{
-    decision::{Access, Credentials, KeyView, decide},
+    decision::{Access, Credentials, KeyView, authorize},
     key::KeyDigest,
     organisations::{Organisation, Organisations},
     scope::scoped,
--- a/crates/borageshore_access/tests/access.rs
+++ b/crates/borageshore_access/tests/access.rs
@@ -1,7 +1,7 @@
 //! Who may ask, and from how old a view that may be said.
 
 use borageshore_access::{
-    Access, Credentials, KeyDigest, KeyView, Organisation, Organisations, decide, scoped,
+    Access, Credentials, KeyDigest, KeyView, Organisation, Organisations, authorize, scoped,
 };
 
 const MOST_AGE_MS: u64 = 5_000;
@@ -53,14 +53,14 @@
 cases! {
     without_organisations_nobody_needs_a_key => {
         let none = Organisations::default();
-        assert_eq!(name(decide(&none, NO_KEY, aged(60_000))).as_deref(), Some("-"));
-        assert_eq!(name(decide(&none, with_key("k"), aged(60_000))).as_deref(), Some("-"));
+        assert_eq!(name(authorize(&none, NO_KEY, aged(60_000))).as_deref(), Some("-"));
+        assert_eq!(name(authorize(&none, with_key("k"), aged(60_000))).as_deref(), Some("-"));
     }
 
     a_key_names_its_organisation => {
         let table = organisations(&[("mill", &["k1", "k2"]), ("farm", &["k3"])]);
         for (key, owner) in [("k1", "mill"), ("k2", "mill"), ("k3", "farm")] {
-            assert_eq!(name(decide(&table, with_key(key), aged(0))).as_deref(), Some(owner));
+            assert_eq!(name(authorize(&table, with_key(key), aged(0))).as_deref(), Some(owner));
         }
     }
 
@@ -68,34 +68,34 @@
     // The VM knows nothing of the change; what it has was asked for before.
     a_known_key_is_good_only_while_the_view_is_new => {
         let table = organisations(&[("mill", &["k1"])]);
-        assert!(name(decide(&table, with_key("k1"), aged(MOST_AGE_MS))).is_some());
-        assert_eq!(decide(&table, with_key("k1"), aged(MOST_AGE_MS + 1)), Access::ViewTooOld);
+        assert!(name(authorize(&table, with_key("k1"), aged(MOST_AGE_MS))).is_some());
+        assert_eq!(authorize(&table, with_key("k1"), aged(MOST_AGE_MS + 1)), Access::ViewTooOld);
         let never_read = KeyView { age_ms: None, max_age_ms: None };
-        assert_eq!(decide(&table, with_key("k1"), never_read), Access::ViewTooOld);
+        assert_eq!(authorize(&table, with_key("k1"), never_read), Access::ViewTooOld);
     }
 
     without_a_bound_a_known_key_stays_good => {
         let table = organisations(&[("mill", &["k1"])]);
         let view = KeyView { age_ms: Some(3_600_000), max_age_ms: None };
-        assert!(name(decide(&table, with_key("k1"), view)).is_some());
+        assert!(name(authorize(&table, with_key("k1"), view)).is_some());
     }
 
     // A caller whose key was added a moment ago is told that it is unknown, and gives up.
     a_denial_needs_a_view_that_was_just_asked_for => {
         let table = organisations(&[("mill", &["k1"])]);
         for asked in [with_key("k9"), NO_KEY] {
-            assert_eq!(decide(&table, asked, aged(0)), Access::Denied);
-            assert_eq!(decide(&table, asked, aged(2_000)), Access::Unconfirmed);
-            assert_eq!(decide(&table, asked, aged(60_000)), Access::Unconfirmed);
+            assert_eq!(authorize(&table, asked, aged(0)), Access::Denied);
+            assert_eq!(authorize(&table, asked, aged(2_000)), Access::Unconfirmed);
+            assert_eq!(authorize(&table, asked, aged(60_000)), Access::Unconfirmed);
         }
     }
 
     a_public_route_asks_for_no_key => {
         let table = organisations(&[("mill", &["k1"])]);
         let public = |asked: Credentials| Credentials { is_public: true, ..asked };
-        assert_eq!(name(decide(&table, public(NO_KEY), aged(60_000))).as_deref(), Some("-"));
-        assert_eq!(name(decide(&table, public(with_key("k9")), aged(0))).as_deref(), Some("-"));
-        assert_eq!(name(decide(&table, public(with_key("k1")), aged(0))).as_deref(), Some("mill"));
+        assert_eq!(name(authorize(&table, public(NO_KEY), aged(60_000))).as_deref(), Some("-"));
+        assert_eq!(name(authorize(&table, public(with_key("k9")), aged(0))).as_deref(), Some("-"));
+        assert_eq!(name(authorize(&table, public(with_key("k1")), aged(0))).as_deref(), Some("mill"));
     }
 
     a_key_of_two_organisations_belongs_to_neither => {
--- a/crates/borageshore_gateway/src/access.rs
+++ b/crates/borageshore_gateway/src/access.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::Cell, rc::Rc, sync::Arc};
 
-use borageshore_access::{Access, Credentials, KeyView, Organisation, decide};
+use borageshore_access::{Access, Credentials, KeyView, Organisation, authorize};
 use borageshore_base::{Fault, ResultCode};
 use borageshore_diagnostics::Instruments;
 use borageshore_net::{EdgeResponse, boot_time_ms, within_ms};
@@ -123,7 +123,7 @@
 
     fn decide(&self, asked: Credentials) -> Access {
         self.routes
-            .with_organisations(|organisations| decide(organisations, asked, self.view()))
+            .with_organisations(|organisations| authorize(organisations, asked, self.view()))
     }
 
     fn view(&self) -> KeyView {
