--- a/crates/borageshore_time/src/agreement.rs
+++ b/crates/borageshore_time/src/agreement.rs
@@ -12,7 +12,7 @@
 /// The part that more than half of the intervals have in common, where there is one.
 ///
 /// Clocks that were stepped lie seconds away from the others and agree with nobody, or with fewer.
-pub fn most_agreed(intervals: &[Interval]) -> Option<Interval> {
+pub fn majority_intersection(intervals: &[Interval]) -> Option<Interval> {
     let mut best: Option<(usize, Interval)> = None;
     for candidate in intervals {
         let low = candidate.low;
--- a/crates/borageshore_time/src/lib.rs
+++ b/crates/borageshore_time/src/lib.rs
@@ -17,6 +17,6 @@
 mod true_time;
 
 pub use self::{
-    agreement::{Interval, most_agreed},
+    agreement::{Interval, majority_intersection},
     true_time::{ClockSample, TrueTime},
 };
--- a/crates/borageshore_time/src/true_time.rs
+++ b/crates/borageshore_time/src/true_time.rs
@@ -1,6 +1,6 @@
 //! The estimate of one daemon.
 
-use crate::agreement::{Interval, most_agreed};
+use crate::agreement::{Interval, majority_intersection};
 
 /// Fewer samples say nothing of what most clocks show.
 const LEAST_SAMPLES: usize = 3;
@@ -70,7 +70,7 @@
         if offsets.len() < LEAST_SAMPLES {
             return false;
         }
-        let Some(agreed) = most_agreed(&offsets) else {
+        let Some(agreed) = majority_intersection(&offsets) else {
             return false;
         };
         self.offset_ms = middle(agreed);
@@ -90,7 +90,7 @@
         let shown = theirs.chain([own]);
         let shown: Vec<Interval> = shown.map(|offset| widen(offset, KEPT_WITHIN_MS)).collect();
         let agreed = match shown.len() >= LEAST_SAMPLES {
-            true => most_agreed(&shown),
+            true => majority_intersection(&shown),
             false => None,
         };
         let Some(agreed) = agreed else { return };
--- a/crates/borageshore_time/tests/time.rs
+++ b/crates/borageshore_time/tests/time.rs
@@ -1,6 +1,6 @@
 //! True time where clocks step.
 
-use borageshore_time::{ClockSample, Interval, TrueTime, most_agreed};
+use borageshore_time::{ClockSample, Interval, TrueTime, majority_intersection};
 
 const UNIX_MS: u64 = 1_790_000_000_000;
 
@@ -66,8 +66,8 @@
 
     most_means_more_than_half => {
         let at = |low, high| Interval { low, high };
-        assert_eq!(most_agreed(&[at(0, 10), at(5, 15), at(100, 110)]), Some(at(5, 10)));
-        assert_eq!(most_agreed(&[at(0, 10), at(20, 30)]), None);
-        assert_eq!(most_agreed(&[]), None);
+        assert_eq!(majority_intersection(&[at(0, 10), at(5, 15), at(100, 110)]), Some(at(5, 10)));
+        assert_eq!(majority_intersection(&[at(0, 10), at(20, 30)]), None);
+        assert_eq!(majority_intersection(&[]), None);
     }
 }
