--- a/crates/borageshore_gateway/src/true_time.rs
+++ b/crates/borageshore_gateway/src/true_time.rs
@@ -47,7 +47,7 @@
     pub(crate) fn spawn(members: Rc<Members>) -> Rc<Self> {
         let shared = Rc::new(Self {
             members,
-            time: RefCell::new(TrueTime::begin(time_of_day_ms(), boot_time_ms())),
+            time: RefCell::new(TrueTime::new(time_of_day_ms(), boot_time_ms())),
             http: HttpClient::open(),
         });
         monoio::spawn(shared.clone().run());
@@ -72,7 +72,7 @@
         for _ in 0..BEGIN_TRIES {
             sleep_ms(BEGIN_EVERY_MS).await;
             let samples = self.samples().await;
-            if self.time.borrow_mut().begin_anew(&samples) {
+            if self.time.borrow_mut().sync_to_peers(&samples) {
                 break;
             }
         }
@@ -81,7 +81,7 @@
             let samples = self.samples().await;
             let now_ms = boot_time_ms();
             let mut time = self.time.borrow_mut();
-            time.follow(time_of_day_ms(), now_ms, &samples);
+            time.slew(time_of_day_ms(), now_ms, &samples);
             let away_ms = time_of_day_ms() as i64 - time.unix_ms(now_ms) as i64;
             log::debug!(peers = samples.len(), away_ms; "time of day against the estimate");
         }
--- a/crates/borageshore_time/src/true_time.rs
+++ b/crates/borageshore_time/src/true_time.rs
@@ -49,7 +49,7 @@
 
 impl TrueTime {
     /// Begins with this VM's own time of day, as its steady clock shows `steady_ms`.
-    pub fn begin(time_of_day_ms: u64, steady_ms: u64) -> Self {
+    pub fn new(time_of_day_ms: u64, steady_ms: u64) -> Self {
         Self {
             offset_ms: time_of_day_ms as i64 - steady_ms as i64,
             followed_at_ms: steady_ms,
@@ -63,7 +63,7 @@
     }
 
     /// Takes over what most peers estimate, as a daemon does that starts; says whether they agreed.
-    pub fn begin_anew(&mut self, peers: &[ClockSample]) -> bool {
+    pub fn sync_to_peers(&mut self, peers: &[ClockSample]) -> bool {
         let offsets = peers.iter().map(|peer| peer.offset_of(peer.estimate_ms));
         let widened = offsets.map(|offset| widen(offset, KEPT_WITHIN_MS));
         let offsets: Vec<Interval> = widened.collect();
@@ -78,7 +78,7 @@
     }
 
     /// Follows the time of day that most VMs show, slowly.
-    pub fn follow(&mut self, own_time_of_day_ms: u64, steady_ms: u64, peers: &[ClockSample]) {
+    pub fn slew(&mut self, own_time_of_day_ms: u64, steady_ms: u64, peers: &[ClockSample]) {
         let passed_ms = steady_ms.saturating_sub(self.followed_at_ms) as i64;
         self.followed_at_ms = steady_ms;
         let own = own_time_of_day_ms as i64 - steady_ms as i64;
--- a/crates/borageshore_time/tests/time.rs
+++ b/crates/borageshore_time/tests/time.rs
@@ -28,38 +28,38 @@
     // Requests are reported for a window that they did not run in.
     // The time of day of half of all VMs is set ahead by three seconds for six, and set back.
     a_step_of_half_of_all_clocks_moves_the_estimate_by_little => {
-        let mut time = TrueTime::begin(UNIX_MS, 0);
+        let mut time = TrueTime::new(UNIX_MS, 0);
         for turn in 1..=60_u64 {
             let at_ms = turn * 100;
             let peers: Vec<ClockSample> = (0..4).map(|peer| sample(at_ms, 0, if peer % 2 == 0 { 3_000 } else { 0 })).collect();
-            time.follow(UNIX_MS + at_ms + 3_000, at_ms, &peers);
+            time.slew(UNIX_MS + at_ms + 3_000, at_ms, &peers);
         }
         assert!(off_ms(&time, 6_000).abs() <= 15, "{}", off_ms(&time, 6_000));
     }
 
     // A daemon that starts while its VM's clock is ahead puts its requests into the next window.
     a_daemon_that_starts_in_a_step_begins_with_its_peers => {
-        let mut time = TrueTime::begin(UNIX_MS + 3_000, 0);
-        assert!(time.begin_anew(&[sample(10, 0, 0), sample(10, 4, 0), sample(10, 2_500, 0)]));
+        let mut time = TrueTime::new(UNIX_MS + 3_000, 0);
+        assert!(time.sync_to_peers(&[sample(10, 0, 0), sample(10, 4, 0), sample(10, 2_500, 0)]));
         assert!(off_ms(&time, 100).abs() <= 25, "{}", off_ms(&time, 100));
     }
 
     few_or_disagreeing_peers_change_nothing => {
-        let mut time = TrueTime::begin(UNIX_MS, 0);
-        assert!(!time.begin_anew(&[sample(10, 3_000, 0), sample(10, 3_000, 0)]));
-        assert!(!time.begin_anew(&[sample(10, 3_000, 0), sample(10, 0, 0), sample(10, -3_000, 0)]));
+        let mut time = TrueTime::new(UNIX_MS, 0);
+        assert!(!time.sync_to_peers(&[sample(10, 3_000, 0), sample(10, 3_000, 0)]));
+        assert!(!time.sync_to_peers(&[sample(10, 3_000, 0), sample(10, 0, 0), sample(10, -3_000, 0)]));
         assert_eq!(off_ms(&time, 100), 0);
     }
 
     // After weeks, the steady clock is off by seconds.
     a_steady_clock_that_drifts_is_led_back => {
-        let mut time = TrueTime::begin(UNIX_MS, 0);
+        let mut time = TrueTime::new(UNIX_MS, 0);
         for turn in 1..=600_u64 {
             let at_ms = turn * 10_000;
             // 50 millionths fast.
             let off_ms = -(at_ms as i64 * 50 / 1_000_000);
             let peers = [sample(at_ms, off_ms, off_ms), sample(at_ms, off_ms, off_ms), sample(at_ms, off_ms, off_ms)];
-            time.follow((UNIX_MS + at_ms).saturating_add_signed(off_ms), at_ms, &peers);
+            time.slew((UNIX_MS + at_ms).saturating_add_signed(off_ms), at_ms, &peers);
         }
         assert!((off_ms(&time, 6_000_000) + 300).abs() <= 25, "{}", off_ms(&time, 6_000_000));
     }
