--- a/crates/borageshore_daemon/src/jobs.rs
+++ b/crates/borageshore_daemon/src/jobs.rs
@@ -10,8 +10,8 @@
 use borageshore_membership::Health;
 use borageshore_net::sleep_ms;
 use borageshore_rollout::{
-    Delivery, Freshness, JobController, JobPlan, Ledger, LedgerRecord, Placement, PullDecision,
-    PullView, Sample, SampleOrder, Versions,
+    Delivery, JobController, JobPlan, Ledger, LedgerRecord, Placement, PullDecision, PullView,
+    Sample, SampleOrder, StalenessBound, Versions,
 };
 use borageshore_settings::NodeKind;
 use borageshore_wire::{PeerReply, PeerRequest, PullReply, PullRequest, SampleRequest};
@@ -202,7 +202,7 @@
             groups_per_step: number("groups_per_step"),
             samples_per_group: number("samples_per_group"),
             steps_ahead: number("steps_ahead"),
-            freshness: Freshness {
+            staleness_bound: StalenessBound {
                 versions: number("staleness_bound_versions"),
                 age_ms: number("staleness_bound_ms"),
             },
--- a/crates/borageshore_rollout/src/controller.rs
+++ b/crates/borageshore_rollout/src/controller.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     ledger::{Ledger, LedgerRecord},
-    sample::{Delivery, Freshness, Sample},
+    sample::{Delivery, Sample, StalenessBound},
 };
 
 /// The longest duration that is told apart; longer ones count as this.
@@ -33,7 +33,7 @@
     /// Steps that may be generated ahead of the trainer.
     pub steps_ahead: u64,
     /// The staleness bound.
-    pub freshness: Freshness,
+    pub staleness_bound: StalenessBound,
 }
 
 /// Weight versions that matter to a job.
@@ -190,7 +190,7 @@
             let steps_before = place as u64 / plan.groups_per_step;
             let version_then = versions.target + self.cadence.publications_before(steps_before);
             let would_be_doomed = versions.floor < versions.target
-                && versions.floor + plan.freshness.versions < version_then;
+                && versions.floor + plan.staleness_bound.versions < version_then;
             if would_be_doomed {
                 // Engines load the target now; what they begin before is made in vain.
                 continue;
@@ -358,7 +358,7 @@
             };
             let age_ms = now_ms.saturating_sub(finished.started_at_ms);
             if plan
-                .freshness
+                .staleness_bound
                 .permits(&finished.sample.segments, age_ms, pull.target_version)
             {
                 samples.push((
@@ -432,7 +432,7 @@
                     let segments = &done.sample.segments;
                     let oldest = segments.iter().map(|segment| segment.version).min();
                     oldest < Some(newest_seen)
-                        && !plan.freshness.permits(segments, age_ms, version_then)
+                        && !plan.staleness_bound.permits(segments, age_ms, version_then)
                 });
                 if is_doomed {
                     slot.done = None;
@@ -451,7 +451,7 @@
                 let is_stale = slot.done.as_ref().is_some_and(|done| {
                     let age_ms = now_ms.saturating_sub(done.started_at_ms);
                     !plan
-                        .freshness
+                        .staleness_bound
                         .permits(&done.sample.segments, age_ms, target_version)
                 });
                 if is_stale {
--- a/crates/borageshore_rollout/src/lib.rs
+++ b/crates/borageshore_rollout/src/lib.rs
@@ -4,9 +4,9 @@
 //! stream ([`Ledger`]), and [`plan_swaps`] brings engines to new weights in waves. All of it is pure.
 //!
 //! ```
-//! use borageshore_rollout::{Freshness, Segment};
+//! use borageshore_rollout::{StalenessBound, Segment};
 //!
-//! let bound = Freshness { versions: 1, age_ms: 1_000 };
+//! let bound = StalenessBound { versions: 1, age_ms: 1_000 };
 //! let segments = [Segment { version: 4, token_count: 10 }];
 //! assert!(bound.permits(&segments, 900, 5));
 //! assert!(!bound.permits(&segments, 900, 6));
@@ -24,6 +24,6 @@
     },
     ledger::{Ledger, LedgerRecord, LedgerSnapshot},
     placement::Placement,
-    sample::{Delivery, Freshness, Sample, Segment},
+    sample::{Delivery, Sample, Segment, StalenessBound},
     swap::{ReplicaView, SwapLimits, plan_swaps},
 };
--- a/crates/borageshore_rollout/src/sample.rs
+++ b/crates/borageshore_rollout/src/sample.rs
@@ -47,14 +47,14 @@
 
 /// The staleness bound of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Freshness {
+pub struct StalenessBound {
     /// The greatest permitted distance to the newest version.
     pub versions: u64,
     /// The greatest permitted age.
     pub age_ms: u64,
 }
 
-impl Freshness {
+impl StalenessBound {
     /// Says whether a sample of these segments and this age may be handed over.
     ///
     /// A sample without a known version is never fresh: it could not be attributed.
--- a/crates/borageshore_rollout/tests/rollout.rs
+++ b/crates/borageshore_rollout/tests/rollout.rs
@@ -2,8 +2,8 @@
 
 use borageshore_log::{Envelope, Fold};
 use borageshore_rollout::{
-    Freshness, JobController, JobPlan, Ledger, LedgerRecord, Placement, PullDecision, PullView,
-    ReplicaView, Sample, SampleOrder, Segment, SwapLimits, Versions, plan_swaps,
+    JobController, JobPlan, Ledger, LedgerRecord, Placement, PullDecision, PullView, ReplicaView,
+    Sample, SampleOrder, Segment, StalenessBound, SwapLimits, Versions, plan_swaps,
 };
 
 macro_rules! stories {
@@ -17,7 +17,7 @@
         groups_per_step: 10,
         samples_per_group: 4,
         steps_ahead: 1,
-        freshness: Freshness {
+        staleness_bound: StalenessBound {
             versions: 1,
             age_ms: 60_000,
         },
--- a/crates/borageshore_scenarios/src/oracle.rs
+++ b/crates/borageshore_scenarios/src/oracle.rs
@@ -105,7 +105,7 @@
             match oldest {
                 None => self.report(Broken::Unattributed(sample.id.clone())),
                 Some(oldest)
-                    if target_version.saturating_sub(oldest) > plan().freshness.versions =>
+                    if target_version.saturating_sub(oldest) > plan().staleness_bound.versions =>
                 {
                     self.report(Broken::Stale(sample.id.clone()));
                 }
--- a/crates/borageshore_scenarios/src/world.rs
+++ b/crates/borageshore_scenarios/src/world.rs
@@ -5,7 +5,7 @@
 use borageshore_base::{ResultCode, SortedMap};
 use borageshore_log::Fold;
 use borageshore_rollout::{
-    Delivery, Freshness, JobPlan, PullDecision, PullView, Sample, Segment, Versions,
+    Delivery, JobPlan, PullDecision, PullView, Sample, Segment, StalenessBound, Versions,
 };
 use borageshore_routing::{Attempt, AttemptEvent, KeyDecision, KeyPrefix, Outcome, StoredAnswer};
 use borageshore_settings::{Edit, SettingValue, SettingsChange, SettingsRecord};
@@ -418,7 +418,7 @@
         groups_per_step: 2,
         samples_per_group: 2,
         steps_ahead: 2,
-        freshness: Freshness {
+        staleness_bound: StalenessBound {
             versions: 1,
             age_ms: 60_000,
         },
