--- a/crates/borageshore_daemon/src/jobs.rs
+++ b/crates/borageshore_daemon/src/jobs.rs
@@ -11,7 +11,7 @@
 use borageshore_net::sleep_ms;
 use borageshore_rollout::{
     Delivery, JobController, JobPlan, Ledger, LedgerRecord, Placement, PullDecision, PullView,
-    Sample, SampleOrder, StalenessBound, Versions,
+    Sample, SampleOrder, StalenessBound, WeightVersions,
 };
 use borageshore_settings::NodeKind;
 use borageshore_wire::{PeerReply, PeerRequest, PullReply, PullRequest, SampleRequest};
@@ -42,7 +42,7 @@
     ledger: Rc<SharedStream<Ledger>>,
     controller: RefCell<JobController>,
     placement: RefCell<Placement>,
-    versions: Cell<Versions>,
+    versions: Cell<WeightVersions>,
     has_opened_ledger: Cell<bool>,
     is_closed: Cell<bool>,
 }
@@ -124,9 +124,9 @@
         ledger: ledger.clone(),
         controller: RefCell::new(JobController::open(id_prefix, epoch)),
         placement: RefCell::default(),
-        versions: Cell::new(Versions {
+        versions: Cell::new(WeightVersions {
             target: 0,
-            floor: 0,
+            oldest_served: 0,
         }),
         has_opened_ledger: Cell::new(false),
         is_closed: Cell::new(false),
@@ -175,18 +175,21 @@
 }
 
 /// The versions in force; a new target begins to be watched.
-fn watched_versions(daemon: &Rc<Daemon>, runtime: &Rc<JobRuntime>) -> Versions {
+fn watched_versions(daemon: &Rc<Daemon>, runtime: &Rc<JobRuntime>) -> WeightVersions {
     let target = daemon.setting(&runtime.job, "weights_version");
     let before = runtime.versions.get();
     if target > before.target {
-        runtime.versions.set(Versions { target, ..before });
+        runtime.versions.set(WeightVersions { target, ..before });
         let (daemon, runtime) = (daemon.clone(), runtime.clone());
         monoio::spawn(async move {
-            let report = |floor| {
+            let report = |oldest_served| {
                 let known = runtime.versions.get();
                 // An older watch says nothing of a newer target.
                 if known.target == target {
-                    runtime.versions.set(Versions { floor, ..known });
+                    runtime.versions.set(WeightVersions {
+                        oldest_served,
+                        ..known
+                    });
                 }
             };
             swaps::watch_floor(&daemon, &runtime.job, target, report).await;
--- a/crates/borageshore_rollout/src/controller.rs
+++ b/crates/borageshore_rollout/src/controller.rs
@@ -38,11 +38,11 @@
 
 /// Weight versions that matter to a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Versions {
+pub struct WeightVersions {
     /// The newest one in force.
     pub target: u64,
     /// The oldest one that an engine still serves, as far as is known.
-    pub floor: u64,
+    pub oldest_served: u64,
 }
 
 /// A sample to generate.
@@ -180,7 +180,12 @@
     }
 
     /// Says what to generate now.
-    pub fn tick(&mut self, plan: &JobPlan, versions: Versions, now_ms: u64) -> Vec<SampleOrder> {
+    pub fn tick(
+        &mut self,
+        plan: &JobPlan,
+        versions: WeightVersions,
+        now_ms: u64,
+    ) -> Vec<SampleOrder> {
         self.cadence.on_target(versions.target, plan);
         self.open_groups(plan, now_ms);
         self.drop_doomed(plan, versions.target, now_ms);
@@ -189,8 +194,8 @@
         for (place, (group, state)) in self.groups.iter_mut().enumerate() {
             let steps_before = place as u64 / plan.groups_per_step;
             let version_then = versions.target + self.cadence.publications_before(steps_before);
-            let would_be_doomed = versions.floor < versions.target
-                && versions.floor + plan.staleness_bound.versions < version_then;
+            let would_be_doomed = versions.oldest_served < versions.target
+                && versions.oldest_served + plan.staleness_bound.versions < version_then;
             if would_be_doomed {
                 // Engines load the target now; what they begin before is made in vain.
                 continue;
--- a/crates/borageshore_rollout/src/lib.rs
+++ b/crates/borageshore_rollout/src/lib.rs
@@ -20,7 +20,7 @@
 
 pub use self::{
     controller::{
-        JobController, JobCounts, JobPlan, PullDecision, PullView, SampleOrder, Versions,
+        JobController, JobCounts, JobPlan, PullDecision, PullView, SampleOrder, WeightVersions,
     },
     ledger::{Ledger, LedgerRecord, LedgerSnapshot},
     placement::Placement,
--- a/crates/borageshore_rollout/tests/rollout.rs
+++ b/crates/borageshore_rollout/tests/rollout.rs
@@ -3,7 +3,7 @@
 use borageshore_log::{Envelope, Fold};
 use borageshore_rollout::{
     JobController, JobPlan, Ledger, LedgerRecord, Placement, PullDecision, PullView, ReplicaView,
-    Sample, SampleOrder, Segment, StalenessBound, SwapLimits, Versions, plan_swaps,
+    Sample, SampleOrder, Segment, StalenessBound, SwapLimits, WeightVersions, plan_swaps,
 };
 
 macro_rules! stories {
@@ -40,10 +40,10 @@
 }
 
 /// All engines serve this version.
-fn at(version: u64) -> Versions {
-    Versions {
+fn at(version: u64) -> WeightVersions {
+    WeightVersions {
         target: version,
-        floor: version,
+        oldest_served: version,
     }
 }
 
@@ -197,7 +197,7 @@
         assert_eq!(controller.tick(&ahead, at(1), 0).len(), 8);
         let mut controller = JobController::open("job".into(), 1);
         controller.tick(&JobPlan { steps_ahead: 1, ..ahead }, at(1), 0);
-        let loading = Versions { target: 2, floor: 1 };
+        let loading = WeightVersions { target: 2, oldest_served: 1 };
         assert_eq!(controller.tick(&ahead, loading, 1), [], "the next step is held back");
         assert_eq!(controller.tick(&ahead, at(2), 2).len(), 4);
     };
@@ -228,7 +228,7 @@
             controller.on_ledger(&ledger);
         }
         // Version 2 is in force and a step was pulled since, so the open step comes after version 3.
-        let loading = Versions { target: 2, floor: 1 };
+        let loading = WeightVersions { target: 2, oldest_served: 1 };
         assert_eq!(controller.tick(&ahead, loading, 2), []);
         assert_eq!(controller.tick(&ahead, at(2), 3).len(), 4);
     };
--- a/crates/borageshore_scenarios/src/world.rs
+++ b/crates/borageshore_scenarios/src/world.rs
@@ -5,7 +5,7 @@
 use borageshore_base::{ResultCode, SortedMap};
 use borageshore_log::Fold;
 use borageshore_rollout::{
-    Delivery, JobPlan, PullDecision, PullView, Sample, Segment, StalenessBound, Versions,
+    Delivery, JobPlan, PullDecision, PullView, Sample, Segment, StalenessBound, WeightVersions,
 };
 use borageshore_routing::{Attempt, AttemptEvent, KeyDecision, KeyPrefix, Outcome, StoredAnswer};
 use borageshore_settings::{Edit, SettingValue, SettingsChange, SettingsRecord};
@@ -310,9 +310,9 @@
     /// Generates everything that the owner of the job wants, with the engine's present weights.
     pub fn generate(&mut self, name: &str) -> usize {
         let (true_ms, version) = (self.now_ms, self.engine_version);
-        let versions = Versions {
+        let versions = WeightVersions {
             target: self.target_version,
-            floor: self.engine_version,
+            oldest_served: self.engine_version,
         };
         let Some(member) = self.running(name) else {
             return 0;
