--- a/crates/borageshore_daemon/src/jobs.rs
+++ b/crates/borageshore_daemon/src/jobs.rs
@@ -281,7 +281,7 @@
     } else {
         make_at_peer(daemon, job, &name, &address).await
     };
-    runtime.placement.borrow_mut().on_end(&name);
+    runtime.placement.borrow_mut().on_attempt_end(&name);
     made
 }
 
--- a/crates/borageshore_rollout/src/placement.rs
+++ b/crates/borageshore_rollout/src/placement.rs
@@ -41,7 +41,7 @@
     }
 
     /// Notes that an attempt ended, however it ended.
-    pub fn on_end(&mut self, daemon: &str) {
+    pub fn on_attempt_end(&mut self, daemon: &str) {
         if let Some(count) = self.under_way.get_mut(daemon) {
             *count = count.saturating_sub(1);
         }
