--- a/crates/borageshore_duty/src/lib.rs
+++ b/crates/borageshore_duty/src/lib.rs
@@ -19,10 +19,10 @@
 
 mod holder;
 mod leases;
-mod terms;
+mod timing;
 
 pub use self::{
     holder::select_holder,
     leases::DutyLeases,
-    terms::{DutyTiming, SendWindow},
+    timing::{DutyTiming, SendWindow},
 };
--- a/crates/borageshore_usage/src/lib.rs
+++ b/crates/borageshore_usage/src/lib.rs
@@ -17,13 +17,13 @@
 //! ```
 
 mod own_counts;
-mod plan;
+mod reports;
 mod totals;
 mod window;
 
 pub use self::{
     own_counts::OwnCounts,
-    plan::{Reports, UsageTiming},
+    reports::{Reports, UsageTiming},
     totals::Totals,
     window::Window,
 };
