--- a/crates/borageshore_duty/src/holder.rs
+++ b/crates/borageshore_duty/src/holder.rs
@@ -8,13 +8,13 @@
 /// a daemon that comes back does not take turns with another one; else the first by rendezvous.
 pub fn select_holder<'a>(
     duty: &str,
-    last: Option<&'a Arc<str>>,
-    able: &'a [Arc<str>],
+    previous: Option<&'a Arc<str>>,
+    candidates: &'a [Arc<str>],
 ) -> Option<&'a str> {
-    match last {
-        Some(last) if able.contains(last) => Some(last),
+    match previous {
+        Some(previous) if candidates.contains(previous) => Some(previous),
         _ => {
-            let names = able.iter().map(|name| &**name);
+            let names = candidates.iter().map(|name| &**name);
             rank_by_rendezvous(duty, names).into_iter().next()
         }
     }
--- a/crates/borageshore_duty/src/leases.rs
+++ b/crates/borageshore_duty/src/leases.rs
@@ -5,7 +5,7 @@
 use borageshore_base::SortedMap;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct LastAct {
+struct LastAction {
     holder: Arc<str>,
     seen_at_ms: u64,
 }
@@ -18,23 +18,23 @@
 #[derive(Debug)]
 pub struct DutyLeases {
     /// Announcements from before may have been forgotten with the log's history.
-    began_at_ms: u64,
+    opened_at_ms: u64,
     takeover_delay_ms: u64,
     newest_holder: Option<Arc<str>>,
     /// Subjects that others had just acted on when the newest announcement was made.
-    newest_others: Vec<Arc<str>>,
-    last: SortedMap<Arc<str>, LastAct>,
+    newest_held_by_others: Vec<Arc<str>>,
+    last_actions: SortedMap<Arc<str>, LastAction>,
 }
 
 impl DutyLeases {
     /// Opens the table of a process that begins to read announcements at `now_ms`; a successor waits for `takeover_delay_ms`.
     pub fn open(now_ms: u64, takeover_delay_ms: u64) -> Self {
         Self {
-            began_at_ms: now_ms,
+            opened_at_ms: now_ms,
             takeover_delay_ms,
             newest_holder: None,
-            newest_others: Vec::new(),
-            last: SortedMap::default(),
+            newest_held_by_others: Vec::new(),
+            last_actions: SortedMap::default(),
         }
     }
 
@@ -47,13 +47,13 @@
         now_ms: u64,
     ) {
         self.newest_holder = Some(holder.clone());
-        self.newest_others = others.to_vec();
+        self.newest_held_by_others = others.to_vec();
         for subject in subjects {
-            let act = LastAct {
+            let action = LastAction {
                 holder: holder.clone(),
                 seen_at_ms: now_ms,
             };
-            self.last.insert(subject.clone(), act);
+            self.last_actions.insert(subject.clone(), action);
         }
     }
 
@@ -65,21 +65,24 @@
     /// Says whether `holder` may act on a subject at `now_ms`.
     pub fn may_act(&self, holder: &str, subject: &str, now_ms: u64) -> bool {
         let has_passed = |seen_at_ms: u64| now_ms >= seen_at_ms + self.takeover_delay_ms;
-        match self.last.get(subject) {
+        match self.last_actions.get(subject) {
             Some(last) => &*last.holder == holder || has_passed(last.seen_at_ms),
             // No announcement is known. The holder of the newest one goes by what it wrote there of the others, also
             // after a restart; anyone else might have missed an act from before it began.
             None => {
                 let is_own = self.newest_holder.as_deref() == Some(holder);
-                let is_others = self.newest_others.iter().any(|other| **other == *subject);
-                (is_own && !is_others) || has_passed(self.began_at_ms)
+                let is_others = self
+                    .newest_held_by_others
+                    .iter()
+                    .any(|other| **other == *subject);
+                (is_own && !is_others) || has_passed(self.opened_at_ms)
             }
         }
     }
 
     /// The subjects that `holder` may not act on at `now_ms`, for its next announcement.
     pub fn held_by_others(&self, holder: &str, now_ms: u64) -> Vec<Arc<str>> {
-        let known = self.last.keys().chain(&self.newest_others);
+        let known = self.last_actions.keys().chain(&self.newest_held_by_others);
         let mut subjects: Vec<Arc<str>> = known
             .filter(|subject| !self.may_act(holder, subject, now_ms))
             .cloned()
