--- a/crates/borageshore_usage/src/own_counts.rs
+++ b/crates/borageshore_usage/src/own_counts.rs
@@ -7,7 +7,7 @@
 use crate::{Counts, window::Window};
 
 #[derive(Debug, Default)]
-struct Counted {
+struct WindowCounts {
     counts: Counts,
     is_dirty: bool,
 }
@@ -15,33 +15,33 @@
 /// The requests that one life of a daemon sent, by window.
 #[derive(Debug, Default)]
 pub struct OwnCounts {
-    windows: SortedMap<Window, Counted>,
+    windows: SortedMap<Window, WindowCounts>,
 }
 
 impl OwnCounts {
     /// Counts requests of an organisation.
     pub fn add(&mut self, window: Window, organisation: &Arc<str>, count: u64) {
-        let counted = self.windows.get_or_insert_with(window, Counted::default);
-        *counted
-            .counts
-            .get_or_insert_with(organisation.clone(), || 0) += count;
-        counted.is_dirty = true;
+        let entry = self
+            .windows
+            .get_or_insert_with(window, WindowCounts::default);
+        *entry.counts.get_or_insert_with(organisation.clone(), || 0) += count;
+        entry.is_dirty = true;
     }
 
     /// Says whether something is yet to be told.
     pub fn is_dirty(&self) -> bool {
-        self.windows.values().any(|counted| counted.is_dirty)
+        self.windows.values().any(|entry| entry.is_dirty)
     }
 
     /// Takes the totals of all windows that have something untold.
     pub fn take_dirty(&mut self) -> Vec<(Window, Counts)> {
-        let mut untold = Vec::new();
-        for (window, counted) in self.windows.iter_mut() {
-            if std::mem::take(&mut counted.is_dirty) {
-                untold.push((*window, counted.counts.clone()));
+        let mut dirty = Vec::new();
+        for (window, entry) in self.windows.iter_mut() {
+            if std::mem::take(&mut entry.is_dirty) {
+                dirty.push((*window, entry.counts.clone()));
             }
         }
-        untold
+        dirty
     }
 
     /// Notes windows that could not be told.
@@ -50,8 +50,8 @@
         Windows: IntoIterator<Item = Window>,
     {
         for window in windows {
-            if let Some(counted) = self.windows.get_mut(&window) {
-                counted.is_dirty = true;
+            if let Some(entry) = self.windows.get_mut(&window) {
+                entry.is_dirty = true;
             }
         }
     }
--- a/crates/borageshore_usage/src/reports.rs
+++ b/crates/borageshore_usage/src/reports.rs
@@ -5,9 +5,9 @@
 use crate::{Counts, window::Window};
 
 /// Counts are waited for until this share of the time that a report has.
-const FIXED_AFTER_PERCENT: u64 = 25;
+const FINALIZE_AFTER_PERCENT: u64 = 25;
 /// Windows are remembered for so many times what a report has: no reader is that late.
-const REMEMBERED_TIMES: u64 = 4;
+const RETENTION_FACTOR: u64 = 4;
 
 /// The times of reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,14 +29,14 @@
 
     /// The first window that anybody may ask for.
     pub fn first_retained(&self, unix_ms: u64) -> Window {
-        let kept_ms = self.report_deadline_ms * REMEMBERED_TIMES;
-        Window::at(unix_ms.saturating_sub(kept_ms), self.window_ms)
+        let retention_ms = self.report_deadline_ms * RETENTION_FACTOR;
+        Window::at(unix_ms.saturating_sub(retention_ms), self.window_ms)
     }
 
     /// Says whether a window's counts have had time to come in.
-    fn may_fix(&self, window: Window, unix_ms: u64) -> bool {
-        let waited_ms = self.report_deadline_ms * FIXED_AFTER_PERCENT / 100;
-        unix_ms >= window.end_ms(self.window_ms) + waited_ms
+    fn may_finalize(&self, window: Window, unix_ms: u64) -> bool {
+        let delay_ms = self.report_deadline_ms * FINALIZE_AFTER_PERCENT / 100;
+        unix_ms >= window.end_ms(self.window_ms) + delay_ms
     }
 }
 
@@ -52,13 +52,13 @@
 /// a window counts, and only that is ever sent, by whichever holder.
 #[derive(Debug, Default)]
 pub struct Reports {
-    fixed: SortedMap<Window, Report>,
+    finalized: SortedMap<Window, Report>,
 }
 
 impl Reports {
     /// Takes over the record that fixes a window's report; a later one changes nothing.
     pub fn on_finalized(&mut self, window: Window, counts: &Counts) {
-        self.fixed.get_or_insert_with(window, || Report {
+        self.finalized.get_or_insert_with(window, || Report {
             counts: counts.clone(),
             is_accepted: false,
         });
@@ -66,7 +66,7 @@
 
     /// Takes over that the platform has a window's report.
     pub fn on_accepted(&mut self, window: Window) {
-        if let Some(report) = self.fixed.get_mut(&window) {
+        if let Some(report) = self.finalized.get_mut(&window) {
             report.is_accepted = true;
         }
     }
@@ -75,8 +75,8 @@
     pub fn next(&self, times: &UsageTiming, unix_ms: u64) -> Option<(Window, Option<&Counts>)> {
         let first = times.first_reportable(unix_ms).0;
         let windows = (first..).map(Window);
-        let mut ended = windows.take_while(|window| times.may_fix(*window, unix_ms));
-        ended.find_map(|window| match self.fixed.get(&window) {
+        let mut ended = windows.take_while(|window| times.may_finalize(*window, unix_ms));
+        ended.find_map(|window| match self.finalized.get(&window) {
             Some(report) if report.is_accepted => None,
             Some(report) => Some((window, Some(&report.counts))),
             None => Some((window, None)),
@@ -85,19 +85,22 @@
 
     /// The windows whose report the platform has, from one on.
     pub fn accepted_from(&self, first: Window) -> Vec<Window> {
-        let taken = self.fixed.iter().filter(|(_, report)| report.is_accepted);
+        let taken = self
+            .finalized
+            .iter()
+            .filter(|(_, report)| report.is_accepted);
         let windows = taken.map(|(window, _)| *window);
         windows.filter(|window| *window >= first).collect()
     }
 
     /// The windows before one.
     pub fn windows_before(&self, first: Window) -> Vec<Window> {
-        let windows = self.fixed.keys().copied();
+        let windows = self.finalized.keys().copied();
         windows.take_while(|window| *window < first).collect()
     }
 
     /// Forgets a window, once its record is removed.
     pub fn forget(&mut self, window: Window) {
-        self.fixed.remove(&window);
+        self.finalized.remove(&window);
     }
 }
--- a/crates/borageshore_usage/src/totals.rs
+++ b/crates/borageshore_usage/src/totals.rs
@@ -21,8 +21,8 @@
         let authors = self.windows.get_or_insert_with(window, SortedMap::default);
         let known = authors.get_or_insert_with(author.clone(), Counts::default);
         for (organisation, count) in counts.iter() {
-            let most = known.get_or_insert_with(organisation.clone(), || 0);
-            *most = (*most).max(*count);
+            let largest = known.get_or_insert_with(organisation.clone(), || 0);
+            *largest = (*largest).max(*count);
         }
     }
 
