--- a/crates/borageshore_access/src/decision.rs
+++ b/crates/borageshore_access/src/decision.rs
@@ -9,7 +9,7 @@
 
 /// A denial is said from a view that was asked for within this time, so that a key which was just added is not
 /// refused by a daemon that has not heard of it.
-const DENIES_WITHIN_MS: u64 = 300;
+const MAX_DENIAL_AGE_MS: u64 = 300;
 
 /// What a request says of its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -36,14 +36,15 @@
     /// counts from the question, as an answer may be read long after it was given.
     pub fn is_fresh(&self) -> bool {
         match (self.age_ms, self.max_age_ms) {
-            (Some(age_ms), Some(most_ms)) => age_ms <= most_ms,
+            (Some(age_ms), Some(max_ms)) => age_ms <= max_ms,
             (Some(_), None) => true,
             (None, _) => false,
         }
     }
 
     fn may_deny(&self) -> bool {
-        self.age_ms.is_some_and(|age_ms| age_ms <= DENIES_WITHIN_MS)
+        self.age_ms
+            .is_some_and(|age_ms| age_ms <= MAX_DENIAL_AGE_MS)
     }
 }
 
@@ -61,14 +62,14 @@
 }
 
 /// Decides about a request.
-pub fn authorize(organisations: &Organisations, asked: Credentials, view: KeyView) -> Access {
+pub fn authorize(organisations: &Organisations, credentials: Credentials, view: KeyView) -> Access {
     if !organisations.are_configured() {
         return Access::Granted(None);
     }
-    let owner = asked.key.and_then(|key| organisations.owner_of(&key));
+    let owner = credentials.key.and_then(|key| organisations.owner_of(&key));
     match owner {
         // Without a key it would run as well.
-        owner if asked.is_public => Access::Granted(owner.cloned()),
+        owner if credentials.is_public => Access::Granted(owner.cloned()),
         Some(owner) if view.is_fresh() => Access::Granted(Some(owner.clone())),
         Some(_) => Access::ViewTooOld,
         None if view.may_deny() => Access::Denied,
--- a/crates/borageshore_access/src/key.rs
+++ b/crates/borageshore_access/src/key.rs
@@ -2,14 +2,14 @@
 
 use std::fmt;
 
-const BYTES: usize = 32;
+const DIGEST_BYTES: usize = 32;
 
 /// The digest of a key.
 ///
 /// Keys are compared and looked up by it: the time that a comparison takes tells nothing of a key. The key itself is
 /// dropped where it is decoded, so that it can be in no log, record or metric.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct KeyDigest([u8; BYTES]);
+pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
     /// The digest of a key as a caller presents it.
--- a/crates/borageshore_access/src/organisations.rs
+++ b/crates/borageshore_access/src/organisations.rs
@@ -55,15 +55,15 @@
 
     /// The organisation that holds a key.
     pub fn owner_of(&self, key: &KeyDigest) -> Option<&Arc<Organisation>> {
-        let at = self.by_key.binary_search_by_key(key, |(known, _)| *known);
-        at.ok().map(|at| &self.by_key[at].1)
+        let index = self.by_key.binary_search_by_key(key, |(known, _)| *known);
+        index.ok().map(|index| &self.by_key[index].1)
     }
 
     /// An organisation by its name.
     pub fn named(&self, name: &str) -> Option<&Arc<Organisation>> {
-        let at = self
+        let index = self
             .by_name
             .binary_search_by(|known| (*known.name).cmp(name));
-        at.ok().map(|at| &self.by_name[at])
+        index.ok().map(|index| &self.by_name[index])
     }
 }
--- a/crates/borageshore_access/src/scope.rs
+++ b/crates/borageshore_access/src/scope.rs
@@ -5,7 +5,7 @@
 /// Ends the organisation's part of a name; no caller's own name may have it.
 const SEPARATOR: char = '~';
 /// Longer names of organisations stand under their digest: keys of the store are short.
-const PLAIN_BYTES: usize = 40;
+const MAX_PLAIN_BYTES: usize = 40;
 
 /// The name under which a caller's own name is kept; `None` if no caller may choose that name.
 ///
@@ -15,14 +15,16 @@
         return None;
     }
     Some(match organisation {
-        Some(organisation) => format!("{}{SEPARATOR}{name}", part(organisation)).into(),
+        Some(organisation) => {
+            format!("{}{SEPARATOR}{name}", organisation_prefix(organisation)).into()
+        }
         None => name.into(),
     })
 }
 
-fn part(organisation: &str) -> String {
+fn organisation_prefix(organisation: &str) -> String {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    let is_short = !organisation.is_empty() && organisation.len() <= PLAIN_BYTES;
+    let is_short = !organisation.is_empty() && organisation.len() <= MAX_PLAIN_BYTES;
     match is_short && organisation.chars().all(is_plain) {
         true => organisation.to_owned(),
         // A plain name has no full stop.
