--- a/crates/borageshore_time/src/agreement.rs
+++ b/crates/borageshore_time/src/agreement.rs
@@ -16,12 +16,12 @@
     let mut best: Option<(usize, Interval)> = None;
     for candidate in intervals {
         let low = candidate.low;
-        let holding = intervals
+        let overlapping = intervals
             .iter()
             .filter(|other| other.low <= low && low <= other.high);
-        let high = holding.clone().map(|other| other.high).min()?;
-        let count = holding.count();
-        if best.is_none_or(|(most, _)| count > most) {
+        let high = overlapping.clone().map(|other| other.high).min()?;
+        let count = overlapping.count();
+        if best.is_none_or(|(best_count, _)| count > best_count) {
             best = Some((count, Interval { low, high }));
         }
     }
--- a/crates/borageshore_time/src/true_time.rs
+++ b/crates/borageshore_time/src/true_time.rs
@@ -3,12 +3,12 @@
 use crate::agreement::{Interval, majority_intersection};
 
 /// Fewer samples say nothing of what most clocks show.
-const LEAST_SAMPLES: usize = 3;
+const MIN_SAMPLES: usize = 3;
 /// How fast the estimate follows the time of day: ten times what a quartz clock may be off, and 12 ms in a step that
 /// lasts for six seconds.
-const FOLLOWS_PER_MILLION: i64 = 2_000;
+const SLEW_PPM: i64 = 2_000;
 /// Clocks of VMs whose time of day is kept differ by less; one that differs by more was stepped.
-const KEPT_WITHIN_MS: i64 = 20;
+const CLOCK_TOLERANCE_MS: i64 = 20;
 
 /// What a peer's clocks showed between a question and its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,63 +42,65 @@
 pub struct TrueTime {
     /// Unix milliseconds minus milliseconds of the steady clock.
     offset_ms: i64,
-    followed_at_ms: u64,
+    slewed_at_ms: u64,
     /// What was followed by less than a millisecond.
-    rest_millionths: i64,
+    remainder_millionths: i64,
 }
 
 impl TrueTime {
     /// Begins with this VM's own time of day, as its steady clock shows `steady_ms`.
-    pub fn new(time_of_day_ms: u64, steady_ms: u64) -> Self {
+    pub fn new(time_of_day_ms: u64, monotonic_ms: u64) -> Self {
         Self {
-            offset_ms: time_of_day_ms as i64 - steady_ms as i64,
-            followed_at_ms: steady_ms,
-            rest_millionths: 0,
+            offset_ms: time_of_day_ms as i64 - monotonic_ms as i64,
+            slewed_at_ms: monotonic_ms,
+            remainder_millionths: 0,
         }
     }
 
     /// The estimate, in Unix milliseconds.
-    pub fn unix_ms(&self, steady_ms: u64) -> u64 {
-        (self.offset_ms + steady_ms as i64).max(0) as u64
+    pub fn unix_ms(&self, monotonic_ms: u64) -> u64 {
+        (self.offset_ms + monotonic_ms as i64).max(0) as u64
     }
 
     /// Takes over what most peers estimate, as a daemon does that starts; says whether they agreed.
     pub fn sync_to_peers(&mut self, peers: &[ClockSample]) -> bool {
         let offsets = peers.iter().map(|peer| peer.offset_of(peer.estimate_ms));
-        let widened = offsets.map(|offset| widen(offset, KEPT_WITHIN_MS));
+        let widened = offsets.map(|offset| widen(offset, CLOCK_TOLERANCE_MS));
         let offsets: Vec<Interval> = widened.collect();
-        if offsets.len() < LEAST_SAMPLES {
+        if offsets.len() < MIN_SAMPLES {
             return false;
         }
         let Some(agreed) = majority_intersection(&offsets) else {
             return false;
         };
-        self.offset_ms = middle(agreed);
+        self.offset_ms = midpoint(agreed);
         true
     }
 
     /// Follows the time of day that most VMs show, slowly.
-    pub fn slew(&mut self, own_time_of_day_ms: u64, steady_ms: u64, peers: &[ClockSample]) {
-        let passed_ms = steady_ms.saturating_sub(self.followed_at_ms) as i64;
-        self.followed_at_ms = steady_ms;
-        let own = own_time_of_day_ms as i64 - steady_ms as i64;
+    pub fn slew(&mut self, own_time_of_day_ms: u64, monotonic_ms: u64, peers: &[ClockSample]) {
+        let elapsed_ms = monotonic_ms.saturating_sub(self.slewed_at_ms) as i64;
+        self.slewed_at_ms = monotonic_ms;
+        let own = own_time_of_day_ms as i64 - monotonic_ms as i64;
         let own = Interval {
             low: own,
             high: own,
         };
-        let theirs = peers.iter().map(|peer| peer.offset_of(peer.time_of_day_ms));
-        let shown = theirs.chain([own]);
-        let shown: Vec<Interval> = shown.map(|offset| widen(offset, KEPT_WITHIN_MS)).collect();
-        let agreed = match shown.len() >= LEAST_SAMPLES {
-            true => majority_intersection(&shown),
+        let peer_offsets = peers.iter().map(|peer| peer.offset_of(peer.time_of_day_ms));
+        let offsets = peer_offsets.chain([own]);
+        let offsets: Vec<Interval> = offsets
+            .map(|offset| widen(offset, CLOCK_TOLERANCE_MS))
+            .collect();
+        let agreed = match offsets.len() >= MIN_SAMPLES {
+            true => majority_intersection(&offsets),
             false => None,
         };
         let Some(agreed) = agreed else { return };
-        let budget = self.rest_millionths + passed_ms * FOLLOWS_PER_MILLION;
-        let most_ms = budget / 1_000_000;
-        self.rest_millionths = budget % 1_000_000;
-        let away_ms = middle(agreed) - self.offset_ms;
-        self.offset_ms += away_ms.clamp(-most_ms, most_ms);
+        let budget = self.remainder_millionths + elapsed_ms * SLEW_PPM;
+        let max_ms = budget / 1_000_000;
+        self.remainder_millionths = budget % 1_000_000;
+        let error_ms = midpoint(agreed) - self.offset_ms;
+        self.offset_ms += error_ms.clamp(-max_ms, max_ms);
     }
 }
 
@@ -109,6 +111,6 @@
     }
 }
 
-fn middle(interval: Interval) -> i64 {
+fn midpoint(interval: Interval) -> i64 {
     (interval.low + interval.high) / 2
 }
--- a/crates/borageshore_time/tests/time.rs
+++ b/crates/borageshore_time/tests/time.rs
@@ -4,18 +4,18 @@
 
 const UNIX_MS: u64 = 1_790_000_000_000;
 
-fn sample(at_ms: u64, estimate_off_ms: i64, time_of_day_off_ms: i64) -> ClockSample {
+fn sample(at_ms: u64, estimate_error_ms: i64, time_of_day_error_ms: i64) -> ClockSample {
     let true_ms = (UNIX_MS + at_ms) as i64;
     ClockSample {
         asked_at_ms: at_ms,
         answered_at_ms: at_ms + 2,
-        estimate_ms: (true_ms + 1 + estimate_off_ms) as u64,
-        time_of_day_ms: (true_ms + 1 + time_of_day_off_ms) as u64,
+        estimate_ms: (true_ms + 1 + estimate_error_ms) as u64,
+        time_of_day_ms: (true_ms + 1 + time_of_day_error_ms) as u64,
     }
 }
 
-fn off_ms(time: &TrueTime, steady_ms: u64) -> i64 {
-    time.unix_ms(steady_ms) as i64 - (UNIX_MS + steady_ms) as i64
+fn error_ms(time: &TrueTime, monotonic_ms: u64) -> i64 {
+    time.unix_ms(monotonic_ms) as i64 - (UNIX_MS + monotonic_ms) as i64
 }
 
 macro_rules! cases {
@@ -34,21 +34,21 @@
             let peers: Vec<ClockSample> = (0..4).map(|peer| sample(at_ms, 0, if peer % 2 == 0 { 3_000 } else { 0 })).collect();
             time.slew(UNIX_MS + at_ms + 3_000, at_ms, &peers);
         }
-        assert!(off_ms(&time, 6_000).abs() <= 15, "{}", off_ms(&time, 6_000));
+        assert!(error_ms(&time, 6_000).abs() <= 15, "{}", error_ms(&time, 6_000));
     }
 
     // A daemon that starts while its VM's clock is ahead puts its requests into the next window.
     a_daemon_that_starts_in_a_step_begins_with_its_peers => {
         let mut time = TrueTime::new(UNIX_MS + 3_000, 0);
         assert!(time.sync_to_peers(&[sample(10, 0, 0), sample(10, 4, 0), sample(10, 2_500, 0)]));
-        assert!(off_ms(&time, 100).abs() <= 25, "{}", off_ms(&time, 100));
+        assert!(error_ms(&time, 100).abs() <= 25, "{}", error_ms(&time, 100));
     }
 
     few_or_disagreeing_peers_change_nothing => {
         let mut time = TrueTime::new(UNIX_MS, 0);
         assert!(!time.sync_to_peers(&[sample(10, 3_000, 0), sample(10, 3_000, 0)]));
         assert!(!time.sync_to_peers(&[sample(10, 3_000, 0), sample(10, 0, 0), sample(10, -3_000, 0)]));
-        assert_eq!(off_ms(&time, 100), 0);
+        assert_eq!(error_ms(&time, 100), 0);
     }
 
     // After weeks, the steady clock is off by seconds.
@@ -57,11 +57,11 @@
         for turn in 1..=600_u64 {
             let at_ms = turn * 10_000;
             // 50 millionths fast.
-            let off_ms = -(at_ms as i64 * 50 / 1_000_000);
-            let peers = [sample(at_ms, off_ms, off_ms), sample(at_ms, off_ms, off_ms), sample(at_ms, off_ms, off_ms)];
-            time.slew((UNIX_MS + at_ms).saturating_add_signed(off_ms), at_ms, &peers);
+            let error_ms = -(at_ms as i64 * 50 / 1_000_000);
+            let peers = [sample(at_ms, error_ms, error_ms), sample(at_ms, error_ms, error_ms), sample(at_ms, error_ms, error_ms)];
+            time.slew((UNIX_MS + at_ms).saturating_add_signed(error_ms), at_ms, &peers);
         }
-        assert!((off_ms(&time, 6_000_000) + 300).abs() <= 25, "{}", off_ms(&time, 6_000_000));
+        assert!((error_ms(&time, 6_000_000) + 300).abs() <= 25, "{}", error_ms(&time, 6_000_000));
     }
 
     most_means_more_than_half => {
