--- a/crates/borageshore_rollout/src/controller.rs
+++ b/crates/borageshore_rollout/src/controller.rs
@@ -11,15 +11,15 @@
 };
 
 /// The longest duration that is told apart; longer ones count as this.
-const LONGEST_DURATION_MS: u64 = 3_600_000;
+const MAX_DURATION_MS: u64 = 3_600_000;
 /// A sample takes at least this long before it counts as a straggler.
-const STRAGGLER_FLOOR_MS: u64 = 1_000;
+const STRAGGLER_MIN_MS: u64 = 1_000;
 /// Past this multiple of the job's 95th percentile a sample is placed a second time.
 const STRAGGLER_FACTOR: u64 = 2;
 /// Durations needed before the percentile means anything.
-const STRAGGLER_HISTORY: u64 = 20;
+const STRAGGLER_MIN_DURATIONS: u64 = 20;
 /// The most attempts that run for one sample at once.
-const ATTEMPTS_AT_ONCE: u32 = 2;
+const MAX_CONCURRENT_ATTEMPTS: u32 = 2;
 /// The pause after a failed attempt.
 const RETRY_AFTER_MS: u64 = 200;
 
@@ -119,14 +119,14 @@
     next_group: u64,
     groups: SortedMap<u64, Group>,
     /// Contents of numbered samples that the trainer has not confirmed.
-    held: SortedMap<u64, FinishedSample>,
+    awaiting_confirmation: SortedMap<u64, FinishedSample>,
     /// Contents of samples whose numbers are on their way through the log.
     assigning: SortedMap<Arc<str>, FinishedSample>,
     durations_ms: Histogram<u64>,
     counts: JobCounts,
     cadence: Cadence,
     /// The newest version that made a token of this job.
-    newest_seen: u64,
+    newest_version_seen: u64,
 }
 
 impl JobController {
@@ -138,13 +138,13 @@
             epoch,
             next_group: 0,
             groups: SortedMap::default(),
-            held: SortedMap::default(),
+            awaiting_confirmation: SortedMap::default(),
             assigning: SortedMap::default(),
-            durations_ms: Histogram::new_with_max(LONGEST_DURATION_MS, 2)
+            durations_ms: Histogram::new_with_max(MAX_DURATION_MS, 2)
                 .expect("two significant digits are supported"),
             counts: JobCounts::default(),
             cadence: Cadence::default(),
-            newest_seen: 0,
+            newest_version_seen: 0,
         }
     }
 
@@ -176,7 +176,9 @@
                 .filter(|slot| slot.done.is_some())
                 .count()
         };
-        self.groups.values().map(finished).sum::<usize>() + self.held.len() + self.assigning.len()
+        self.groups.values().map(finished).sum::<usize>()
+            + self.awaiting_confirmation.len()
+            + self.assigning.len()
     }
 
     /// Says what to generate now.
@@ -186,25 +188,25 @@
         versions: WeightVersions,
         now_ms: u64,
     ) -> Vec<SampleOrder> {
-        self.cadence.on_target(versions.target, plan);
+        self.cadence.on_target_version(versions.target, plan);
         self.open_groups(plan, now_ms);
-        self.drop_doomed(plan, versions.target, now_ms);
-        let straggler_ms = self.straggler_ms();
+        self.drop_soon_stale(plan, versions.target, now_ms);
+        let straggler_threshold_ms = self.straggler_threshold_ms();
         let mut orders = Vec::new();
-        for (place, (group, state)) in self.groups.iter_mut().enumerate() {
-            let steps_before = place as u64 / plan.groups_per_step;
-            let version_then = versions.target + self.cadence.publications_before(steps_before);
-            let would_be_doomed = versions.oldest_served < versions.target
-                && versions.oldest_served + plan.staleness_bound.versions < version_then;
-            if would_be_doomed {
+        for (position, (group, state)) in self.groups.iter_mut().enumerate() {
+            let steps_before = position as u64 / plan.groups_per_step;
+            let expected_version = versions.target + self.cadence.publications_before(steps_before);
+            let would_be_stale = versions.oldest_served < versions.target
+                && versions.oldest_served + plan.staleness_bound.versions < expected_version;
+            if would_be_stale {
                 // Engines load the target now; what they begin before is made in vain.
                 continue;
             }
             for slot in state.slots.iter_mut().filter(|slot| slot.done.is_none()) {
                 let is_due = slot.running == 0 && now_ms >= slot.retry_at_ms;
                 let is_straggler = slot.running > 0
-                    && slot.running < ATTEMPTS_AT_ONCE
-                    && now_ms >= slot.started_at_ms + straggler_ms;
+                    && slot.running < MAX_CONCURRENT_ATTEMPTS
+                    && now_ms >= slot.started_at_ms + straggler_threshold_ms;
                 if !is_due && !is_straggler {
                     continue;
                 }
@@ -225,9 +227,10 @@
     /// Keeps the number of groups that are generated, buffered or unconfirmed within the plan, so
     /// that a trainer that stops pulling stops generation instead of filling memory.
     fn open_groups(&mut self, plan: &JobPlan, now_ms: u64) {
-        let unconfirmed = (self.held.len() + self.assigning.len()) as u64 / plan.samples_per_group;
-        let ahead = (plan.groups_per_step * plan.steps_ahead).saturating_sub(unconfirmed);
-        while (self.groups.len() as u64) < ahead {
+        let unconfirmed = (self.awaiting_confirmation.len() + self.assigning.len()) as u64
+            / plan.samples_per_group;
+        let max_groups = (plan.groups_per_step * plan.steps_ahead).saturating_sub(unconfirmed);
+        while (self.groups.len() as u64) < max_groups {
             let group = self.next_group;
             self.next_group += 1;
             let slots =
@@ -249,12 +252,12 @@
         }
     }
 
-    fn straggler_ms(&self) -> u64 {
-        if self.durations_ms.len() < STRAGGLER_HISTORY {
+    fn straggler_threshold_ms(&self) -> u64 {
+        if self.durations_ms.len() < STRAGGLER_MIN_DURATIONS {
             return u64::MAX / 2;
         }
         let percentile = self.durations_ms.value_at_quantile(0.95);
-        (percentile * STRAGGLER_FACTOR).max(STRAGGLER_FLOOR_MS)
+        (percentile * STRAGGLER_FACTOR).max(STRAGGLER_MIN_MS)
     }
 
     fn slot_mut(&mut self, group: u64, id: &str) -> Option<&mut Slot> {
@@ -282,7 +285,7 @@
             sample,
             started_at_ms,
         });
-        self.newest_seen = self.newest_seen.max(newest);
+        self.newest_version_seen = self.newest_version_seen.max(newest);
         self.counts.generated += 1;
         self.durations_ms
             .saturating_record(now_ms.saturating_sub(started_at_ms).max(1));
@@ -308,7 +311,7 @@
             .collect();
         for (number, id) in numbered {
             if let Some(finished) = self.assigning.remove(&id) {
-                self.held.insert(number, finished);
+                self.awaiting_confirmation.insert(number, finished);
             }
         }
     }
@@ -322,7 +325,7 @@
         now_ms: u64,
     ) -> PullDecision {
         // A pull often follows a publication at once; what it numbers counts after it.
-        self.cadence.on_target(pull.target_version, plan);
+        self.cadence.on_target_version(pull.target_version, plan);
         if pull.seen_epoch > self.epoch {
             return PullDecision::Refuse(ResultCode::StaleEpoch);
         }
@@ -332,7 +335,8 @@
         if pull.cursor > ledger.last_number() {
             return PullDecision::Refuse(ResultCode::CursorAhead);
         }
-        self.held.retain(|number, _| *number > pull.cursor);
+        self.awaiting_confirmation
+            .retain(|number, _| *number > pull.cursor);
         if ledger.last_number() > pull.cursor {
             return PullDecision::Deliver(self.deliver(ledger, plan, pull, now_ms));
         }
@@ -358,7 +362,7 @@
             .take(pull.max_samples as usize)
         {
             through = number;
-            let Some(finished) = self.held.get(&number) else {
+            let Some(finished) = self.awaiting_confirmation.get(&number) else {
                 continue;
             };
             let age_ms = now_ms.saturating_sub(finished.started_at_ms);
@@ -425,21 +429,23 @@
     /// are within the bound now, but not after the publication that comes before their step; found out
     /// at the pull, the trainer would wait for all of them. A sample is dropped early only when an
     /// engine has shown a newer version, so that making it again helps.
-    fn drop_doomed(&mut self, plan: &JobPlan, target_version: u64, now_ms: u64) {
-        let newest_seen = self.newest_seen;
+    fn drop_soon_stale(&mut self, plan: &JobPlan, target_version: u64, now_ms: u64) {
+        let newest_version_seen = self.newest_version_seen;
         let mut dropped = 0;
-        for (place, (_, group)) in self.groups.iter_mut().enumerate() {
-            let steps_before = place as u64 / plan.groups_per_step;
-            let version_then = target_version + self.cadence.publications_before(steps_before);
+        for (position, (_, group)) in self.groups.iter_mut().enumerate() {
+            let steps_before = position as u64 / plan.groups_per_step;
+            let expected_version = target_version + self.cadence.publications_before(steps_before);
             for slot in &mut group.slots {
-                let is_doomed = slot.done.as_ref().is_some_and(|done| {
+                let will_be_stale = slot.done.as_ref().is_some_and(|done| {
                     let age_ms = now_ms.saturating_sub(done.started_at_ms);
                     let segments = &done.sample.segments;
                     let oldest = segments.iter().map(|segment| segment.version).min();
-                    oldest < Some(newest_seen)
-                        && !plan.staleness_bound.permits(segments, age_ms, version_then)
+                    oldest < Some(newest_version_seen)
+                        && !plan
+                            .staleness_bound
+                            .permits(segments, age_ms, expected_version)
                 });
-                if is_doomed {
+                if will_be_stale {
                     slot.done = None;
                     dropped += 1;
                 }
@@ -479,7 +485,7 @@
 }
 
 impl Cadence {
-    fn on_target(&mut self, target_version: u64, plan: &JobPlan) {
+    fn on_target_version(&mut self, target_version: u64, plan: &JobPlan) {
         let samples_per_step = plan.groups_per_step * plan.samples_per_group;
         self.steps_since = self.samples_since / samples_per_step;
         if target_version > self.target_version {
--- a/crates/borageshore_rollout/src/placement.rs
+++ b/crates/borageshore_rollout/src/placement.rs
@@ -12,59 +12,59 @@
 /// hashing decides between equals.
 #[derive(Debug, Default)]
 pub struct Placement {
-    homes: SortedMap<u64, Arc<str>>,
-    under_way: SortedMap<Arc<str>, u64>,
+    daemon_by_group: SortedMap<u64, Arc<str>>,
+    in_flight: SortedMap<Arc<str>, u64>,
 }
 
 impl Placement {
     /// Chooses a daemon for an attempt at a sample and counts it; `None` without daemons.
     pub fn place(&mut self, group: u64, attempt: u32, daemons: &[&str]) -> Option<Arc<str>> {
-        let home = self
-            .homes
+        let assigned = self
+            .daemon_by_group
             .get(&group)
-            .filter(|home| daemons.contains(&&***home))
+            .filter(|assigned| daemons.contains(&&***assigned))
             .cloned();
-        let chosen = match (home, attempt) {
-            (Some(home), 0) => home,
+        let chosen = match (assigned, attempt) {
+            (Some(assigned), 0) => assigned,
             // A further attempt goes elsewhere: what slowed the first may lie with its daemon.
-            (Some(home), _) => self
-                .least_loaded(group, daemons, Some(&home))
-                .unwrap_or(home),
+            (Some(assigned), _) => self
+                .least_loaded(group, daemons, Some(&assigned))
+                .unwrap_or(assigned),
             (None, _) => {
                 let chosen = self.least_loaded(group, daemons, None)?;
-                self.homes.insert(group, chosen.clone());
+                self.daemon_by_group.insert(group, chosen.clone());
                 chosen
             }
         };
-        *self.under_way.get_or_insert_with(chosen.clone(), || 0) += 1;
+        *self.in_flight.get_or_insert_with(chosen.clone(), || 0) += 1;
         Some(chosen)
     }
 
     /// Notes that an attempt ended, however it ended.
     pub fn on_attempt_end(&mut self, daemon: &str) {
-        if let Some(count) = self.under_way.get_mut(daemon) {
+        if let Some(count) = self.in_flight.get_mut(daemon) {
             *count = count.saturating_sub(1);
         }
-        self.under_way.retain(|_, count| *count > 0);
+        self.in_flight.retain(|_, count| *count > 0);
     }
 
     /// Forgets the homes of groups below the oldest one that is still open.
     pub fn forget_below(&mut self, group: u64) {
-        self.homes.retain(|known, _| *known >= group);
+        self.daemon_by_group.retain(|known, _| *known >= group);
     }
 
     fn least_loaded(
         &self,
         group: u64,
         daemons: &[&str],
-        besides: Option<&Arc<str>>,
+        excluded: Option<&Arc<str>>,
     ) -> Option<Arc<str>> {
         let key = group.to_string();
         let candidates = daemons
             .iter()
-            .filter(|daemon| besides.is_none_or(|home| **home != ***daemon));
+            .filter(|daemon| excluded.is_none_or(|assigned| **assigned != ***daemon));
         let rank = |daemon: &&&str| {
-            let load = self.under_way.get(**daemon).copied().unwrap_or(0);
+            let load = self.in_flight.get(**daemon).copied().unwrap_or(0);
             (load, std::cmp::Reverse(rendezvous_weight(&key, daemon)))
         };
         candidates.min_by_key(rank).map(|daemon| Arc::from(*daemon))
--- a/crates/borageshore_rollout/src/swap.rs
+++ b/crates/borageshore_rollout/src/swap.rs
@@ -35,18 +35,18 @@
     let serving = answering.len() as u64 - loading;
     let must_serve = (replicas.len() as u64 * limits.minimum_serving_percent).div_ceil(100);
     // With so few replicas that none may pause, one still has to, or the version would never change.
-    let spare = serving
+    let pausable = serving
         .saturating_sub(must_serve)
         .max(u64::from(loading == 0));
-    let room = limits.wave_replicas.saturating_sub(loading).min(spare);
-    let mut behind: Vec<&ReplicaView> = answering
+    let available = limits.wave_replicas.saturating_sub(loading).min(pausable);
+    let mut outdated: Vec<&ReplicaView> = answering
         .into_iter()
         .filter(|replica| !replica.is_loading && replica.version < Some(target))
         .collect();
-    behind.sort_by(|a, b| a.version.cmp(&b.version).then(a.name.cmp(&b.name)));
-    behind
+    outdated.sort_by(|a, b| a.version.cmp(&b.version).then(a.name.cmp(&b.name)));
+    outdated
         .into_iter()
-        .take(room as usize)
+        .take(available as usize)
         .map(|replica| replica.name.clone())
         .collect()
 }
--- a/crates/borageshore_rollout/tests/rollout.rs
+++ b/crates/borageshore_rollout/tests/rollout.rs
@@ -6,9 +6,9 @@
     Sample, SampleOrder, Segment, StalenessBound, SwapLimits, WeightVersions, plan_swaps,
 };
 
-macro_rules! stories {
-    ($($name:ident: $story:expr;)*) => {
-        $(#[test] fn $name() { $story })*
+macro_rules! cases {
+    ($($name:ident: $body:expr;)*) => {
+        $(#[test] fn $name() { $body })*
     };
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-stories! {
+cases! {
     // Samples of a job take five seconds as a rule. One that runs for six is no straggler; one that
     // runs for eleven is, and is placed a second time, once. (Durations over a quarter of a second
     // were once recorded as 2 ms, so that every sample counted as a straggler after a second.)
