--- a/crates/borageshore_access/src/scope.rs
+++ b/crates/borageshore_access/src/scope.rs
@@ -15,14 +15,12 @@
         return None;
     }
     Some(match organisation {
-        Some(organisation) => {
-            format!("{}{SEPARATOR}{name}", organisation_prefix(organisation)).into()
-        }
+        Some(organisation) => format!("{}{SEPARATOR}{name}", prefix_of(organisation)).into(),
         None => name.into(),
     })
 }
 
-fn organisation_prefix(organisation: &str) -> String {
+fn prefix_of(organisation: &str) -> String {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
     let is_short = !organisation.is_empty() && organisation.len() <= MAX_PLAIN_BYTES;
     match is_short && organisation.chars().all(is_plain) {
