--- a/crates/borageshore_duty/src/holder.rs
+++ b/crates/borageshore_duty/src/holder.rs
@@ -1,11 +1,13 @@
-//! Who holds a duty.
+//! Selection of the daemon that performs a duty.
 
 use std::sync::Arc;
 
 use borageshore_base::rank_by_rendezvous;
 
-/// The holder of a duty among the daemons that take work: the last one goes on as long as it is among them, so that
-/// a daemon that comes back does not take turns with another one; else the first by rendezvous.
+/// Selects the holder of a duty among `candidates`, the daemons that accept work.
+///
+/// The previous holder stays while it is a candidate, so that the duty does not move back and forth when a daemon
+/// returns; otherwise rendezvous hashing selects.
 pub fn select_holder<'a>(
     duty: &str,
     previous: Option<&'a Arc<str>>,
--- a/crates/borageshore_duty/src/leases.rs
+++ b/crates/borageshore_duty/src/leases.rs
@@ -1,4 +1,4 @@
-//! Which subjects a holder may act on.
+//! The subjects that a holder may act on.
 
 use std::sync::Arc;
 
@@ -10,24 +10,25 @@
     seen_at_ms: u64,
 }
 
-/// The last acts on each subject, as the announcements in the store tell of them.
+/// The last announced action on each subject.
 ///
-/// Acts of two holders on one subject must be a lease apart. An act is announced before it is sent, so whoever has
-/// read all announcements knows the subjects that another holder may be about to act on, and since when at the latest.
-/// The others can be acted on at once: a new holder need not wait out the lease for all.
+/// Actions of two holders on one subject must be a lease apart. Every action is announced before it is sent, so a
+/// daemon that has read all announcements knows each subject that another holder may be about to act on, and a time by
+/// which that was announced. A new holder waits only for these subjects and can act on all others at once.
 #[derive(Debug)]
 pub struct DutyLeases {
-    /// Announcements from before may have been forgotten with the log's history.
+    /// Earlier announcements may be missing: the log may have dropped them.
     opened_at_ms: u64,
     takeover_delay_ms: u64,
     newest_holder: Option<Arc<str>>,
-    /// Subjects that others had just acted on when the newest announcement was made.
+    /// Subjects that the newest announcement lists as held by other holders.
     newest_held_by_others: Vec<Arc<str>>,
     last_actions: SortedMap<Arc<str>, LastAction>,
 }
 
 impl DutyLeases {
-    /// Opens the table of a process that begins to read announcements at `now_ms`; a successor waits for `takeover_delay_ms`.
+    /// Creates the table of a process that starts reading announcements at `now_ms`; a successor waits for
+    /// `takeover_delay_ms`.
     pub fn open(now_ms: u64, takeover_delay_ms: u64) -> Self {
         Self {
             opened_at_ms: now_ms,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// Takes over an announcement that was read at `now_ms`: who acts, on what, and what it knew of others.
+    /// Applies an announcement read at `now_ms`: `holder` acts on `subjects`, and other holders still hold `others`.
     pub fn on_announcement(
         &mut self,
         holder: &Arc<str>,
@@ -57,18 +58,18 @@
         }
     }
 
-    /// Who made the newest announcement.
+    /// The author of the newest announcement.
     pub fn newest_holder(&self) -> Option<&Arc<str>> {
         self.newest_holder.as_ref()
     }
 
-    /// Says whether `holder` may act on a subject at `now_ms`.
+    /// Whether `holder` may act on a subject at `now_ms`.
     pub fn may_act(&self, holder: &str, subject: &str, now_ms: u64) -> bool {
         let has_passed = |seen_at_ms: u64| now_ms >= seen_at_ms + self.takeover_delay_ms;
         match self.last_actions.get(subject) {
             Some(last) => &*last.holder == holder || has_passed(last.seen_at_ms),
-            // No announcement is known. The holder of the newest one goes by what it wrote there of the others, also
-            // after a restart; anyone else might have missed an act from before it began.
+            // No announcement for this subject is known. The author of the newest announcement relies on the subjects
+            // that it listed there, also after a restart; any other daemon may have missed an earlier action.
             None => {
                 let is_own = self.newest_holder.as_deref() == Some(holder);
                 let is_others = self
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The subjects that `holder` may not act on at `now_ms`, for its next announcement.
+    /// The subjects that `holder` may not act on at `now_ms`, sorted, for its next announcement.
     pub fn held_by_others(&self, holder: &str, now_ms: u64) -> Vec<Arc<str>> {
         let known = self.last_actions.keys().chain(&self.newest_held_by_others);
         let mut subjects: Vec<Arc<str>> = known
@@ -92,7 +93,7 @@
         subjects
     }
 
-    /// Begins anew after announcements were missed.
+    /// Clears the table after announcements were missed, as if opened at `now_ms`.
     pub fn reset(&mut self, now_ms: u64) {
         *self = Self::open(now_ms, self.takeover_delay_ms);
     }
--- a/crates/borageshore_duty/src/lib.rs
+++ b/crates/borageshore_duty/src/lib.rs
@@ -1,10 +1,11 @@
-//! Duties that one holder has at a time, where the other side checks nothing and nothing can be read back.
+//! Mutual exclusion for duties that one daemon performs at a time, towards a receiver that checks no epochs and cannot
+//! be queried.
 //!
-//! A holder announces what it is about to do in a record of the store, appended on the condition that it has read all
-//! records before; the record's offset is its epoch. So a holder that was replaced while it stood still cannot
-//! announce anything. What it announced just before leaves within a short time or not at all ([`SendWindow`]), and a
-//! successor lets that time and the lease pass for each subject that the holder may be acting on ([`DutyLeases`]).
-//! Times are those of a clock that counts suspensions.
+//! Before it acts, the holder appends an announcement to the store, on the condition that it has read all earlier
+//! records; the record's offset is its epoch. A holder that was replaced during a pause therefore cannot announce
+//! anything. An action announced just before the pause is sent within a short time or not at all ([`SendWindow`]), and
+//! a successor waits for that time plus the lease on each subject that the holder may be acting on ([`DutyLeases`]).
+//! All times are of a monotonic clock that also runs during suspension.
 //!
 //! ```
 //! use borageshore_duty::{DutyLeases, DutyTiming};
--- a/crates/borageshore_duty/tests/duty.rs
+++ b/crates/borageshore_duty/tests/duty.rs
@@ -1,4 +1,4 @@
-//! One holder at a time: holders that freeze, are cut off, meet, or stop.
+//! Mutual exclusion of holders that are paused, partitioned or restarted.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
     send_window_ms: 500,
     margin_ms: 300,
 };
-/// Reading what another daemon appended takes no longer.
+/// The longest time until an appended record is read by another daemon.
 const READ_WITHIN_MS: u64 = 200;
 const SUBJECT: &str = "usage";
 
@@ -28,8 +28,8 @@
 }
 
 cases! {
-    // The platform gets a report of an old holder after the new one's.
-    // The holder freezes between its announcement and its call, for longer than a takeover takes, and goes on.
+    // Guards against a late call of the old holder: it is paused between its announcement and its call, for longer than
+    // a takeover takes, and the platform receives its report after its successor's.
     a_holder_that_froze_after_its_announcement_sends_nothing => {
         let window = TERMS.send_window(10_000);
         assert!(window.is_open(10_500));
@@ -41,9 +41,8 @@
         assert!(takes_over_ms >= 10_500 + TERMS.lease_ms, "within the lease");
     }
 
-    // Two holders act in turn within the lease.
-    // vm-1 is cut off from the store and not from the platform; vm-2 takes over. Back in the store, vm-1 reads
-    // of it and waits in turn.
+    // Guards against two holders that act within one lease: vm-1 loses the store but not the platform, vm-2 takes over,
+    // and vm-1 has to wait after it has read of the takeover.
     a_holder_that_comes_back_waits_for_its_successor => {
         let mut first = leases_at(0);
         first.on_announcement(&"vm-1".into(), &names(&[SUBJECT]), &[], 10_000);
@@ -52,7 +51,7 @@
         assert!(first.may_act("vm-1", SUBJECT, 17_800));
     }
 
-    // Two daemons that meet in a restart both take themselves for the holder of a duty that neither knows of.
+    // Guards against two daemons that start at the same time and both act on a duty before they know of announcements.
     two_that_began_wait_for_what_they_may_have_missed => {
         let leases = leases_at(10_000);
         for name in ["vm-1", "vm-2"] {
@@ -61,7 +60,7 @@
         }
     }
 
-    // An announcement of one duty makes a daemon the holder of all, and the leases of the others are forgotten.
+    // Guards against a new holder that announces one subject and then ignores the leases on the others.
     other_subjects_keep_their_leases => {
         let mut leases = leases_at(0);
         leases.on_announcement(&"vm-1".into(), &names(&["e0"]), &[], 10_000);
@@ -84,8 +83,8 @@
         assert_eq!(select_holder("duties", None, &[]), None);
     }
 
-    // Daemons announce, freeze, lose their memory and send late, in any order. Whatever they do, a subject never sees
-    // a lower epoch after a higher one, nor two holders within the lease.
+    // Daemons announce, pause, restart and send late, in any order: a subject never receives a lower epoch after a
+    // higher one, nor calls of two holders within the lease.
     no_order_of_events_breaks_the_lease => {
         bolero::check!().with_type::<Vec<(u8, u16)>>().for_each(|events| {
             let mut log: Vec<(Arc<str>, u64)> = Vec::new();
@@ -100,7 +99,7 @@
                 if what & 0x80 != 0 {
                     (*leases, *read) = (leases_at(now_ms), log.len().saturating_sub(1));
                 }
-                // Reads lag behind by a moment, or the append's condition fails.
+                // The append's condition fails while the newest record may be unread.
                 let is_current = log.last().is_none_or(|(_, at_ms)| *at_ms + READ_WITHIN_MS <= now_ms);
                 if !is_current {
                     continue;
@@ -122,7 +121,7 @@
             sent.sort();
             for pair in sent.windows(2) {
                 let ((first_ms, first, one), (second_ms, second, other)) = (&pair[0], &pair[1]);
-                // One holder sends its calls one after the other.
+                // Calls of one holder are sequential.
                 assert!(one == other || (first < second && first_ms + TERMS.lease_ms <= *second_ms));
             }
         });
