--- a/crates/borageshore_usage/src/lib.rs
+++ b/crates/borageshore_usage/src/lib.rs
@@ -1,7 +1,7 @@
-//! Usage: how many requests of each organisation began to run in each window, counted once, reported once.
+//! Usage accounting: the requests of each organisation that started in each window, counted once and reported once.
 //!
-//! Each daemon counts what it sent and adds up what it has counted; totals only rise, so that a total may be told
-//! again, late, or by a reader that has seen it before.
+//! Each daemon publishes cumulative totals of the requests that it sent. Totals only increase, so a total can be
+//! applied repeatedly and out of order.
 //!
 //! ```
 //! use borageshore_usage::{OwnCounts, Totals, Window};
--- a/crates/borageshore_usage/src/own_counts.rs
+++ b/crates/borageshore_usage/src/own_counts.rs
@@ -1,4 +1,4 @@
-//! What one daemon has counted.
+//! The counts of this daemon.
 
 use std::sync::Arc;
 
@@ -12,14 +12,14 @@
     is_dirty: bool,
 }
 
-/// The requests that one life of a daemon sent, by window.
+/// The requests that one daemon incarnation sent, by window.
 #[derive(Debug, Default)]
 pub struct OwnCounts {
     windows: SortedMap<Window, WindowCounts>,
 }
 
 impl OwnCounts {
-    /// Counts requests of an organisation.
+    /// Adds `count` requests of an organisation.
     pub fn add(&mut self, window: Window, organisation: &Arc<str>, count: u64) {
         let entry = self
             .windows
@@ -28,12 +28,12 @@
         entry.is_dirty = true;
     }
 
-    /// Says whether something is yet to be told.
+    /// Whether any window has counts that are not published yet.
     pub fn is_dirty(&self) -> bool {
         self.windows.values().any(|entry| entry.is_dirty)
     }
 
-    /// Takes the totals of all windows that have something untold.
+    /// Returns the totals of all windows that changed since the last call and marks them as published.
     pub fn take_dirty(&mut self) -> Vec<(Window, Counts)> {
         let mut dirty = Vec::new();
         for (window, entry) in self.windows.iter_mut() {
@@ -44,7 +44,7 @@
         dirty
     }
 
-    /// Notes windows that could not be told.
+    /// Marks windows as unpublished again after a failed write; windows that were dropped are ignored.
     pub fn mark_dirty<Windows>(&mut self, windows: Windows)
     where
         Windows: IntoIterator<Item = Window>,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Forgets windows before one.
+    /// Removes the windows before `first`.
     pub fn forget_before(&mut self, first: Window) {
         self.windows.retain(|window, _| *window >= first);
     }
--- a/crates/borageshore_usage/src/reports.rs
+++ b/crates/borageshore_usage/src/reports.rs
@@ -1,20 +1,20 @@
-//! Which report is next: fixed once, sent until it is taken or overdue.
+//! Usage reports: each is finalized once and sent until it is accepted or overdue.
 
 use borageshore_base::SortedMap;
 
 use crate::{Counts, window::Window};
 
-/// Counts are waited for until this share of the time that a report has.
+/// A report is finalized after this share of its deadline, so that late counts are included.
 const FINALIZE_AFTER_PERCENT: u64 = 25;
-/// Windows are remembered for so many times what a report has: no reader is that late.
+/// Windows are retained for this multiple of the report deadline, longer than any reader is behind.
 const RETENTION_FACTOR: u64 = 4;
 
-/// The times of reports.
+/// The window length and deadline of usage reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UsageTiming {
     /// The length of a window.
     pub window_ms: u64,
-    /// A report is due so long after its window's end.
+    /// The time from a window's end until its report is due.
     pub report_deadline_ms: u64,
 }
 
@@ -27,13 +27,13 @@
         )
     }
 
-    /// The first window that anybody may ask for.
+    /// The first window that a reader may still need.
     pub fn first_retained(&self, unix_ms: u64) -> Window {
         let retention_ms = self.report_deadline_ms * RETENTION_FACTOR;
         Window::at(unix_ms.saturating_sub(retention_ms), self.window_ms)
     }
 
-    /// Says whether a window's counts have had time to come in.
+    /// Whether a window's counts have had time to arrive.
     fn may_finalize(&self, window: Window, unix_ms: u64) -> bool {
         let delay_ms = self.report_deadline_ms * FINALIZE_AFTER_PERCENT / 100;
         unix_ms >= window.end_ms(self.window_ms) + delay_ms
@@ -46,17 +46,17 @@
     is_accepted: bool,
 }
 
-/// The reports that are fixed, and whether the platform has them.
+/// The finalized reports and whether the platform has accepted them.
 ///
-/// Guards against two reports of one window that differ: what is sent is fixed by a record first, the first record of
-/// a window counts, and only that is ever sent, by whichever holder.
+/// Guards against two different reports for one window: a report is finalized by a record before it is sent, only the
+/// first record for a window counts, and every holder sends that one.
 #[derive(Debug, Default)]
 pub struct Reports {
     finalized: SortedMap<Window, Report>,
 }
 
 impl Reports {
-    /// Takes over the record that fixes a window's report; a later one changes nothing.
+    /// Applies the record that finalizes a window's report; later records for the window are ignored.
     pub fn on_finalized(&mut self, window: Window, counts: &Counts) {
         self.finalized.get_or_insert_with(window, || Report {
             counts: counts.clone(),
@@ -64,14 +64,14 @@
         });
     }
 
-    /// Takes over that the platform has a window's report.
+    /// Records that the platform has accepted a window's report.
     pub fn on_accepted(&mut self, window: Window) {
         if let Some(report) = self.finalized.get_mut(&window) {
             report.is_accepted = true;
         }
     }
 
-    /// The next window to report at a moment in true time, with its counts if they are fixed; the oldest first.
+    /// The oldest window to report at `unix_ms`, with its counts if the report is finalized.
     pub fn next(&self, times: &UsageTiming, unix_ms: u64) -> Option<(Window, Option<&Counts>)> {
         let first = times.first_reportable(unix_ms).0;
         let windows = (first..).map(Window);
@@ -83,7 +83,7 @@
         })
     }
 
-    /// The windows whose report the platform has, from one on.
+    /// The windows from `first` on whose report the platform has accepted.
     pub fn accepted_from(&self, first: Window) -> Vec<Window> {
         let taken = self
             .finalized
@@ -93,13 +93,13 @@
         windows.filter(|window| *window >= first).collect()
     }
 
-    /// The windows before one.
+    /// The windows before `first` that have a finalized report.
     pub fn windows_before(&self, first: Window) -> Vec<Window> {
         let windows = self.finalized.keys().copied();
         windows.take_while(|window| *window < first).collect()
     }
 
-    /// Forgets a window, once its record is removed.
+    /// Drops a window's report after its record was removed.
     pub fn forget(&mut self, window: Window) {
         self.finalized.remove(&window);
     }
--- a/crates/borageshore_usage/src/totals.rs
+++ b/crates/borageshore_usage/src/totals.rs
@@ -1,4 +1,4 @@
-//! What all daemons have counted, as their totals tell.
+//! The totals of all daemons.
 
 use std::sync::Arc;
 
@@ -6,17 +6,17 @@
 
 use crate::{Counts, window::Window};
 
-/// The totals of all daemons' lives, by window.
+/// The totals of all daemon incarnations, by window.
 ///
-/// The largest total that a life has told of a window counts: a total that the store takes late, after a newer one,
-/// takes nothing back.
+/// The largest total that an incarnation published for a window counts, so an older total that is stored after a newer
+/// one has no effect.
 #[derive(Debug, Default)]
 pub struct Totals {
     windows: SortedMap<Window, SortedMap<Arc<str>, Counts>>,
 }
 
 impl Totals {
-    /// Takes over what one life of a daemon has counted in a window.
+    /// Merges the total that `author`, a daemon incarnation, published for a window.
     pub fn merge(&mut self, window: Window, author: &Arc<str>, counts: &Counts) {
         let authors = self.windows.get_or_insert_with(window, SortedMap::default);
         let known = authors.get_or_insert_with(author.clone(), Counts::default);
@@ -26,7 +26,7 @@
         }
     }
 
-    /// The requests of all in a window.
+    /// The sum over all daemons for a window.
     pub fn of(&self, window: Window) -> Counts {
         let mut all = Counts::default();
         let authors = self.windows.get(&window).into_iter();
@@ -38,7 +38,7 @@
         all
     }
 
-    /// Forgets windows before one.
+    /// Removes the windows before `first`.
     pub fn forget_before(&mut self, first: Window) {
         self.windows.retain(|window, _| *window >= first);
     }
--- a/crates/borageshore_usage/tests/usage.rs
+++ b/crates/borageshore_usage/tests/usage.rs
@@ -31,8 +31,7 @@
 }
 
 cases! {
-    // An organisation is billed for less than it used.
-    // The store was slow: it took a daemon's older total after a newer one.
+    // Guards against underbilling when the store applies a daemon's older total after a newer one.
     a_total_that_comes_late_takes_nothing_back => {
         let mut totals = Totals::default();
         let author: Arc<str> = "vm-1.5".into();
@@ -58,8 +57,8 @@
         assert!(!own.is_dirty());
     }
 
-    // The platform gets two reports of one window that differ.
-    // A holder fixes a report and dies; late counts come in; its successor reports those as well.
+    // Guards against two different reports for one window: a holder finalizes a report and dies, and its successor sees
+    // counts that arrived since.
     a_fixed_report_is_never_changed => {
         let mut reports = Reports::default();
         reports.on_finalized(Window(3), &counts(&[("mill", 7)]));
@@ -87,8 +86,7 @@
         assert_eq!(reports.accepted_from(Window(0)), [Window(3)]);
     }
 
-    // A daemon that never reports grows by 50 MB a day.
-    // It reads each report that another one fixes, and forgot them only where it reported itself.
+    // Guards against unbounded memory in daemons that only read the reports of another holder.
     a_report_is_forgotten_once_its_record_is_removed => {
         let mut reports = Reports::default();
         for window in 1..=3 {
@@ -102,8 +100,8 @@
         assert!(reports.windows_before(Window(3)).is_empty());
     }
 
-    // Daemons count, tell, die and tell again in any order: a reader of all records has the sum of what each life
-    // told last.
+    // Daemons count, publish and republish in any order: a reader of all records gets the sum of the last total of each
+    // incarnation.
     totals_agree_with_a_plain_sum => {
         bolero::check!().with_type::<Vec<(u8, u8)>>().for_each(|events| {
             let mut lives: Vec<OwnCounts> = (0..4).map(|_| OwnCounts::default()).collect();
