--- a/crates/borageshore_access/src/decision.rs
+++ b/crates/borageshore_access/src/decision.rs
@@ -1,4 +1,4 @@
-//! Whether a request may go on, from its key and the age of what is known of keys.
+//! Authorization of a request, from its key and the age of the view of keys.
 
 use std::sync::Arc;
 
@@ -7,33 +7,33 @@
     organisations::{Organisation, Organisations},
 };
 
-/// A denial is said from a view that was asked for within this time, so that a key which was just added is not
-/// refused by a daemon that has not heard of it.
+/// Requests are denied only from a view that was requested within this time, so that a daemon with an older view does
+/// not refuse a key that was just added.
 const MAX_DENIAL_AGE_MS: u64 = 300;
 
-/// What a request says of its caller.
+/// The credentials of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Credentials {
-    /// Its key, if it has one.
+    /// The digest of the caller's key, if the request has one.
     pub key: Option<KeyDigest>,
-    /// Whether its route takes callers without a key.
+    /// Whether the route accepts callers without a key.
     pub is_public: bool,
 }
 
-/// How old what is known of keys is, and may be.
+/// The age of the view of keys, and its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct KeyView {
-    /// The time since it was asked for, suspensions included; `None` if nothing was read yet.
+    /// The time since the view was requested, including suspension; `None` if nothing was read yet.
     pub age_ms: Option<u64>,
-    /// A key is good within this age; `None` where a key that was taken away may be good for longer.
+    /// A known key is accepted up to this age; `None` for no limit, so that a revoked key may be accepted for longer.
     pub max_age_ms: Option<u64>,
 }
 
 impl KeyView {
-    /// Says whether a key that it has is good.
+    /// Whether the view is recent enough to accept a key that it contains.
     ///
-    /// Guards against a VM that is cut off or was suspended: it serves a key that was taken away meanwhile. The age
-    /// counts from the question, as an answer may be read long after it was given.
+    /// Guards against a partitioned or suspended VM that accepts a key revoked in the meantime. The age counts from the
+    /// read request, because a response may be processed long after it was sent.
     pub fn is_fresh(&self) -> bool {
         match (self.age_ms, self.max_age_ms) {
             (Some(age_ms), Some(max_ms)) => age_ms <= max_ms,
@@ -48,27 +48,27 @@
     }
 }
 
-/// What to do with a request.
+/// The outcome of authorization.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Access {
-    /// It may go on, in the name of an organisation if it has one.
+    /// The request may proceed, on behalf of an organisation if its key has one.
     Granted(Option<Arc<Organisation>>),
-    /// Its key is not known, or it has none and needs one.
+    /// The key is unknown, or missing where one is required.
     Denied,
-    /// The view must be confirmed before it is denied.
+    /// The request would be denied, but the view must be refreshed first.
     Unconfirmed,
-    /// Its key cannot be relied on: the view is too old.
+    /// The key is known, but the view is too old to accept it.
     ViewTooOld,
 }
 
-/// Decides about a request.
+/// Authorizes a request from its credentials and the current view of keys.
 pub fn authorize(organisations: &Organisations, credentials: Credentials, view: KeyView) -> Access {
     if !organisations.are_configured() {
         return Access::Granted(None);
     }
     let owner = credentials.key.and_then(|key| organisations.owner_of(&key));
     match owner {
-        // Without a key it would run as well.
+        // A public route needs no key, so the age of the view does not matter.
         owner if credentials.is_public => Access::Granted(owner.cloned()),
         Some(owner) if view.is_fresh() => Access::Granted(Some(owner.clone())),
         Some(_) => Access::ViewTooOld,
--- a/crates/borageshore_access/src/lib.rs
+++ b/crates/borageshore_access/src/lib.rs
@@ -1,6 +1,6 @@
-//! Who may ask: organisations, their keys, and how old the knowledge of them may be.
+//! Authorization of callers: organisations, their keys, and the permitted age of the view of them.
 //!
-//! Everything here is a decision on what was read elsewhere: no I/O, no clock.
+//! Pure functions of data that is read elsewhere: no I/O, no clock.
 //!
 //! ```
 //! use borageshore_access::{KeyDigest, Organisation, Organisations};
--- a/crates/borageshore_access/src/organisations.rs
+++ b/crates/borageshore_access/src/organisations.rs
@@ -1,19 +1,19 @@
-//! The organisations that the operator names, by their keys.
+//! The organisations that the operator configured, by key.
 
 use std::sync::Arc;
 
 use crate::key::KeyDigest;
 
-/// Who callers belong to.
+/// A tenant, which callers belong to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Organisation {
-    /// Its name.
+    /// The name that the operator configured.
     pub name: Arc<str>,
-    /// Its rank, 0 first; goes before the rank of a route.
+    /// The priority of its requests, 0 first; overrides the priority of a route.
     pub priority: Option<u64>,
 }
 
-/// The organisations in force, by the digests of their keys.
+/// The current organisations, by key digest and by name.
 #[derive(Debug, Clone, Default)]
 pub struct Organisations {
     by_key: Vec<(KeyDigest, Arc<Organisation>)>,
@@ -21,7 +21,7 @@
 }
 
 impl Organisations {
-    /// Builds the table. A key that two organisations have belongs to neither: which of them asks cannot be told.
+    /// Builds the table. A key that several organisations have is dropped, because its owner would be ambiguous.
     pub fn open(organisations: Vec<(Organisation, Vec<KeyDigest>)>) -> Self {
         let mut table = Self::default();
         for (organisation, keys) in organisations {
@@ -48,18 +48,18 @@
         self.by_key.retain(|(key, _)| !is_shared(key));
     }
 
-    /// Says whether the operator names any; without, callers need no key.
+    /// Whether any organisation is configured; if not, callers need no key.
     pub fn are_configured(&self) -> bool {
         !self.by_name.is_empty()
     }
 
-    /// The organisation that holds a key.
+    /// The organisation that a key belongs to.
     pub fn owner_of(&self, key: &KeyDigest) -> Option<&Arc<Organisation>> {
         let index = self.by_key.binary_search_by_key(key, |(known, _)| *known);
         index.ok().map(|index| &self.by_key[index].1)
     }
 
-    /// An organisation by its name.
+    /// Looks up an organisation by name.
     pub fn named(&self, name: &str) -> Option<&Arc<Organisation>> {
         let index = self
             .by_name
--- a/crates/borageshore_access/src/scope.rs
+++ b/crates/borageshore_access/src/scope.rs
@@ -1,15 +1,15 @@
-//! Names that callers choose, kept apart by organisation.
+//! Namespaces for names that callers choose, one for each organisation.
 
 use std::sync::Arc;
 
-/// Ends the organisation's part of a name; no caller's own name may have it.
+/// Separates the organisation's prefix from the caller's name, which must not contain it.
 const SEPARATOR: char = '~';
-/// Longer names of organisations stand under their digest: keys of the store are short.
+/// Longer organisation names are replaced by their digest, because keys of the store are short.
 const MAX_PLAIN_BYTES: usize = 40;
 
-/// The name under which a caller's own name is kept; `None` if no caller may choose that name.
+/// Prefixes a caller's name with its organisation; `None` if the name contains the separator.
 ///
-/// What another organisation named the same is another thing, and cannot be told from what does not exist.
+/// The same name in another organisation is a different object, which looks to the caller as if it did not exist.
 pub fn scoped(organisation: Option<&str>, name: &str) -> Option<Arc<str>> {
     if name.contains(SEPARATOR) {
         return None;
@@ -25,7 +25,7 @@
     let is_short = !organisation.is_empty() && organisation.len() <= MAX_PLAIN_BYTES;
     match is_short && organisation.chars().all(is_plain) {
         true => organisation.to_owned(),
-        // A plain name has no full stop.
+        // A plain name contains no full stop, so a digest cannot collide with one.
         false => format!(".{}", blake3::hash(organisation.as_bytes()).to_hex()),
     }
 }
--- a/crates/borageshore_access/tests/access.rs
+++ b/crates/borageshore_access/tests/access.rs
@@ -1,4 +1,4 @@
-//! Who may ask, and from how old a view that may be said.
+//! Authorization, and the age of the view that each outcome needs.
 
 use borageshore_access::{
     Access, Credentials, KeyDigest, KeyView, Organisation, Organisations, authorize, scoped,
@@ -64,8 +64,7 @@
         }
     }
 
-    // A key that was taken away goes on being served at a VM that is cut off.
-    // The VM knows nothing of the change; what it has was asked for before.
+    // Guards against a partitioned VM that keeps accepting a revoked key from an old view.
     a_known_key_is_good_only_while_the_view_is_new => {
         let table = organisations(&[("mill", &["k1"])]);
         assert!(name(authorize(&table, with_key("k1"), aged(MOST_AGE_MS))).is_some());
@@ -80,7 +79,7 @@
         assert!(name(authorize(&table, with_key("k1"), view)).is_some());
     }
 
-    // A caller whose key was added a moment ago is told that it is unknown, and gives up.
+    // Guards against denying a key that was just added, from a view that is older than the key.
     a_denial_needs_a_view_that_was_just_asked_for => {
         let table = organisations(&[("mill", &["k1"])]);
         for asked in [with_key("k9"), NO_KEY] {
@@ -128,7 +127,7 @@
         assert_eq!(scoped(Some("farm"), "mill~a"), None);
     }
 
-    // Random tables against a plain list: a key belongs to the one organisation that has it.
+    // Random tables against a linear search: a key belongs to the only organisation that has it.
     lookups_agree_with_a_plain_list => {
         bolero::check!().with_type::<Vec<(u8, u8)>>().for_each(|pairs| {
             let organisation = |name: u8| Organisation { name: name.to_string().into(), priority: None };
