--- a/crates/borageshore_access/tests/access.rs
+++ b/crates/borageshore_access/tests/access.rs
@@ -115,7 +115,7 @@
         assert!(!format!("{table:?}").contains("secret-1"));
     }
 
-    names_of_two_organisations_never_meet => {
+    names_of_two_organisations_never_collide => {
         let all = [
             scoped(None, "a"), scoped(Some("mill"), "a"), scoped(Some("farm"), "a"),
             scoped(Some("mill/a"), "a"), scoped(Some(""), "a"), scoped(Some("mill.a"), "a"),
--- a/crates/borageshore_duty/tests/duty.rs
+++ b/crates/borageshore_duty/tests/duty.rs
@@ -52,7 +52,7 @@
     }
 
     // Guards against two daemons that start at the same time and both act on a duty before they know of announcements.
-    two_that_began_wait_for_what_they_may_have_missed => {
+    daemons_that_just_started_wait_for_announcements_they_may_have_missed => {
         let leases = leases_at(10_000);
         for name in ["vm-1", "vm-2"] {
             assert!(!leases.may_act(name, SUBJECT, 13_799));
--- a/crates/borageshore_rollout/tests/rollout.rs
+++ b/crates/borageshore_rollout/tests/rollout.rs
@@ -133,7 +133,7 @@
     };
 
     // A replica does not answer. It gets no order, and counts as one that does not serve.
-    silent_replica_is_left_alone: {
+    unresponsive_replica_gets_no_order: {
         let mut replicas = vec![replica("e0", 1), replica("e1", 1)];
         replicas[0].version = None;
         assert_eq!(plan_swaps(&replicas, 2, limits(2, 50)), ["e1".into()]);
@@ -167,7 +167,7 @@
     // The trainer publishes after every step, and the bound is one version. Samples made ahead with
     // the version before last would be too old at their own step: once an engine has shown the newer
     // version they are made again at once, while the trainer computes, not when it asks.
-    doomed_samples_are_made_again_early: {
+    samples_that_will_be_stale_are_regenerated_early: {
         let ahead = JobPlan { groups_per_step: 1, steps_ahead: 2, ..plan() };
         let mut controller = JobController::open("job".into(), 1);
         let finish = |controller: &mut JobController, orders: &[SampleOrder], version: u64| {
--- a/crates/borageshore_time/tests/time.rs
+++ b/crates/borageshore_time/tests/time.rs
@@ -52,7 +52,7 @@
     }
 
     // After weeks, the steady clock is off by seconds.
-    a_steady_clock_that_drifts_is_led_back => {
+    a_drifting_monotonic_clock_is_corrected => {
         let mut time = TrueTime::new(UNIX_MS, 0);
         for turn in 1..=600_u64 {
             let at_ms = turn * 10_000;
--- a/crates/borageshore_usage/tests/usage.rs
+++ b/crates/borageshore_usage/tests/usage.rs
@@ -42,13 +42,13 @@
         assert!(totals.of(Window(4)).is_empty());
     }
 
-    what_could_not_be_told_is_told_again_with_what_came_since => {
+    counts_that_failed_to_publish_are_published_again_with_later_ones => {
         let mut own = OwnCounts::default();
         own.add(Window(3), &"mill".into(), 1);
-        let told = own.take_dirty();
+        let published = own.take_dirty();
         assert!(!own.is_dirty());
         own.add(Window(3), &"mill".into(), 1);
-        own.mark_dirty(told.iter().map(|(window, _)| *window));
+        own.mark_dirty(published.iter().map(|(window, _)| *window));
         let again = own.take_dirty();
         assert_eq!(again.len(), 1);
         assert_eq!(again[0].1.get("mill"), Some(&2));
@@ -59,12 +59,12 @@
 
     // Guards against two different reports for one window: a holder finalizes a report and dies, and its successor sees
     // counts that arrived since.
-    a_fixed_report_is_never_changed => {
+    a_finalized_report_is_never_changed => {
         let mut reports = Reports::default();
         reports.on_finalized(Window(3), &counts(&[("mill", 7)]));
         reports.on_finalized(Window(3), &counts(&[("mill", 8)]));
-        let (window, fixed) = reports.next(&TIMES, 25_000).unwrap();
-        assert_eq!((window, fixed.map(listed)), (Window(3), Some(vec![("mill".into(), 7)])));
+        let (window, finalized) = reports.next(&TIMES, 25_000).unwrap();
+        assert_eq!((window, finalized.map(listed)), (Window(3), Some(vec![("mill".into(), 7)])));
     }
 
     a_report_waits_for_counts_and_ends_when_it_is_overdue => {
@@ -104,27 +104,27 @@
     // incarnation.
     totals_agree_with_a_plain_sum => {
         bolero::check!().with_type::<Vec<(u8, u8)>>().for_each(|events| {
-            let mut lives: Vec<OwnCounts> = (0..4).map(|_| OwnCounts::default()).collect();
+            let mut incarnations: Vec<OwnCounts> = (0..4).map(|_| OwnCounts::default()).collect();
             let mut records: Vec<(Window, Arc<str>, Counts)> = Vec::new();
-            let mut told = 0;
-            let mut untold = [0_u64; 4];
+            let mut published = 0;
+            let mut unpublished = [0_u64; 4];
             for (what, count) in events {
-                let life = usize::from(*what) % 4;
+                let incarnation = usize::from(*what) % 4;
                 if what & 0x80 == 0 {
-                    lives[life].add(Window(1), &"mill".into(), u64::from(*count));
-                    untold[life] += u64::from(*count);
+                    incarnations[incarnation].add(Window(1), &"mill".into(), u64::from(*count));
+                    unpublished[incarnation] += u64::from(*count);
                 } else {
-                    let author: Arc<str> = format!("vm.{life}").into();
-                    let totals = lives[life].take_dirty();
+                    let author: Arc<str> = format!("vm.{incarnation}").into();
+                    let totals = incarnations[incarnation].take_dirty();
                     records.extend(totals.into_iter().map(|(window, counts)| (window, author.clone(), counts)));
-                    told += std::mem::take(&mut untold[life]);
+                    published += std::mem::take(&mut unpublished[incarnation]);
                 }
             }
             let mut totals = Totals::default();
             for (window, author, counts) in records.iter().chain(records.iter().rev()) {
                 totals.merge(*window, author, counts);
             }
-            assert_eq!(totals.of(Window(1)).get("mill").copied().unwrap_or(0), told);
+            assert_eq!(totals.of(Window(1)).get("mill").copied().unwrap_or(0), published);
         });
     }
 }
