--- a/crates/borageshore_time/src/agreement.rs
+++ b/crates/borageshore_time/src/agreement.rs
@@ -1,17 +1,17 @@
-//! What most of several intervals agree on.
+//! Intersection of clock readings, as in Marzullo's algorithm.
 
-/// A value with its inaccuracy: it lies between two bounds.
+/// A closed interval that contains an unknown value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Interval {
-    /// The least that it can be.
+    /// The lower bound.
     pub low: i64,
-    /// The most that it can be.
+    /// The upper bound.
     pub high: i64,
 }
 
-/// The part that more than half of the intervals have in common, where there is one.
+/// The intersection of the largest group of overlapping intervals, if that is more than half of all intervals.
 ///
-/// Clocks that were stepped lie seconds away from the others and agree with nobody, or with fewer.
+/// Clocks that were stepped are seconds away from the others and overlap with a minority or none.
 pub fn majority_intersection(intervals: &[Interval]) -> Option<Interval> {
     let mut best: Option<(usize, Interval)> = None;
     for candidate in intervals {
--- a/crates/borageshore_time/src/lib.rs
+++ b/crates/borageshore_time/src/lib.rs
@@ -1,7 +1,7 @@
 //! An estimate of true time on a VM whose time of day may step.
 //!
-//! A daemon counts on its own steady clock from a beginning that most of its peers agree on; the time of day is only
-//! ever followed slowly. Everything here is arithmetic: no clock, no I/O.
+//! A daemon adds an offset to its monotonic clock. It takes the offset from a majority of its peers when it starts and
+//! then only slews it towards the time of day. Pure arithmetic: no clock, no I/O.
 //!
 //! ```
 //! use borageshore_time::{ClockSample, TrueTime};
--- a/crates/borageshore_time/src/true_time.rs
+++ b/crates/borageshore_time/src/true_time.rs
@@ -1,30 +1,30 @@
-//! The estimate of one daemon.
+//! One daemon's estimate of true time.
 
 use crate::agreement::{Interval, majority_intersection};
 
-/// Fewer samples say nothing of what most clocks show.
+/// The minimum number of clocks for a majority.
 const MIN_SAMPLES: usize = 3;
-/// How fast the estimate follows the time of day: ten times what a quartz clock may be off, and 12 ms in a step that
-/// lasts for six seconds.
+/// The slew rate limit: ten times the drift of a quartz clock, and only 12 ms during a step that lasts 6 s.
 const SLEW_PPM: i64 = 2_000;
-/// Clocks of VMs whose time of day is kept differ by less; one that differs by more was stepped.
+/// The greatest error of a synchronized time of day; a clock that differs by more was stepped.
 const CLOCK_TOLERANCE_MS: i64 = 20;
 
-/// What a peer's clocks showed between a question and its answer.
+/// A reading of a peer's clocks between a request and its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClockSample {
-    /// When the peer was asked, on the asker's steady clock.
+    /// When the request was sent, on the requester's monotonic clock.
     pub asked_at_ms: u64,
-    /// When its answer came, on the same clock.
+    /// When the response was received, on the same clock.
     pub answered_at_ms: u64,
-    /// Its estimate of true time, in Unix milliseconds.
+    /// The peer's estimate of true time, in Unix milliseconds.
     pub estimate_ms: u64,
-    /// Its time of day, in Unix milliseconds.
+    /// The peer's time of day, in Unix milliseconds.
     pub time_of_day_ms: u64,
 }
 
 impl ClockSample {
-    /// From the asker's steady clock to what the peer showed, however long either way took.
+    /// The offset from the requester's monotonic clock to `shown_ms`; contains the true offset for any split of the
+    /// round-trip time between request and response.
     fn offset_of(&self, shown_ms: u64) -> Interval {
         Interval {
             low: shown_ms as i64 - self.answered_at_ms as i64,
@@ -33,22 +33,21 @@
     }
 }
 
-/// True time, as one daemon estimates it from its steady clock.
+/// An estimate of true time, based on the monotonic clock.
 ///
-/// Guards against a time of day that is set: half of all clocks ahead by seconds put the requests of one window into
-/// another. The steady clock goes on through the step, and a daemon that starts meanwhile begins with what most of
-/// its peers say.
+/// Guards against steps of the time of day, by which requests would be counted in another window. The monotonic clock
+/// does not step, and a daemon that starts during a step takes the estimate of a majority of its peers.
 #[derive(Debug, Clone, Copy)]
 pub struct TrueTime {
-    /// Unix milliseconds minus milliseconds of the steady clock.
+    /// Unix milliseconds minus milliseconds of the monotonic clock.
     offset_ms: i64,
     slewed_at_ms: u64,
-    /// What was followed by less than a millisecond.
+    /// The unused slew below a millisecond, in millionths of a millisecond.
     remainder_millionths: i64,
 }
 
 impl TrueTime {
-    /// Begins with this VM's own time of day, as its steady clock shows `steady_ms`.
+    /// Starts from this VM's time of day, read when its monotonic clock shows `monotonic_ms`.
     pub fn new(time_of_day_ms: u64, monotonic_ms: u64) -> Self {
         Self {
             offset_ms: time_of_day_ms as i64 - monotonic_ms as i64,
@@ -62,7 +61,8 @@
         (self.offset_ms + monotonic_ms as i64).max(0) as u64
     }
 
-    /// Takes over what most peers estimate, as a daemon does that starts; says whether they agreed.
+    /// Takes over the estimate of a majority of `peers` when a daemon starts. Returns false, without a change, if there
+    /// are too few or no majority agrees.
     pub fn sync_to_peers(&mut self, peers: &[ClockSample]) -> bool {
         let offsets = peers.iter().map(|peer| peer.offset_of(peer.estimate_ms));
         let widened = offsets.map(|offset| widen(offset, CLOCK_TOLERANCE_MS));
@@ -77,7 +77,7 @@
         true
     }
 
-    /// Follows the time of day that most VMs show, slowly.
+    /// Slews towards the time of day that a majority of VMs agree on, at a limited rate.
     pub fn slew(&mut self, own_time_of_day_ms: u64, monotonic_ms: u64, peers: &[ClockSample]) {
         let elapsed_ms = monotonic_ms.saturating_sub(self.slewed_at_ms) as i64;
         self.slewed_at_ms = monotonic_ms;
--- a/crates/borageshore_time/tests/time.rs
+++ b/crates/borageshore_time/tests/time.rs
@@ -1,4 +1,4 @@
-//! True time where clocks step.
+//! The estimate of true time while clocks step or drift.
 
 use borageshore_time::{ClockSample, Interval, TrueTime, majority_intersection};
 
@@ -25,8 +25,7 @@
 }
 
 cases! {
-    // Requests are reported for a window that they did not run in.
-    // The time of day of half of all VMs is set ahead by three seconds for six, and set back.
+    // Guards against usage reported for the wrong window: half of all VMs are 3 s ahead for 6 s.
     a_step_of_half_of_all_clocks_moves_the_estimate_by_little => {
         let mut time = TrueTime::new(UNIX_MS, 0);
         for turn in 1..=60_u64 {
@@ -37,7 +36,7 @@
         assert!(error_ms(&time, 6_000).abs() <= 15, "{}", error_ms(&time, 6_000));
     }
 
-    // A daemon that starts while its VM's clock is ahead puts its requests into the next window.
+    // Guards against a daemon that starts while its VM's clock is ahead and counts requests in a later window.
     a_daemon_that_starts_in_a_step_begins_with_its_peers => {
         let mut time = TrueTime::new(UNIX_MS + 3_000, 0);
         assert!(time.sync_to_peers(&[sample(10, 0, 0), sample(10, 4, 0), sample(10, 2_500, 0)]));
@@ -51,12 +50,12 @@
         assert_eq!(error_ms(&time, 100), 0);
     }
 
-    // After weeks, the steady clock is off by seconds.
+    // Guards against the drift of the monotonic clock, which would reach seconds within weeks.
     a_drifting_monotonic_clock_is_corrected => {
         let mut time = TrueTime::new(UNIX_MS, 0);
         for turn in 1..=600_u64 {
             let at_ms = turn * 10_000;
-            // 50 millionths fast.
+            // The monotonic clock is 50 ppm fast.
             let error_ms = -(at_ms as i64 * 50 / 1_000_000);
             let peers = [sample(at_ms, error_ms, error_ms), sample(at_ms, error_ms, error_ms), sample(at_ms, error_ms, error_ms)];
             time.slew((UNIX_MS + at_ms).saturating_add_signed(error_ms), at_ms, &peers);
