--- a/crates/borageshore_rollout/src/controller.rs
+++ b/crates/borageshore_rollout/src/controller.rs
@@ -1,4 +1,4 @@
-//! The owner's side of a job: what to generate, and what to hand over.
+//! The owner's side of a job: which samples to generate and which to deliver.
 
 use std::sync::Arc;
 
@@ -10,75 +10,75 @@
     sample::{Delivery, Sample, StalenessBound},
 };
 
-/// The longest duration that is told apart; longer ones count as this.
+/// The upper limit of the duration histogram; longer durations are recorded as this.
 const MAX_DURATION_MS: u64 = 3_600_000;
-/// A sample takes at least this long before it counts as a straggler.
+/// The minimum straggler threshold.
 const STRAGGLER_MIN_MS: u64 = 1_000;
-/// Past this multiple of the job's 95th percentile a sample is placed a second time.
+/// The straggler threshold as a multiple of the job's 95th percentile of durations.
 const STRAGGLER_FACTOR: u64 = 2;
-/// Durations needed before the percentile means anything.
+/// The number of durations from which the percentile is used.
 const STRAGGLER_MIN_DURATIONS: u64 = 20;
-/// The most attempts that run for one sample at once.
+/// The maximum number of attempts that run for one sample at once.
 const MAX_CONCURRENT_ATTEMPTS: u32 = 2;
 /// The pause after a failed attempt.
 const RETRY_AFTER_MS: u64 = 200;
 
-/// What the settings ask of a job.
+/// The settings of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct JobPlan {
-    /// Groups in a step.
+    /// The number of groups in a training step.
     pub groups_per_step: u64,
-    /// Samples in a group.
+    /// The number of samples in a group.
     pub samples_per_group: u64,
-    /// Steps that may be generated ahead of the trainer.
+    /// The number of steps that may be generated ahead of the trainer.
     pub steps_ahead: u64,
-    /// The staleness bound.
+    /// The staleness bound of delivered samples.
     pub staleness_bound: StalenessBound,
 }
 
-/// Weight versions that matter to a job.
+/// The weight versions of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WeightVersions {
-    /// The newest one in force.
+    /// The newest published version.
     pub target: u64,
-    /// The oldest one that an engine still serves, as far as is known.
+    /// The oldest version that an engine is known to serve.
     pub oldest_served: u64,
 }
 
-/// A sample to generate.
+/// An attempt at a sample, to be started.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SampleOrder {
-    /// Its name.
+    /// The name of the sample.
     pub id: Arc<str>,
-    /// Its group.
+    /// The group of the sample.
     pub group: u64,
-    /// 0 for the first attempt.
+    /// The number of the attempt, 0 for the first.
     pub attempt: u32,
 }
 
-/// The answer to a pull.
+/// The reaction to a pull.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PullDecision {
-    /// Hand this over.
+    /// Deliver these samples.
     Deliver(Delivery),
-    /// Append this to the ledger and ask again once it is folded.
+    /// Append this to the ledger and call again once it is folded.
     Append(LedgerRecord),
-    /// Nothing is ready.
+    /// Call again later: no complete group is ready, or a ledger record is still pending.
     Wait,
-    /// Refuse.
+    /// Refuse the pull with this code.
     Refuse(ResultCode),
 }
 
-/// Counts since the controller was opened.
+/// Counters since the controller was opened.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct JobCounts {
     /// Samples generated.
     pub generated: u64,
-    /// Samples that came a second time.
+    /// Samples that were finished again or are no longer needed.
     pub repeated: u64,
-    /// Samples dropped as too old.
+    /// Samples dropped because of the staleness bound.
     pub stale: u64,
-    /// Samples placed a second time because the first attempt took long.
+    /// Further attempts started for stragglers.
     pub replaced: u64,
     /// Attempts that failed.
     pub failed: u64,
@@ -118,20 +118,20 @@
     epoch: u64,
     next_group: u64,
     groups: SortedMap<u64, Group>,
-    /// Contents of numbered samples that the trainer has not confirmed.
+    /// Numbered samples that the trainer has not confirmed, by number.
     awaiting_confirmation: SortedMap<u64, FinishedSample>,
-    /// Contents of samples whose numbers are on their way through the log.
+    /// Samples whose numbers are not folded from the ledger yet.
     assigning: SortedMap<Arc<str>, FinishedSample>,
     durations_ms: Histogram<u64>,
     counts: JobCounts,
     cadence: Cadence,
-    /// The newest version that made a token of this job.
+    /// The newest version that produced a token of this job.
     newest_version_seen: u64,
 }
 
 impl JobController {
-    /// Opens a controller for an accepted claim; sample names begin with `id_prefix` and the epoch,
-    /// which together must be new.
+    /// Opens a controller for an accepted claim. Sample names begin with `id_prefix` and `epoch`, a
+    /// combination that must never have been used before.
     pub fn open(id_prefix: Arc<str>, epoch: u64) -> Self {
         Self {
             id_prefix,
@@ -148,17 +148,17 @@
         }
     }
 
-    /// The epoch that the controller acts under.
+    /// The epoch of this ownership.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Counts for metrics.
+    /// The counters for metrics.
     pub fn counts(&self) -> JobCounts {
         self.counts
     }
 
-    /// The oldest group that is not numbered yet.
+    /// The oldest group whose samples have no numbers yet.
     pub fn oldest_group(&self) -> u64 {
         self.groups
             .keys()
@@ -167,7 +167,7 @@
             .unwrap_or(self.next_group)
     }
 
-    /// Finished samples that wait for a pull or its confirmation.
+    /// The number of finished samples that wait for a pull or its confirmation.
     pub fn buffered(&self) -> usize {
         let finished = |group: &Group| {
             group
@@ -181,7 +181,7 @@
             + self.assigning.len()
     }
 
-    /// Says what to generate now.
+    /// Returns the attempts to start now.
     pub fn tick(
         &mut self,
         plan: &JobPlan,
@@ -199,7 +199,7 @@
             let would_be_stale = versions.oldest_served < versions.target
                 && versions.oldest_served + plan.staleness_bound.versions < expected_version;
             if would_be_stale {
-                // Engines load the target now; what they begin before is made in vain.
+                // Engines are still loading the target; a sample started now would be stale at its step.
                 continue;
             }
             for slot in state.slots.iter_mut().filter(|slot| slot.done.is_none()) {
@@ -224,8 +224,8 @@
         orders
     }
 
-    /// Keeps the number of groups that are generated, buffered or unconfirmed within the plan, so
-    /// that a trainer that stops pulling stops generation instead of filling memory.
+    /// Bounds the groups that are generated, buffered or unconfirmed, so that generation stops when
+    /// the trainer stops pulling.
     fn open_groups(&mut self, plan: &JobPlan, now_ms: u64) {
         let unconfirmed = (self.awaiting_confirmation.len() + self.assigning.len()) as u64
             / plan.samples_per_group;
@@ -268,7 +268,7 @@
             .find(|slot| &*slot.id == id)
     }
 
-    /// Takes in a finished sample; the first attempt to finish wins.
+    /// Stores a finished sample; only the first attempt to finish is used.
     pub fn on_sample(&mut self, sample: Sample, started_at_ms: u64, now_ms: u64) {
         let versions = sample.segments.iter().map(|segment| segment.version);
         let newest = versions.max().unwrap_or(0);
@@ -291,7 +291,7 @@
             .saturating_record(now_ms.saturating_sub(started_at_ms).max(1));
     }
 
-    /// Notes a failed attempt.
+    /// Schedules a retry after a failed attempt.
     pub fn on_failure(&mut self, group: u64, id: &str, now_ms: u64) {
         self.counts.failed += 1;
         if let Some(slot) = self.slot_mut(group, id) {
@@ -300,7 +300,7 @@
         }
     }
 
-    /// Takes over the contents of samples that the ledger has numbered.
+    /// Moves samples to the numbers that the ledger has assigned to them.
     pub fn on_ledger(&mut self, ledger: &Ledger) {
         if self.assigning.is_empty() {
             return;
@@ -316,7 +316,7 @@
         }
     }
 
-    /// Answers a trainer that has everything up to `cursor` and has seen owners up to `seen_epoch`.
+    /// Decides on a trainer's pull.
     pub fn on_pull(
         &mut self,
         ledger: &Ledger,
@@ -324,7 +324,7 @@
         pull: PullView,
         now_ms: u64,
     ) -> PullDecision {
-        // A pull often follows a publication at once; what it numbers counts after it.
+        // A pull may follow a publication before the next tick; its samples count after the publication.
         self.cadence.on_target_version(pull.target_version, plan);
         if pull.seen_epoch > self.epoch {
             return PullDecision::Refuse(ResultCode::StaleEpoch);
@@ -346,8 +346,8 @@
         self.assign(ledger, plan, pull, now_ms)
     }
 
-    /// Hands over the numbered samples above the cursor. Those that are lost with their holder or
-    /// have grown stale are left out; their numbers are never used again.
+    /// Delivers the numbered samples above the cursor. Samples that are stale or were lost with an
+    /// earlier owner are left out; their numbers are never reused.
     fn deliver(
         &mut self,
         ledger: &Ledger,
@@ -423,12 +423,12 @@
         })
     }
 
-    /// Generates anew what will be stale by the time the trainer asks for it.
+    /// Drops finished samples that will be stale when the trainer pulls their step, so that they are
+    /// generated again.
     ///
-    /// Guards against a step that is given up whole: samples made ahead with the version before last
-    /// are within the bound now, but not after the publication that comes before their step; found out
-    /// at the pull, the trainer would wait for all of them. A sample is dropped early only when an
-    /// engine has shown a newer version, so that making it again helps.
+    /// Guards against a trainer that waits for a whole step: samples generated ahead are within the
+    /// bound now, but not after the publications that precede their step. A sample is dropped early
+    /// only if an engine has served a newer version, so that generating it again helps.
     fn drop_soon_stale(&mut self, plan: &JobPlan, target_version: u64, now_ms: u64) {
         let newest_version_seen = self.newest_version_seen;
         let mut dropped = 0;
@@ -454,7 +454,7 @@
         self.counts.stale += dropped;
     }
 
-    /// Generates anew what has grown stale before it was numbered.
+    /// Drops finished samples that became stale before they were numbered, so that they are generated again.
     fn drop_stale(&mut self, plan: &JobPlan, target_version: u64, now_ms: u64) {
         let mut dropped = 0;
         for (_, group) in self.groups.iter_mut() {
@@ -475,7 +475,7 @@
     }
 }
 
-/// How many steps the trainer makes between two publications of weights, as it did last.
+/// The number of steps between the trainer's last two publications of weights, to predict the next ones.
 #[derive(Debug, Default)]
 struct Cadence {
     target_version: u64,
@@ -500,7 +500,7 @@
         self.samples_since += samples;
     }
 
-    /// The publications to expect before a step that has so many before it.
+    /// The number of publications to expect before a step that is preceded by `steps_before` open steps.
     fn publications_before(&self, steps_before: u64) -> u64 {
         match self.steps_per_publication {
             Some(steps) => (self.steps_since + steps_before) / steps,
@@ -509,15 +509,15 @@
     }
 }
 
-/// What a trainer's pull says.
+/// The parameters of a trainer's pull.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PullView {
-    /// The trainer has every number up to this one.
+    /// The number up to which the trainer has received everything.
     pub cursor: u64,
-    /// The highest epoch that it was served under.
+    /// The highest epoch that the trainer has seen.
     pub seen_epoch: u64,
-    /// The most samples that it wants.
+    /// The maximum number of samples to deliver.
     pub max_samples: u64,
-    /// The newest version in force.
+    /// The newest published version.
     pub target_version: u64,
 }
--- a/crates/borageshore_rollout/src/ledger.rs
+++ b/crates/borageshore_rollout/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of one job: which sample has which number.
+//! The ledger of one job, which maps numbers to samples.
 
 use std::sync::Arc;
 
@@ -10,27 +10,27 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LedgerRecord {
-    /// A new owner begins; records of earlier epochs that come later are void.
+    /// A new owner takes over; later records of earlier epochs are ignored.
     Open {
-        /// The epoch of its claim.
+        /// The epoch of the owner's claim.
         epoch: u64,
     },
-    /// Gives numbers to samples.
+    /// Assigns numbers to samples.
     Assign {
         /// The owner's epoch.
         epoch: u64,
-        /// The trainer's cursor, which needs no numbers at or below it any more.
+        /// The trainer's cursor; numbers up to it are no longer needed.
         confirmed: u64,
-        /// The first number; the others follow.
+        /// The number of the first sample; the others are consecutive.
         first_number: u64,
-        /// The samples.
+        /// The names of the samples, in order.
         sample_ids: Vec<Arc<str>>,
     },
-    /// The state below an offset.
+    /// The state before an offset.
     Snapshot {
         /// The first offset that the snapshot does not cover.
         next_offset: u64,
-        /// The state.
+        /// The state of the ledger.
         snapshot: LedgerSnapshot,
     },
 }
@@ -38,7 +38,7 @@
 /// A copy of a ledger.
 pub type LedgerSnapshot = Ledger;
 
-/// The numbers given out in one job.
+/// The sample numbers assigned in one job.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     epoch: u64,
@@ -54,20 +54,20 @@
         self.epoch
     }
 
-    /// The highest number given out, 0 before the first.
+    /// The highest assigned number, 0 if there is none.
     pub fn last_number(&self) -> u64 {
         self.last_number
     }
 
-    /// The numbers above a cursor, in order.
+    /// The numbers above a cursor with their samples, in ascending order.
     pub fn assigned_above(&self, cursor: u64) -> impl Iterator<Item = (u64, &Arc<str>)> {
         let assigned = self.assigned.iter().map(|(number, id)| (*number, id));
         assigned.filter(move |(number, _)| *number > cursor)
     }
 
-    /// Guards against an owner that lost its lease while paused and still gives out numbers: its
-    /// epoch is below the one that its successor opened, and its first number no longer fits, so
-    /// every fold ignores the record and the paused owner never sees it accepted.
+    /// Guards against an owner that lost its lease during a pause and still assigns numbers: its epoch
+    /// is lower than its successor's and its first number may already be assigned, so every fold
+    /// ignores the record and the old owner never sees it applied.
     fn assign(&mut self, epoch: u64, confirmed: u64, first_number: u64, sample_ids: &[Arc<str>]) {
         if epoch != self.epoch || first_number != self.last_number + 1 {
             return;
--- a/crates/borageshore_rollout/src/lib.rs
+++ b/crates/borageshore_rollout/src/lib.rs
@@ -1,7 +1,7 @@
-//! Rollout jobs: groups of samples, their delivery by number, and weight swaps.
+//! Rollout jobs: groups of samples, their numbered delivery, and weight swaps.
 //!
-//! The owner of a job runs a [`JobController`]; its deliveries are agreed through the job's ledger
-//! stream ([`Ledger`]), and [`plan_swaps`] brings engines to new weights in waves. All of it is pure.
+//! The owner of a job runs a [`JobController`]. Sample numbers are assigned through the job's ledger
+//! stream ([`Ledger`]), and [`plan_swaps`] updates engines to new weights in waves. No I/O, no clock.
 //!
 //! ```
 //! use borageshore_rollout::{StalenessBound, Segment};
--- a/crates/borageshore_rollout/src/placement.rs
+++ b/crates/borageshore_rollout/src/placement.rs
@@ -1,15 +1,14 @@
-//! Which daemon makes which group of samples.
+//! Placement of sample groups on daemons.
 
 use std::sync::Arc;
 
 use borageshore_base::{SortedMap, rendezvous_weight};
 
-/// Places groups and counts what is under way.
+/// Assigns groups to daemons and counts the attempts in flight.
 ///
-/// A group stays with one daemon, whose engines then have its prompt cached. By hashing alone some
-/// daemons got several groups more than others, and a step is only whole when the last of them is
-/// through; so a new group goes to the daemon with the fewest samples of this job under way, and
-/// hashing decides between equals.
+/// A group stays on one daemon, whose engines then have its prompt cached. A new group goes to the
+/// daemon with the fewest samples of this job in flight, because a step is only complete when its
+/// slowest daemon is done; rendezvous hashing breaks ties.
 #[derive(Debug, Default)]
 pub struct Placement {
     daemon_by_group: SortedMap<u64, Arc<str>>,
@@ -17,7 +16,7 @@
 }
 
 impl Placement {
-    /// Chooses a daemon for an attempt at a sample and counts it; `None` without daemons.
+    /// Selects a daemon for an attempt at a sample and counts the attempt; `None` without daemons.
     pub fn place(&mut self, group: u64, attempt: u32, daemons: &[&str]) -> Option<Arc<str>> {
         let assigned = self
             .daemon_by_group
@@ -26,7 +25,7 @@
             .cloned();
         let chosen = match (assigned, attempt) {
             (Some(assigned), 0) => assigned,
-            // A further attempt goes elsewhere: what slowed the first may lie with its daemon.
+            // A further attempt goes to another daemon, as the first daemon may be the cause of the delay.
             (Some(assigned), _) => self
                 .least_loaded(group, daemons, Some(&assigned))
                 .unwrap_or(assigned),
@@ -40,7 +39,7 @@
         Some(chosen)
     }
 
-    /// Notes that an attempt ended, however it ended.
+    /// Removes an attempt from the count after success or failure.
     pub fn on_attempt_end(&mut self, daemon: &str) {
         if let Some(count) = self.in_flight.get_mut(daemon) {
             *count = count.saturating_sub(1);
@@ -48,7 +47,7 @@
         self.in_flight.retain(|_, count| *count > 0);
     }
 
-    /// Forgets the homes of groups below the oldest one that is still open.
+    /// Removes the assignments of groups below `group`, the oldest open one.
     pub fn forget_below(&mut self, group: u64) {
         self.daemon_by_group.retain(|known, _| *known >= group);
     }
--- a/crates/borageshore_rollout/src/sample.rs
+++ b/crates/borageshore_rollout/src/sample.rs
@@ -1,4 +1,4 @@
-//! Samples and their attribution.
+//! Samples, the weight versions that produced them, and the staleness bound.
 
 use std::sync::Arc;
 
@@ -9,55 +9,55 @@
 pub struct Segment {
     /// The version, as the engine reported it with each chunk.
     pub version: u64,
-    /// How many tokens.
+    /// The number of tokens.
     pub token_count: u64,
 }
 
 /// A finished sample.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
-    /// Its name, unique over all owners of the job.
+    /// The name of the sample, unique over all owners of the job.
     pub id: Arc<str>,
-    /// The group, which shares one prompt.
+    /// The group, whose samples share one prompt.
     pub group: u64,
     /// The prompt.
     pub prompt: Arc<str>,
-    /// The tokens.
+    /// The generated tokens.
     pub tokens: Vec<String>,
-    /// The versions that produced them, in order.
+    /// The weight versions that produced the tokens, in order.
     pub segments: Vec<Segment>,
-    /// The scorer's verdict.
+    /// The score, if the job has a scorer.
     pub score: Option<f64>,
-    /// Age at hand-over, from the start of generation.
+    /// The age at delivery, from the start of generation.
     pub age_ms: u64,
 }
 
-/// What the trainer is given in answer to a pull.
+/// The response to a trainer's pull.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Delivery {
-    /// The owner's fencing number.
+    /// The owner's epoch, a fencing token.
     pub epoch: u64,
-    /// The cursor to present next. Numbers up to it that are not in `samples` were given up.
+    /// The cursor of the next pull. Numbers up to it that are not in `samples` are never delivered.
     pub through: u64,
-    /// The newest weight version that the owner knew of.
+    /// The newest weight version known to the owner.
     pub target_version: u64,
-    /// The samples with their numbers.
+    /// The samples by number.
     pub samples: Vec<(u64, Sample)>,
 }
 
 /// The staleness bound of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StalenessBound {
-    /// The greatest permitted distance to the newest version.
+    /// The greatest permitted distance to the target version.
     pub versions: u64,
-    /// The greatest permitted age.
+    /// The greatest permitted age, from the start of generation.
     pub age_ms: u64,
 }
 
 impl StalenessBound {
-    /// Says whether a sample of these segments and this age may be handed over.
+    /// Whether a sample with these segments and this age may be delivered.
     ///
-    /// A sample without a known version is never fresh: it could not be attributed.
+    /// A sample without a known version is never permitted, because its staleness is unknown.
     pub fn permits(&self, segments: &[Segment], age_ms: u64, target_version: u64) -> bool {
         let Some(oldest) = segments.iter().map(|segment| segment.version).min() else {
             return false;
--- a/crates/borageshore_rollout/src/swap.rs
+++ b/crates/borageshore_rollout/src/swap.rs
@@ -2,30 +2,30 @@
 
 use std::sync::Arc;
 
-/// One replica as it reports itself.
+/// The state that a replica reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplicaView {
-    /// Its name.
+    /// The replica's name.
     pub name: Arc<str>,
-    /// The version that it serves; `None` when it does not answer.
+    /// The weight version that it serves; `None` if it does not respond.
     pub version: Option<u64>,
-    /// Whether it loads weights now.
+    /// Whether it is loading weights.
     pub is_loading: bool,
 }
 
-/// How fast a swap may go.
+/// Limits on replicas that load at the same time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SwapLimits {
-    /// Replicas that load at once; follows from the weight store's rate.
+    /// The maximum number of replicas that load at once, limited by the weight store's throughput.
     pub wave_replicas: u64,
-    /// The share of replicas that keeps serving.
+    /// The minimum share of replicas that keeps serving.
     pub minimum_serving_percent: u64,
 }
 
-/// Picks the replicas to order to the target version now, those furthest behind first.
+/// Selects the replicas to order to the target version now, oldest version first.
 ///
-/// Level-triggered: the plan looks only at what replicas report, so an order that was lost, refused
-/// or carried out halfway shows as an old version and is simply given again.
+/// Level-triggered: the plan depends only on reported state, so a replica whose order was lost, refused
+/// or interrupted still reports an old version and is ordered again.
 pub fn plan_swaps(replicas: &[ReplicaView], target: u64, limits: SwapLimits) -> Vec<Arc<str>> {
     let answering: Vec<&ReplicaView> = replicas.iter().filter(|r| r.version.is_some()).collect();
     let loading = answering
@@ -34,7 +34,7 @@
         .count() as u64;
     let serving = answering.len() as u64 - loading;
     let must_serve = (replicas.len() as u64 * limits.minimum_serving_percent).div_ceil(100);
-    // With so few replicas that none may pause, one still has to, or the version would never change.
+    // If the minimum leaves no replica to pause, one is paused anyway: otherwise the version would never change.
     let pausable = serving
         .saturating_sub(must_serve)
         .max(u64::from(loading == 0));
--- a/crates/borageshore_rollout/tests/rollout.rs
+++ b/crates/borageshore_rollout/tests/rollout.rs
@@ -1,4 +1,4 @@
-//! Stragglers, back-pressure and weight swaps.
+//! Stragglers, back-pressure, staleness, placement and weight swaps.
 
 use borageshore_log::{Envelope, Fold};
 use borageshore_rollout::{
@@ -63,9 +63,8 @@
 }
 
 cases! {
-    // Samples of a job take five seconds as a rule. One that runs for six is no straggler; one that
-    // runs for eleven is, and is placed a second time, once. (Durations over a quarter of a second
-    // were once recorded as 2 ms, so that every sample counted as a straggler after a second.)
+    // Samples take 5 s, so one that runs for 6 s is no straggler, and one that runs for 11 s gets exactly
+    // one further attempt. Guards against long durations that the histogram records as short ones.
     only_stragglers_are_placed_twice: {
         let mut controller = JobController::open("job".into(), 1);
         let orders = controller.tick(&plan(), at(1), 0);
@@ -81,7 +80,7 @@
         assert_eq!(controller.counts().replaced, 1);
     };
 
-    // Both attempts of a straggler finish. One sample comes of it.
+    // Both attempts of a straggler finish; only the first counts.
     second_finish_is_dropped: {
         let mut controller = JobController::open("job".into(), 1);
         let orders = controller.tick(&plan(), at(1), 0);
@@ -90,7 +89,7 @@
         assert_eq!((controller.counts().generated, controller.counts().repeated), (1, 1));
     };
 
-    // The trainer stops pulling. Generation stops with it instead of filling memory.
+    // Guards against unbounded memory when the trainer stops pulling.
     generation_waits_for_the_trainer: {
         let mut controller = JobController::open("job".into(), 1);
         for order in controller.tick(&plan(), at(1), 0) {
@@ -100,7 +99,7 @@
         assert_eq!(controller.buffered(), 40);
     };
 
-    // An attempt fails. It is tried again after a pause, not at once.
+    // A failed attempt is retried after a pause, not at once.
     failed_attempt_is_repeated_after_a_pause: {
         let mut controller = JobController::open("job".into(), 1);
         let orders = controller.tick(&plan(), at(1), 0);
@@ -109,7 +108,7 @@
         assert_eq!(controller.tick(&plan(), at(1), 300).len(), 1);
     };
 
-    // New weights for eight replicas, two at a time, half must serve. Those furthest behind go first.
+    // Eight replicas, two may load at a time and half must serve; the oldest version goes first.
     swaps_go_in_waves: {
         let mut replicas: Vec<ReplicaView> = (0..8).map(|n| replica(&format!("e{n}"), 3)).collect();
         replicas[5].version = Some(1);
@@ -121,26 +120,26 @@
         assert_eq!(plan_swaps(&replicas, 4, limits(8, 50)).len(), 2, "half must serve");
     };
 
-    // A swap failed partway: the replica reports the base version again and is simply ordered again.
+    // After a failed swap the replica reports the base version and is ordered again.
     failed_swap_is_ordered_again: {
         let replicas = [replica("e0", 4), replica("e1", 0)];
         assert_eq!(plan_swaps(&replicas, 4, limits(2, 50)), ["e1".into()]);
     };
 
-    // The only replica of a service must serve, but its weights still have to change.
+    // The only replica of a service is swapped although it must serve.
     single_replica_is_swapped: {
         assert_eq!(plan_swaps(&[replica("e0", 1)], 2, limits(1, 100)), ["e0".into()]);
     };
 
-    // A replica does not answer. It gets no order, and counts as one that does not serve.
+    // A replica that does not respond gets no order and counts as not serving.
     unresponsive_replica_gets_no_order: {
         let mut replicas = vec![replica("e0", 1), replica("e1", 1)];
         replicas[0].version = None;
         assert_eq!(plan_swaps(&replicas, 2, limits(2, 50)), ["e1".into()]);
     };
 
-    // Eight groups of four over three daemons. Hashing gave one daemon five groups, and every step
-    // waited for it; placed by load, no daemon has more than one group above another.
+    // Guards against steps that wait for one overloaded daemon: eight groups of four samples on three
+    // daemons differ by at most one group.
     groups_are_spread_evenly: {
         let mut placement = Placement::default();
         let mut counts = [0; 3];
@@ -155,7 +154,7 @@
         assert_ne!(placement.place(0, 1, &["a", "b", "c"]), placement.place(0, 0, &["a", "b", "c"]));
     };
 
-    // The daemon that a group was placed with has died. The group moves.
+    // A group moves when its daemon has died.
     group_moves_with_the_loss_of_its_daemon: {
         let mut placement = Placement::default();
         let home = placement.place(0, 0, &["a", "b"]).unwrap();
@@ -164,9 +163,9 @@
         assert_eq!(placement.place(0, 0, &[]), None);
     };
 
-    // The trainer publishes after every step, and the bound is one version. Samples made ahead with
-    // the version before last would be too old at their own step: once an engine has shown the newer
-    // version they are made again at once, while the trainer computes, not when it asks.
+    // The trainer publishes after every step and the bound is one version, so samples generated ahead
+    // will be stale at their step. They are regenerated once an engine has served a newer version, not
+    // at the pull.
     samples_that_will_be_stale_are_regenerated_early: {
         let ahead = JobPlan { groups_per_step: 1, steps_ahead: 2, ..plan() };
         let mut controller = JobController::open("job".into(), 1);
@@ -178,7 +177,7 @@
         };
         let orders = controller.tick(&ahead, at(1), 0);
         finish(&mut controller, &orders[..4], 1);
-        // Two publications, a step apart: from now on one is expected before each further step.
+        // After two publications one step apart, one is expected before each further step.
         assert_eq!(controller.tick(&ahead, at(2), 1), []);
         finish(&mut controller, &orders[4..7], 1);
         assert_eq!(controller.tick(&ahead, at(2), 2), [], "nothing newer was seen");
@@ -188,9 +187,8 @@
         assert!(again.iter().all(|order| order.group == 1));
     };
 
-    // New weights are published and the engines still load them. Samples of the step that waits are
-    // made with the old ones, which is within the bound; those of the step after would be made in
-    // vain, and begin only when every engine has the new weights.
+    // While engines load new weights, samples of the next step would be stale when they are pulled;
+    // they start only when every engine serves the new weights.
     work_ahead_waits_for_the_engines: {
         let ahead = JobPlan { groups_per_step: 1, steps_ahead: 2, ..plan() };
         let mut controller = JobController::open("job".into(), 1);
@@ -202,9 +200,9 @@
         assert_eq!(controller.tick(&ahead, at(2), 2).len(), 4);
     };
 
-    // A trainer publishes after each step and pulls at once, before the owner's next tick. The step
-    // it pulls comes after the publication; counted before it, publications would seem two steps
-    // apart, and work that is bound to be too old would be kept until the trainer asks for it.
+    // A trainer publishes after each step and pulls before the owner's next tick. Guards against counting
+    // the pulled step before the publication: publications would seem two steps apart, and samples that
+    // will be stale would be kept.
     pull_right_after_a_publication_counts_after_it: {
         let ahead = JobPlan { groups_per_step: 1, steps_ahead: 2, ..plan() };
         let mut controller = JobController::open("job".into(), 1);
@@ -227,7 +225,7 @@
             fold(&mut ledger, record);
             controller.on_ledger(&ledger);
         }
-        // Version 2 is in force and a step was pulled since, so the open step comes after version 3.
+        // A step was pulled since version 2 was published, so version 3 is expected before the open step.
         let loading = WeightVersions { target: 2, oldest_served: 1 };
         assert_eq!(controller.tick(&ahead, loading, 2), []);
         assert_eq!(controller.tick(&ahead, at(2), 3).len(), 4);
