--- a/crates/borageshore_rollout/src/controller.rs
+++ b/crates/borageshore_rollout/src/controller.rs
@@ -119,7 +119,7 @@
     next_group: u64,
     groups: SortedMap<u64, Group>,
     /// Numbered samples that the trainer has not confirmed, by number.
-    awaiting_confirmation: SortedMap<u64, FinishedSample>,
+    unconfirmed: SortedMap<u64, FinishedSample>,
     /// Samples whose numbers are not folded from the ledger yet.
     assigning: SortedMap<Arc<str>, FinishedSample>,
     durations_ms: Histogram<u64>,
@@ -138,7 +138,7 @@
             epoch,
             next_group: 0,
             groups: SortedMap::default(),
-            awaiting_confirmation: SortedMap::default(),
+            unconfirmed: SortedMap::default(),
             assigning: SortedMap::default(),
             durations_ms: Histogram::new_with_max(MAX_DURATION_MS, 2)
                 .expect("two significant digits are supported"),
@@ -177,7 +177,7 @@
                 .count()
         };
         self.groups.values().map(finished).sum::<usize>()
-            + self.awaiting_confirmation.len()
+            + self.unconfirmed.len()
             + self.assigning.len()
     }
 
@@ -227,8 +227,8 @@
     /// Bounds the groups that are generated, buffered or unconfirmed, so that generation stops when
     /// the trainer stops pulling.
     fn open_groups(&mut self, plan: &JobPlan, now_ms: u64) {
-        let unconfirmed = (self.awaiting_confirmation.len() + self.assigning.len()) as u64
-            / plan.samples_per_group;
+        let unconfirmed =
+            (self.unconfirmed.len() + self.assigning.len()) as u64 / plan.samples_per_group;
         let max_groups = (plan.groups_per_step * plan.steps_ahead).saturating_sub(unconfirmed);
         while (self.groups.len() as u64) < max_groups {
             let group = self.next_group;
@@ -311,7 +311,7 @@
             .collect();
         for (number, id) in numbered {
             if let Some(finished) = self.assigning.remove(&id) {
-                self.awaiting_confirmation.insert(number, finished);
+                self.unconfirmed.insert(number, finished);
             }
         }
     }
@@ -335,8 +335,7 @@
         if pull.cursor > ledger.last_number() {
             return PullDecision::Refuse(ResultCode::CursorAhead);
         }
-        self.awaiting_confirmation
-            .retain(|number, _| *number > pull.cursor);
+        self.unconfirmed.retain(|number, _| *number > pull.cursor);
         if ledger.last_number() > pull.cursor {
             return PullDecision::Deliver(self.deliver(ledger, plan, pull, now_ms));
         }
@@ -362,7 +361,7 @@
             .take(pull.max_samples as usize)
         {
             through = number;
-            let Some(finished) = self.awaiting_confirmation.get(&number) else {
+            let Some(finished) = self.unconfirmed.get(&number) else {
                 continue;
             };
             let age_ms = now_ms.saturating_sub(finished.started_at_ms);
