--- a/crates/borageshore_gateway/src/usage/view.rs
+++ b/crates/borageshore_gateway/src/usage/view.rs
@@ -89,7 +89,7 @@
     pub(super) fn counts_of(&self, window: Window) -> Counts {
         let mut all = Counts::default();
         for fold in &self.folds {
-            for (organisation, count) in fold.totals.borrow().of(window).iter() {
+            for (organisation, count) in fold.totals.borrow().window_total(window).iter() {
                 *all.get_or_insert_with(organisation.clone(), || 0) += count;
             }
         }
--- a/crates/borageshore_usage/src/lib.rs
+++ b/crates/borageshore_usage/src/lib.rs
@@ -13,7 +13,7 @@
 //!     totals.merge(window, &"vm-1.12".into(), &counts);
 //!     totals.merge(window, &"vm-1.12".into(), &counts);
 //! }
-//! assert_eq!(totals.of(Window(7)).get("mill"), Some(&1));
+//! assert_eq!(totals.window_total(Window(7)).get("mill"), Some(&1));
 //! ```
 
 mod own_counts;
--- a/crates/borageshore_usage/src/totals.rs
+++ b/crates/borageshore_usage/src/totals.rs
@@ -27,7 +27,7 @@
     }
 
     /// The sum over all daemons for a window.
-    pub fn of(&self, window: Window) -> Counts {
+    pub fn window_total(&self, window: Window) -> Counts {
         let mut all = Counts::default();
         let authors = self.windows.get(&window).into_iter();
         for counts in authors.flat_map(SortedMap::values) {
--- a/crates/borageshore_usage/tests/usage.rs
+++ b/crates/borageshore_usage/tests/usage.rs
@@ -38,8 +38,8 @@
         totals.merge(Window(3), &author, &counts(&[("mill", 7), ("farm", 1)]));
         totals.merge(Window(3), &author, &counts(&[("mill", 5)]));
         totals.merge(Window(3), &"vm-1.6".into(), &counts(&[("mill", 2)]));
-        assert_eq!(listed(&totals.of(Window(3))), [("farm".into(), 1), ("mill".into(), 9)]);
-        assert!(totals.of(Window(4)).is_empty());
+        assert_eq!(listed(&totals.window_total(Window(3))), [("farm".into(), 1), ("mill".into(), 9)]);
+        assert!(totals.window_total(Window(4)).is_empty());
     }
 
     counts_that_failed_to_publish_are_published_again_with_later_ones => {
@@ -124,7 +124,7 @@
             for (window, author, counts) in records.iter().chain(records.iter().rev()) {
                 totals.merge(*window, author, counts);
             }
-            assert_eq!(totals.of(Window(1)).get("mill").copied().unwrap_or(0), published);
+            assert_eq!(totals.window_total(Window(1)).get("mill").copied().unwrap_or(0), published);
         });
     }
 }
