--- a/crates/borageshore_access/tests/access.rs
+++ b/crates/borageshore_access/tests/access.rs
@@ -4,7 +4,7 @@
     Access, Credentials, KeyDigest, KeyView, Organisation, Organisations, authorize, scoped,
 };
 
-const MOST_AGE_MS: u64 = 5_000;
+const MAX_AGE_MS: u64 = 5_000;
 
 fn organisations(list: &[(&str, &[&str])]) -> Organisations {
     let organisation = |(name, keys): &(&str, &[&str])| {
@@ -33,7 +33,7 @@
 fn aged(age_ms: u64) -> KeyView {
     KeyView {
         age_ms: Some(age_ms),
-        max_age_ms: Some(MOST_AGE_MS),
+        max_age_ms: Some(MAX_AGE_MS),
     }
 }
 
@@ -67,8 +67,8 @@
     // Guards against a partitioned VM that keeps accepting a revoked key from an old view.
     a_known_key_is_good_only_while_the_view_is_new => {
         let table = organisations(&[("mill", &["k1"])]);
-        assert!(name(authorize(&table, with_key("k1"), aged(MOST_AGE_MS))).is_some());
-        assert_eq!(authorize(&table, with_key("k1"), aged(MOST_AGE_MS + 1)), Access::ViewTooOld);
+        assert!(name(authorize(&table, with_key("k1"), aged(MAX_AGE_MS))).is_some());
+        assert_eq!(authorize(&table, with_key("k1"), aged(MAX_AGE_MS + 1)), Access::ViewTooOld);
         let never_read = KeyView { age_ms: None, max_age_ms: None };
         assert_eq!(authorize(&table, with_key("k1"), never_read), Access::ViewTooOld);
     }
--- a/crates/borageshore_duty/tests/duty.rs
+++ b/crates/borageshore_duty/tests/duty.rs
@@ -4,7 +4,7 @@
 
 use borageshore_duty::{DutyLeases, DutyTiming, select_holder};
 
-const TERMS: DutyTiming = DutyTiming {
+const TIMING: DutyTiming = DutyTiming {
     lease_ms: 3_000,
     send_window_ms: 500,
     margin_ms: 300,
@@ -18,7 +18,7 @@
 }
 
 fn leases_at(now_ms: u64) -> DutyLeases {
-    DutyLeases::open(now_ms, TERMS.takeover_delay_ms())
+    DutyLeases::open(now_ms, TIMING.takeover_delay_ms())
 }
 
 macro_rules! cases {
@@ -30,15 +30,15 @@
 cases! {
     // Guards against a late call of the old holder: it is paused between its announcement and its call, for longer than
     // a takeover takes, and the platform receives its report after its successor's.
-    a_holder_that_froze_after_its_announcement_sends_nothing => {
-        let window = TERMS.send_window(10_000);
+    a_holder_paused_after_its_announcement_sends_nothing => {
+        let window = TIMING.send_window(10_000);
         assert!(window.is_open(10_500));
         assert!(!window.is_open(10_501));
         let mut successor = leases_at(0);
         successor.on_announcement(&"vm-1".into(), &names(&[SUBJECT]), &[], 10_000);
         let takes_over_ms = (10_000..).find(|now_ms| successor.may_act("vm-2", SUBJECT, *now_ms)).unwrap();
         assert!(!window.is_open(takes_over_ms), "both act");
-        assert!(takes_over_ms >= 10_500 + TERMS.lease_ms, "within the lease");
+        assert!(takes_over_ms >= 10_500 + TIMING.lease_ms, "within the lease");
     }
 
     // Guards against two holders that act within one lease: vm-1 loses the store but not the platform, vm-2 takes over,
@@ -113,7 +113,7 @@
                 if leases.may_act(&name, SUBJECT, now_ms) {
                     log.push((name.clone(), now_ms));
                     let send_at_ms = now_ms + u64::from(*what & 0x3f) * 20;
-                    if TERMS.send_window(now_ms).is_open(send_at_ms) {
+                    if TIMING.send_window(now_ms).is_open(send_at_ms) {
                         sent.push((send_at_ms, log.len() as u64, name));
                     }
                 }
@@ -122,7 +122,7 @@
             for pair in sent.windows(2) {
                 let ((first_ms, first, one), (second_ms, second, other)) = (&pair[0], &pair[1]);
                 // Calls of one holder are sequential.
-                assert!(one == other || (first < second && first_ms + TERMS.lease_ms <= *second_ms));
+                assert!(one == other || (first < second && first_ms + TIMING.lease_ms <= *second_ms));
             }
         });
     }
--- a/crates/borageshore_rollout/tests/rollout.rs
+++ b/crates/borageshore_rollout/tests/rollout.rs
@@ -157,9 +157,9 @@
     // A group moves when its daemon has died.
     group_moves_with_the_loss_of_its_daemon: {
         let mut placement = Placement::default();
-        let home = placement.place(0, 0, &["a", "b"]).unwrap();
-        let left = if &*home == "a" { "b" } else { "a" };
-        assert_eq!(placement.place(0, 0, &[left]).as_deref(), Some(left));
+        let assigned = placement.place(0, 0, &["a", "b"]).unwrap();
+        let remaining = if &*assigned == "a" { "b" } else { "a" };
+        assert_eq!(placement.place(0, 0, &[remaining]).as_deref(), Some(remaining));
         assert_eq!(placement.place(0, 0, &[]), None);
     };
 
--- a/crates/borageshore_usage/tests/usage.rs
+++ b/crates/borageshore_usage/tests/usage.rs
@@ -4,7 +4,7 @@
 
 use borageshore_usage::{Counts, OwnCounts, Reports, Totals, UsageTiming, Window};
 
-const TIMES: UsageTiming = UsageTiming {
+const TIMING: UsageTiming = UsageTiming {
     window_ms: 5_000,
     report_deadline_ms: 10_000,
 };
@@ -63,7 +63,7 @@
         let mut reports = Reports::default();
         reports.on_finalized(Window(3), &counts(&[("mill", 7)]));
         reports.on_finalized(Window(3), &counts(&[("mill", 8)]));
-        let (window, finalized) = reports.next(&TIMES, 25_000).unwrap();
+        let (window, finalized) = reports.next(&TIMING, 25_000).unwrap();
         assert_eq!((window, finalized.map(listed)), (Window(3), Some(vec![("mill".into(), 7)])));
     }
 
@@ -72,17 +72,17 @@
         reports.on_finalized(Window(2), &counts(&[]));
         reports.on_accepted(Window(2));
         // Window 3 ends at 20 s; its report is due at 30 s.
-        assert_eq!(reports.next(&TIMES, 22_499), None);
-        assert_eq!(reports.next(&TIMES, 22_500).map(|(window, _)| window), Some(Window(3)));
-        assert_eq!(reports.next(&TIMES, 29_999).map(|(window, _)| window), Some(Window(3)));
-        assert_eq!(reports.next(&TIMES, 30_000).map(|(window, _)| window), Some(Window(4)));
+        assert_eq!(reports.next(&TIMING, 22_499), None);
+        assert_eq!(reports.next(&TIMING, 22_500).map(|(window, _)| window), Some(Window(3)));
+        assert_eq!(reports.next(&TIMING, 29_999).map(|(window, _)| window), Some(Window(3)));
+        assert_eq!(reports.next(&TIMING, 30_000).map(|(window, _)| window), Some(Window(4)));
     }
 
     what_the_platform_has_is_not_sent_again => {
         let mut reports = Reports::default();
         reports.on_finalized(Window(3), &counts(&[]));
         reports.on_accepted(Window(3));
-        assert_eq!(reports.next(&TIMES, 25_000), None);
+        assert_eq!(reports.next(&TIMING, 25_000), None);
         assert_eq!(reports.accepted_from(Window(0)), [Window(3)]);
     }
 
