--- a/crates/borageshore_duty/src/holder.rs
+++ b/crates/borageshore_duty/src/holder.rs
@@ -1,20 +1,22 @@
-//! Who holds a duty.
+//! Selection of the daemon that performs a duty.
 
 use std::sync::Arc;
 
 use borageshore_base::rank_by_rendezvous;
 
-/// The holder of a duty among the daemons that take work: the last one goes on as long as it is among them, so that
-/// a daemon that comes back does not take turns with another one; else the first by rendezvous.
-pub fn holder_among<'a>(
+/// Selects the holder of a duty among `candidates`, the daemons that accept work.
+///
+/// The previous holder stays while it is a candidate, so that the duty does not move back and forth when a daemon
+/// returns; otherwise rendezvous hashing selects.
+pub fn select_holder<'a>(
     duty: &str,
-    last: Option<&'a Arc<str>>,
-    able: &'a [Arc<str>],
+    previous: Option<&'a Arc<str>>,
+    candidates: &'a [Arc<str>],
 ) -> Option<&'a str> {
-    match last {
-        Some(last) if able.contains(last) => Some(last),
+    match previous {
+        Some(previous) if candidates.contains(previous) => Some(previous),
         _ => {
-            let names = able.iter().map(|name| &**name);
+            let names = candidates.iter().map(|name| &**name);
             rank_by_rendezvous(duty, names).into_iter().next()
         }
     }
--- a/crates/borageshore_duty/src/lib.rs
+++ b/crates/borageshore_duty/src/lib.rs
@@ -1,17 +1,18 @@
-//! Duties that one holder has at a time, where the other side checks nothing and nothing can be read back.
+//! Mutual exclusion for duties that one daemon performs at a time, towards a receiver that checks no epochs and cannot
+//! be queried.
 //!
-//! A holder announces what it is about to do in a record of the store, appended on the condition that it has read all
-//! records before; the record's offset is its epoch. So a holder that was replaced while it stood still cannot
-//! announce anything. What it announced just before leaves within a short time or not at all ([`SendWindow`]), and a
-//! successor lets that time and the lease pass for each subject that the holder may be acting on ([`DutyLeases`]).
-//! Times are those of a clock that counts suspensions.
+//! Before it acts, the holder appends an announcement to the store, on the condition that it has read all earlier
+//! records; the record's offset is its epoch. A holder that was replaced during a pause therefore cannot announce
+//! anything. An action announced just before the pause is sent within a short time or not at all ([`SendWindow`]), and
+//! a successor waits for that time plus the lease on each subject that the holder may be acting on ([`DutyLeases`]).
+//! All times are of a monotonic clock that also runs during suspension.
 //!
 //! ```
-//! use borageshore_duty::{DutyLeases, DutyTerms};
+//! use borageshore_duty::{DutyLeases, DutyTiming};
 //!
-//! let terms = DutyTerms { lease_ms: 3_000, sent_within_ms: 500, margin_ms: 300 };
-//! let mut leases = DutyLeases::open(0, terms.wait_ms());
-//! leases.on_round(&"vm-1".into(), &["usage".into()], &[], 10_000);
+//! let timing = DutyTiming { lease_ms: 3_000, send_window_ms: 500, margin_ms: 300 };
+//! let mut leases = DutyLeases::open(0, timing.takeover_delay_ms());
+//! leases.on_announcement(&"vm-1".into(), &["usage".into()], &[], 10_000);
 //! assert!(leases.may_act("vm-1", "usage", 10_100));
 //! assert!(!leases.may_act("vm-2", "usage", 10_100));
 //! assert!(leases.may_act("vm-2", "usage", 13_800));
@@ -19,10 +20,10 @@
 
 mod holder;
 mod leases;
-mod terms;
+mod timing;
 
 pub use self::{
-    holder::holder_among,
+    holder::select_holder,
     leases::DutyLeases,
-    terms::{DutyTerms, SendWindow},
+    timing::{DutyTiming, SendWindow},
 };
--- a/crates/borageshore_duty/tests/duty.rs
+++ b/crates/borageshore_duty/tests/duty.rs
@@ -1,15 +1,15 @@
-//! One holder at a time: holders that freeze, are cut off, meet, or stop.
+//! Mutual exclusion of holders that are paused, partitioned or restarted.
 
 use std::sync::Arc;
 
-use borageshore_duty::{DutyLeases, DutyTerms, holder_among};
+use borageshore_duty::{DutyLeases, DutyTiming, select_holder};
 
-const TERMS: DutyTerms = DutyTerms {
+const TIMING: DutyTiming = DutyTiming {
     lease_ms: 3_000,
-    sent_within_ms: 500,
+    send_window_ms: 500,
     margin_ms: 300,
 };
-/// Reading what another daemon appended takes no longer.
+/// The longest time until an appended record is read by another daemon.
 const READ_WITHIN_MS: u64 = 200;
 const SUBJECT: &str = "usage";
 
@@ -18,7 +18,7 @@
 }
 
 fn leases_at(now_ms: u64) -> DutyLeases {
-    DutyLeases::open(now_ms, TERMS.wait_ms())
+    DutyLeases::open(now_ms, TIMING.takeover_delay_ms())
 }
 
 macro_rules! cases {
@@ -28,32 +28,31 @@
 }
 
 cases! {
-    // The platform gets a report of an old holder after the new one's.
-    // The holder freezes between its announcement and its call, for longer than a takeover takes, and goes on.
-    a_holder_that_froze_after_its_announcement_sends_nothing => {
-        let window = TERMS.send_window(10_000);
+    // Guards against a late call of the old holder: it is paused between its announcement and its call, for longer than
+    // a takeover takes, and the platform receives its report after its successor's.
+    a_holder_paused_after_its_announcement_sends_nothing => {
+        let window = TIMING.send_window(10_000);
         assert!(window.is_open(10_500));
         assert!(!window.is_open(10_501));
         let mut successor = leases_at(0);
-        successor.on_round(&"vm-1".into(), &names(&[SUBJECT]), &[], 10_000);
+        successor.on_announcement(&"vm-1".into(), &names(&[SUBJECT]), &[], 10_000);
         let takes_over_ms = (10_000..).find(|now_ms| successor.may_act("vm-2", SUBJECT, *now_ms)).unwrap();
         assert!(!window.is_open(takes_over_ms), "both act");
-        assert!(takes_over_ms >= 10_500 + TERMS.lease_ms, "within the lease");
+        assert!(takes_over_ms >= 10_500 + TIMING.lease_ms, "within the lease");
     }
 
-    // Two holders act in turn within the lease.
-    // vm-1 is cut off from the store and not from the platform; vm-2 takes over. Back in the store, vm-1 reads
-    // of it and waits in turn.
+    // Guards against two holders that act within one lease: vm-1 loses the store but not the platform, vm-2 takes over,
+    // and vm-1 has to wait after it has read of the takeover.
     a_holder_that_comes_back_waits_for_its_successor => {
         let mut first = leases_at(0);
-        first.on_round(&"vm-1".into(), &names(&[SUBJECT]), &[], 10_000);
-        first.on_round(&"vm-2".into(), &names(&[SUBJECT]), &[], 14_000);
+        first.on_announcement(&"vm-1".into(), &names(&[SUBJECT]), &[], 10_000);
+        first.on_announcement(&"vm-2".into(), &names(&[SUBJECT]), &[], 14_000);
         assert!(!first.may_act("vm-1", SUBJECT, 17_799));
         assert!(first.may_act("vm-1", SUBJECT, 17_800));
     }
 
-    // Two daemons that meet in a restart both take themselves for the holder of a duty that neither knows of.
-    two_that_began_wait_for_what_they_may_have_missed => {
+    // Guards against two daemons that start at the same time and both act on a duty before they know of announcements.
+    daemons_that_just_started_wait_for_announcements_they_may_have_missed => {
         let leases = leases_at(10_000);
         for name in ["vm-1", "vm-2"] {
             assert!(!leases.may_act(name, SUBJECT, 13_799));
@@ -61,15 +60,15 @@
         }
     }
 
-    // An announcement of one duty makes a daemon the holder of all, and the leases of the others are forgotten.
+    // Guards against a new holder that announces one subject and then ignores the leases on the others.
     other_subjects_keep_their_leases => {
         let mut leases = leases_at(0);
-        leases.on_round(&"vm-1".into(), &names(&["e0"]), &[], 10_000);
+        leases.on_announcement(&"vm-1".into(), &names(&["e0"]), &[], 10_000);
         let others = leases.held_by_others("vm-2", 10_100);
-        leases.on_round(&"vm-2".into(), &names(&[SUBJECT]), &others, 10_100);
+        leases.on_announcement(&"vm-2".into(), &names(&[SUBJECT]), &others, 10_100);
         assert!(!leases.may_act("vm-2", "e0", 13_000));
         let mut restarted = leases_at(10_200);
-        restarted.on_round(&"vm-2".into(), &names(&[SUBJECT]), &others, 10_300);
+        restarted.on_announcement(&"vm-2".into(), &names(&[SUBJECT]), &others, 10_300);
         assert!(!restarted.may_act("vm-2", "e0", 13_000));
         assert!(restarted.may_act("vm-2", SUBJECT, 10_301));
     }
@@ -77,15 +76,15 @@
     the_last_holder_goes_on_while_it_takes_work => {
         let (all, some) = (names(&["vm-1", "vm-2", "vm-3"]), names(&["vm-1", "vm-3"]));
         let last: Arc<str> = "vm-2".into();
-        assert_eq!(holder_among("duties", Some(&last), &all), Some("vm-2"));
-        let next = holder_among("duties", Some(&last), &some);
+        assert_eq!(select_holder("duties", Some(&last), &all), Some("vm-2"));
+        let next = select_holder("duties", Some(&last), &some);
         assert!(next.is_some_and(|next| next != "vm-2"));
-        assert_eq!(next, holder_among("duties", None, &some), "all agree on the successor");
-        assert_eq!(holder_among("duties", None, &[]), None);
+        assert_eq!(next, select_holder("duties", None, &some), "all agree on the successor");
+        assert_eq!(select_holder("duties", None, &[]), None);
     }
 
-    // Daemons announce, freeze, lose their memory and send late, in any order. Whatever they do, a subject never sees
-    // a lower epoch after a higher one, nor two holders within the lease.
+    // Daemons announce, pause, restart and send late, in any order: a subject never receives a lower epoch after a
+    // higher one, nor calls of two holders within the lease.
     no_order_of_events_breaks_the_lease => {
         bolero::check!().with_type::<Vec<(u8, u16)>>().for_each(|events| {
             let mut log: Vec<(Arc<str>, u64)> = Vec::new();
@@ -100,7 +99,7 @@
                 if what & 0x80 != 0 {
                     (*leases, *read) = (leases_at(now_ms), log.len().saturating_sub(1));
                 }
-                // Reads lag behind by a moment, or the append's condition fails.
+                // The append's condition fails while the newest record may be unread.
                 let is_current = log.last().is_none_or(|(_, at_ms)| *at_ms + READ_WITHIN_MS <= now_ms);
                 if !is_current {
                     continue;
@@ -108,13 +107,13 @@
                 for (holder, at_ms) in &log[*read..] {
                     let seen_at_ms = (*at_ms + READ_WITHIN_MS).min(now_ms);
                     let seen_at_ms = if what & 0x80 != 0 { now_ms } else { seen_at_ms };
-                    leases.on_round(holder, &names(&[SUBJECT]), &[], seen_at_ms);
+                    leases.on_announcement(holder, &names(&[SUBJECT]), &[], seen_at_ms);
                 }
                 *read = log.len();
                 if leases.may_act(&name, SUBJECT, now_ms) {
                     log.push((name.clone(), now_ms));
                     let send_at_ms = now_ms + u64::from(*what & 0x3f) * 20;
-                    if TERMS.send_window(now_ms).is_open(send_at_ms) {
+                    if TIMING.send_window(now_ms).is_open(send_at_ms) {
                         sent.push((send_at_ms, log.len() as u64, name));
                     }
                 }
@@ -122,8 +121,8 @@
             sent.sort();
             for pair in sent.windows(2) {
                 let ((first_ms, first, one), (second_ms, second, other)) = (&pair[0], &pair[1]);
-                // One holder sends its calls one after the other.
-                assert!(one == other || (first < second && first_ms + TERMS.lease_ms <= *second_ms));
+                // Calls of one holder are sequential.
+                assert!(one == other || (first < second && first_ms + TIMING.lease_ms <= *second_ms));
             }
         });
     }
--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -4,7 +4,7 @@
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
 use borageshore_batch::{NamedVersion, OrderLeases, SwapRound};
-use borageshore_duty::{DutyTerms, SendWindow, holder_among};
+use borageshore_duty::{DutyTiming, SendWindow, select_holder};
 use borageshore_net::boot_time_ms;
 use borageshore_platform::{KeyedRecord, StoreError, Topic};
 use bytes::Bytes;
@@ -61,7 +61,7 @@
         let mut leases = self.leases.borrow_mut();
         let subjects = [USAGE.into()];
         let duties = leases.duties_mut();
-        duties.on_round(&report.holder, &subjects, &report.others, boot_time_ms());
+        duties.on_announcement(&report.holder, &subjects, &report.others, boot_time_ms());
     }
 }
 
@@ -99,7 +99,7 @@
     members: Rc<Members>,
     announcements: Rc<Announcements>,
     follow: Rc<Follow<Announcements>>,
-    terms: DutyTerms,
+    terms: DutyTiming,
 }
 
 /// What was announced: its epoch, and until when it may be sent.
@@ -125,15 +125,15 @@
         usage: Rc<UsageReports>,
         lease_ms: u64,
     ) -> Rc<Self> {
-        let terms = DutyTerms {
+        let terms = DutyTiming {
             lease_ms,
-            sent_within_ms: SENT_WITHIN_MS,
+            send_window_ms: SENT_WITHIN_MS,
             margin_ms: MARGIN_MS,
         };
         let announcements = Rc::new(Announcements {
             endpoints,
             usage,
-            leases: RefCell::new(OrderLeases::open(boot_time_ms(), terms.wait_ms())),
+            leases: RefCell::new(OrderLeases::open(boot_time_ms(), terms.takeover_delay_ms())),
             round_came: Notify::new(),
         });
         Rc::new(Self {
@@ -157,7 +157,7 @@
         let holder = {
             let leases = self.announcements.leases.borrow();
             let last = leases.newest_holder();
-            holder_among(RANKED_BY, last, &able).map(Arc::<str>::from)
+            select_holder(RANKED_BY, last, &able).map(Arc::<str>::from)
         };
         let is_own = holder.as_deref() == Some(&*self.members.own_name());
         self.follow.next_offset().filter(|_| is_own)
--- a/crates/borageshore_gateway/src/usage/view.rs
+++ b/crates/borageshore_gateway/src/usage/view.rs
@@ -40,7 +40,7 @@
             };
             self.keys.borrow_mut().insert(record.key.clone(), window);
             match total_counts(value) {
-                Some(counts) => self.totals.borrow_mut().learn(window, &life, &counts),
+                Some(counts) => self.totals.borrow_mut().merge(window, &life, &counts),
                 None => log::error!(key = &*record.key; "a total of usage cannot be read"),
             }
         }
@@ -89,7 +89,7 @@
     pub(super) fn counts_of(&self, window: Window) -> Counts {
         let mut all = Counts::default();
         for fold in &self.folds {
-            for (organisation, count) in fold.totals.borrow().of(window).iter() {
+            for (organisation, count) in fold.totals.borrow().window_total(window).iter() {
                 *all.get_or_insert_with(organisation.clone(), || 0) += count;
             }
         }
--- a/crates/borageshore_usage/src/lib.rs
+++ b/crates/borageshore_usage/src/lib.rs
@@ -1,7 +1,7 @@
-//! Usage: how many requests of each organisation began to run in each window, counted once, reported once.
+//! Usage accounting: the requests of each organisation that started in each window, counted once and reported once.
 //!
-//! Each daemon counts what it sent and adds up what it has counted; totals only rise, so that a total may be told
-//! again, late, or by a reader that has seen it before.
+//! Each daemon publishes cumulative totals of the requests that it sent. Totals only increase, so a total can be
+//! applied repeatedly and out of order.
 //!
 //! ```
 //! use borageshore_usage::{OwnCounts, Totals, Window};
@@ -9,21 +9,21 @@
 //! let mut own = OwnCounts::default();
 //! own.add(Window(7), &"mill".into(), 1);
 //! let mut totals = Totals::default();
-//! for (window, counts) in own.take_untold() {
-//!     totals.learn(window, &"vm-1.12".into(), &counts);
-//!     totals.learn(window, &"vm-1.12".into(), &counts);
+//! for (window, counts) in own.take_dirty() {
+//!     totals.merge(window, &"vm-1.12".into(), &counts);
+//!     totals.merge(window, &"vm-1.12".into(), &counts);
 //! }
-//! assert_eq!(totals.of(Window(7)).get("mill"), Some(&1));
+//! assert_eq!(totals.window_total(Window(7)).get("mill"), Some(&1));
 //! ```
 
 mod own_counts;
-mod plan;
+mod reports;
 mod totals;
 mod window;
 
 pub use self::{
     own_counts::OwnCounts,
-    plan::{Reports, UsageTimes},
+    reports::{Reports, UsageTiming},
     totals::Totals,
     window::Window,
 };
--- a/crates/borageshore_usage/src/own_counts.rs
+++ b/crates/borageshore_usage/src/own_counts.rs
@@ -1,4 +1,4 @@
-//! What one daemon has counted.
+//! The counts of this daemon.
 
 use std::sync::Arc;
 
@@ -7,56 +7,56 @@
 use crate::{Counts, window::Window};
 
 #[derive(Debug, Default)]
-struct Counted {
+struct WindowCounts {
     counts: Counts,
-    is_untold: bool,
+    is_dirty: bool,
 }
 
-/// The requests that one life of a daemon sent, by window.
+/// The requests that one daemon incarnation sent, by window.
 #[derive(Debug, Default)]
 pub struct OwnCounts {
-    windows: SortedMap<Window, Counted>,
+    windows: SortedMap<Window, WindowCounts>,
 }
 
 impl OwnCounts {
-    /// Counts requests of an organisation.
+    /// Adds `count` requests of an organisation.
     pub fn add(&mut self, window: Window, organisation: &Arc<str>, count: u64) {
-        let counted = self.windows.get_or_insert_with(window, Counted::default);
-        *counted
-            .counts
-            .get_or_insert_with(organisation.clone(), || 0) += count;
-        counted.is_untold = true;
+        let entry = self
+            .windows
+            .get_or_insert_with(window, WindowCounts::default);
+        *entry.counts.get_or_insert_with(organisation.clone(), || 0) += count;
+        entry.is_dirty = true;
     }
 
-    /// Says whether something is yet to be told.
-    pub fn is_untold(&self) -> bool {
-        self.windows.values().any(|counted| counted.is_untold)
+    /// Whether any window has counts that are not published yet.
+    pub fn is_dirty(&self) -> bool {
+        self.windows.values().any(|entry| entry.is_dirty)
     }
 
-    /// Takes the totals of all windows that have something untold.
-    pub fn take_untold(&mut self) -> Vec<(Window, Counts)> {
-        let mut untold = Vec::new();
-        for (window, counted) in self.windows.iter_mut() {
-            if std::mem::take(&mut counted.is_untold) {
-                untold.push((*window, counted.counts.clone()));
+    /// Returns the totals of all windows that changed since the last call and marks them as published.
+    pub fn take_dirty(&mut self) -> Vec<(Window, Counts)> {
+        let mut dirty = Vec::new();
+        for (window, entry) in self.windows.iter_mut() {
+            if std::mem::take(&mut entry.is_dirty) {
+                dirty.push((*window, entry.counts.clone()));
             }
         }
-        untold
+        dirty
     }
 
-    /// Notes windows that could not be told.
-    pub fn put_back<Windows>(&mut self, windows: Windows)
+    /// Marks windows as unpublished again after a failed write; windows that were dropped are ignored.
+    pub fn mark_dirty<Windows>(&mut self, windows: Windows)
     where
         Windows: IntoIterator<Item = Window>,
     {
         for window in windows {
-            if let Some(counted) = self.windows.get_mut(&window) {
-                counted.is_untold = true;
+            if let Some(entry) = self.windows.get_mut(&window) {
+                entry.is_dirty = true;
             }
         }
     }
 
-    /// Forgets windows before one.
+    /// Removes the windows before `first`.
     pub fn forget_before(&mut self, first: Window) {
         self.windows.retain(|window, _| *window >= first);
     }
--- a/crates/borageshore_usage/tests/usage.rs
+++ b/crates/borageshore_usage/tests/usage.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use borageshore_usage::{Counts, OwnCounts, Reports, Totals, UsageTimes, Window};
+use borageshore_usage::{Counts, OwnCounts, Reports, Totals, UsageTiming, Window};
 
-const TIMES: UsageTimes = UsageTimes {
+const TIMING: UsageTiming = UsageTiming {
     window_ms: 5_000,
-    late_ms: 10_000,
+    report_deadline_ms: 10_000,
 };
 
 fn counts(list: &[(&str, u64)]) -> Counts {
@@ -31,102 +31,100 @@
 }
 
 cases! {
-    // An organisation is billed for less than it used.
-    // The store was slow: it took a daemon's older total after a newer one.
+    // Guards against underbilling when the store applies a daemon's older total after a newer one.
     a_total_that_comes_late_takes_nothing_back => {
         let mut totals = Totals::default();
         let author: Arc<str> = "vm-1.5".into();
-        totals.learn(Window(3), &author, &counts(&[("mill", 7), ("farm", 1)]));
-        totals.learn(Window(3), &author, &counts(&[("mill", 5)]));
-        totals.learn(Window(3), &"vm-1.6".into(), &counts(&[("mill", 2)]));
-        assert_eq!(listed(&totals.of(Window(3))), [("farm".into(), 1), ("mill".into(), 9)]);
-        assert!(totals.of(Window(4)).is_empty());
+        totals.merge(Window(3), &author, &counts(&[("mill", 7), ("farm", 1)]));
+        totals.merge(Window(3), &author, &counts(&[("mill", 5)]));
+        totals.merge(Window(3), &"vm-1.6".into(), &counts(&[("mill", 2)]));
+        assert_eq!(listed(&totals.window_total(Window(3))), [("farm".into(), 1), ("mill".into(), 9)]);
+        assert!(totals.window_total(Window(4)).is_empty());
     }
 
-    what_could_not_be_told_is_told_again_with_what_came_since => {
+    counts_that_failed_to_publish_are_published_again_with_later_ones => {
         let mut own = OwnCounts::default();
         own.add(Window(3), &"mill".into(), 1);
-        let told = own.take_untold();
-        assert!(!own.is_untold());
+        let published = own.take_dirty();
+        assert!(!own.is_dirty());
         own.add(Window(3), &"mill".into(), 1);
-        own.put_back(told.iter().map(|(window, _)| *window));
-        let again = own.take_untold();
+        own.mark_dirty(published.iter().map(|(window, _)| *window));
+        let again = own.take_dirty();
         assert_eq!(again.len(), 1);
         assert_eq!(again[0].1.get("mill"), Some(&2));
         own.forget_before(Window(4));
-        own.put_back([Window(3)]);
-        assert!(!own.is_untold());
+        own.mark_dirty([Window(3)]);
+        assert!(!own.is_dirty());
     }
 
-    // The platform gets two reports of one window that differ.
-    // A holder fixes a report and dies; late counts come in; its successor reports those as well.
-    a_fixed_report_is_never_changed => {
+    // Guards against two different reports for one window: a holder finalizes a report and dies, and its successor sees
+    // counts that arrived since.
+    a_finalized_report_is_never_changed => {
         let mut reports = Reports::default();
-        reports.on_fixed(Window(3), &counts(&[("mill", 7)]));
-        reports.on_fixed(Window(3), &counts(&[("mill", 8)]));
-        let (window, fixed) = reports.next(&TIMES, 25_000).unwrap();
-        assert_eq!((window, fixed.map(listed)), (Window(3), Some(vec![("mill".into(), 7)])));
+        reports.on_finalized(Window(3), &counts(&[("mill", 7)]));
+        reports.on_finalized(Window(3), &counts(&[("mill", 8)]));
+        let (window, finalized) = reports.next(&TIMING, 25_000).unwrap();
+        assert_eq!((window, finalized.map(listed)), (Window(3), Some(vec![("mill".into(), 7)])));
     }
 
     a_report_waits_for_counts_and_ends_when_it_is_overdue => {
         let mut reports = Reports::default();
-        reports.on_fixed(Window(2), &counts(&[]));
-        reports.on_taken(Window(2));
+        reports.on_finalized(Window(2), &counts(&[]));
+        reports.on_accepted(Window(2));
         // Window 3 ends at 20 s; its report is due at 30 s.
-        assert_eq!(reports.next(&TIMES, 22_499), None);
-        assert_eq!(reports.next(&TIMES, 22_500).map(|(window, _)| window), Some(Window(3)));
-        assert_eq!(reports.next(&TIMES, 29_999).map(|(window, _)| window), Some(Window(3)));
-        assert_eq!(reports.next(&TIMES, 30_000).map(|(window, _)| window), Some(Window(4)));
+        assert_eq!(reports.next(&TIMING, 22_499), None);
+        assert_eq!(reports.next(&TIMING, 22_500).map(|(window, _)| window), Some(Window(3)));
+        assert_eq!(reports.next(&TIMING, 29_999).map(|(window, _)| window), Some(Window(3)));
+        assert_eq!(reports.next(&TIMING, 30_000).map(|(window, _)| window), Some(Window(4)));
     }
 
     what_the_platform_has_is_not_sent_again => {
         let mut reports = Reports::default();
-        reports.on_fixed(Window(3), &counts(&[]));
-        reports.on_taken(Window(3));
-        assert_eq!(reports.next(&TIMES, 25_000), None);
-        assert_eq!(reports.taken_from(Window(0)), [Window(3)]);
+        reports.on_finalized(Window(3), &counts(&[]));
+        reports.on_accepted(Window(3));
+        assert_eq!(reports.next(&TIMING, 25_000), None);
+        assert_eq!(reports.accepted_from(Window(0)), [Window(3)]);
     }
 
-    // A daemon that never reports grows by 50 MB a day.
-    // It reads each report that another one fixes, and forgot them only where it reported itself.
+    // Guards against unbounded memory in daemons that only read the reports of another holder.
     a_report_is_forgotten_once_its_record_is_removed => {
         let mut reports = Reports::default();
         for window in 1..=3 {
-            reports.on_fixed(Window(window), &counts(&[("mill", 1)]));
-            reports.on_taken(Window(window));
+            reports.on_finalized(Window(window), &counts(&[("mill", 1)]));
+            reports.on_accepted(Window(window));
         }
-        let old = reports.before(Window(3));
+        let old = reports.windows_before(Window(3));
         assert_eq!(old, [Window(1), Window(2)]);
         old.into_iter().for_each(|window| reports.forget(window));
-        assert_eq!(reports.taken_from(Window(0)), [Window(3)]);
-        assert!(reports.before(Window(3)).is_empty());
+        assert_eq!(reports.accepted_from(Window(0)), [Window(3)]);
+        assert!(reports.windows_before(Window(3)).is_empty());
     }
 
-    // Daemons count, tell, die and tell again in any order: a reader of all records has the sum of what each life
-    // told last.
+    // Daemons count, publish and republish in any order: a reader of all records gets the sum of the last total of each
+    // incarnation.
     totals_agree_with_a_plain_sum => {
         bolero::check!().with_type::<Vec<(u8, u8)>>().for_each(|events| {
-            let mut lives: Vec<OwnCounts> = (0..4).map(|_| OwnCounts::default()).collect();
+            let mut incarnations: Vec<OwnCounts> = (0..4).map(|_| OwnCounts::default()).collect();
             let mut records: Vec<(Window, Arc<str>, Counts)> = Vec::new();
-            let mut told = 0;
-            let mut untold = [0_u64; 4];
+            let mut published = 0;
+            let mut unpublished = [0_u64; 4];
             for (what, count) in events {
-                let life = usize::from(*what) % 4;
+                let incarnation = usize::from(*what) % 4;
                 if what & 0x80 == 0 {
-                    lives[life].add(Window(1), &"mill".into(), u64::from(*count));
-                    untold[life] += u64::from(*count);
+                    incarnations[incarnation].add(Window(1), &"mill".into(), u64::from(*count));
+                    unpublished[incarnation] += u64::from(*count);
                 } else {
-                    let author: Arc<str> = format!("vm.{life}").into();
-                    let totals = lives[life].take_untold();
+                    let author: Arc<str> = format!("vm.{incarnation}").into();
+                    let totals = incarnations[incarnation].take_dirty();
                     records.extend(totals.into_iter().map(|(window, counts)| (window, author.clone(), counts)));
-                    told += std::mem::take(&mut untold[life]);
+                    published += std::mem::take(&mut unpublished[incarnation]);
                 }
             }
             let mut totals = Totals::default();
             for (window, author, counts) in records.iter().chain(records.iter().rev()) {
-                totals.learn(*window, author, counts);
+                totals.merge(*window, author, counts);
             }
-            assert_eq!(totals.of(Window(1)).get("mill").copied().unwrap_or(0), told);
+            assert_eq!(totals.window_total(Window(1)).get("mill").copied().unwrap_or(0), published);
         });
     }
 }
