--- a/crates/borageshore_soak/src/crashes.rs
+++ b/crates/borageshore_soak/src/crashes.rs
@@ -4,7 +4,9 @@
 use std::{collections::BTreeMap, rc::Rc};
 
 use borageshore_net::sleep_ms;
-use borageshore_standins::platform::{CRASH_MARK, CrashingSend, PlatformEngine, PlatformService};
+use borageshore_standins::platform::{
+    CRASH_MARK, CrashingRequest, PlatformEngine, PlatformService,
+};
 use hyper::StatusCode;
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -36,12 +38,12 @@
     let (service, proxy) = &targets.services[number];
     let mut starts = 1;
     loop {
-        service.crashed().await;
+        service.wait_for_crash().await;
         proxy.close();
         sleep_ms(DOWN_MS).await;
         service.unlist(&targets.store);
         starts += 1;
-        service.start_again(&format!("s-{number}-{starts}"));
+        service.restart_after_crash(&format!("s-{number}-{starts}"));
         match proxy.reopen() {
             Ok(()) => service.list(&targets.store, &proxy.address().to_string(), "ready"),
             Err(error) => targets
@@ -55,10 +57,10 @@
 pub(crate) async fn restart_engine_after_crashes(targets: Rc<Targets>, number: usize) {
     let (engine, proxy) = &targets.engines[number];
     loop {
-        engine.crashed().await;
+        engine.wait_for_crash().await;
         proxy.close();
         sleep_ms(DOWN_MS).await;
-        engine.start_again();
+        engine.restart_after_crash();
         match proxy.reopen() {
             Ok(()) => engine.list(&targets.store, &proxy.address().to_string(), "ready"),
             Err(error) => targets
@@ -93,21 +95,24 @@
 }
 
 /// All requests that reached endpoints which they crash.
-pub(crate) fn sends(services: &[PlatformService], engines: &[PlatformEngine]) -> Vec<CrashingSend> {
-    let at_services = services.iter().flat_map(PlatformService::crashing_sends);
-    let at_engines = engines.iter().flat_map(PlatformEngine::crashing_sends);
+pub(crate) fn sends(
+    services: &[PlatformService],
+    engines: &[PlatformEngine],
+) -> Vec<CrashingRequest> {
+    let at_services = services.iter().flat_map(PlatformService::crashing_requests);
+    let at_engines = engines.iter().flat_map(PlatformEngine::crashing_requests);
     at_services.chain(at_engines).collect()
 }
 
 /// Checks that a request which has crashed three endpoints reaches no more than some further ones.
-pub(crate) fn check(oracle: &Oracle, sends: Vec<CrashingSend>, crash_after_ms: u64) {
+pub(crate) fn check(oracle: &Oracle, sends: Vec<CrashingRequest>, crash_after_ms: u64) {
     for (body, sends) in by_body(sends) {
         let mut crashes = sends.iter().filter(|send| send.has_crashed);
         let Some(third) = crashes.nth(KNOWN_AFTER - 1) else {
             continue;
         };
         let known_at_ms = third.at_ms + crash_after_ms + KNOWN_BY_ALL_MS;
-        let counts = |send: &&CrashingSend| {
+        let counts = |send: &&CrashingRequest| {
             send.at_ms > known_at_ms && !oracle.is_disturbed(&send.id, send.at_ms, KNOWN_BY_ALL_MS)
         };
         let retries = sends.iter().filter(counts).count();
@@ -120,8 +125,8 @@
     }
 }
 
-fn by_body(all: Vec<CrashingSend>) -> BTreeMap<String, Vec<CrashingSend>> {
-    let mut sends: BTreeMap<String, Vec<CrashingSend>> = BTreeMap::new();
+fn by_body(all: Vec<CrashingRequest>) -> BTreeMap<String, Vec<CrashingRequest>> {
+    let mut sends: BTreeMap<String, Vec<CrashingRequest>> = BTreeMap::new();
     for send in all {
         sends.entry(send.body.clone()).or_default().push(send);
     }
--- a/crates/borageshore_soak/src/faults.rs
+++ b/crates/borageshore_soak/src/faults.rs
@@ -4,7 +4,7 @@
 
 use borageshore_net::{Clock, sleep_ms};
 use borageshore_standins::platform::{
-    DutyMode, EngineSwitches, LONG_EVENTS, PlainSwitches, PlatformDuties, PlatformEngine,
+    DutyMode, EngineSwitches, LONG_EVENT_COUNT, PlainSwitches, PlatformDuties, PlatformEngine,
     PlatformService, PlatformStore, Proxy, ProxyMode, StoreMode,
 };
 use futures_util::future::join_all;
@@ -216,7 +216,7 @@
         let is_long = |(engine, _): &(PlatformEngine, Proxy)| {
             let runs = engine.runs();
             let mut lengths = runs.iter().map(|run| run.events.len());
-            lengths.any(|events| (NEARLY_COMPLETE..LONG_EVENTS).contains(&(events as u64)))
+            lengths.any(|events| (NEARLY_COMPLETE..LONG_EVENT_COUNT).contains(&(events as u64)))
         };
         while !self.engines.iter().any(is_long) {
             sleep_ms(HOLDER_POLL_MS).await;
@@ -240,7 +240,7 @@
             StoreMode::Silent,
             StoreMode::Slow(120),
             StoreMode::LostAnswers,
-            StoreMode::Late(1_500),
+            StoreMode::DelayedAppends(1_500),
         ][below(5)];
         let duties = match daemon {
             0 => DutyMode::Busy,
@@ -313,7 +313,7 @@
                 sleep_ms(length_ms).await;
                 self.store.set_mode(StoreMode::Up);
             }
-            Fault::ForgetHistory => self.store.forget_history(),
+            Fault::ForgetHistory => self.store.drop_history(),
             Fault::StoreLink(number, mode) => {
                 harm_link(&self.daemons[number].store, mode, length_ms).await;
             }
@@ -327,7 +327,7 @@
             Fault::UnlistUnseen => self.unlist_unseen(length_ms).await,
             Fault::TurnAway(first) => self.turn_away(first, length_ms).await,
             Fault::SilentConnections(number) => {
-                self.daemons[number].store.forget_open_connections();
+                self.daemons[number].store.stall_open_connections();
             }
             Fault::EngineLink(number, mode) => {
                 harm_link(&self.engines[number].1, mode, length_ms).await;
@@ -350,7 +350,7 @@
                 self.switch(number, length_ms, |s| s.cut_every = 3).await;
             }
             Fault::EngineLateOrders(number) => {
-                self.switch(number, length_ms, |s| s.late_orders_ms = 1_500)
+                self.switch(number, length_ms, |s| s.order_delay_ms = 1_500)
                     .await;
             }
             Fault::ServiceLoses(number) => {
@@ -358,7 +358,7 @@
                     .await;
             }
             Fault::ServiceCrosses(number) => {
-                self.switch_service(number, length_ms, |s| s.cross_every = 5)
+                self.switch_service(number, length_ms, |s| s.wrong_id_every = 5)
                     .await;
             }
             Fault::ServiceLink(number, mode) => {
@@ -398,10 +398,10 @@
         }
         sleep_ms(length_ms).await;
         self.store.put("keyed.servers", "s-0", b"");
-        self.store.forget_history();
+        self.store.drop_history();
         self.oracle.unlisted_at_ms.set(Some(self.clock.now_ms()));
         for daemon in &self.daemons {
-            daemon.store.forget_open_connections();
+            daemon.store.stall_open_connections();
             daemon.store.set_mode(ProxyMode::Pass);
         }
     }
@@ -448,7 +448,7 @@
     fn start_engine_again(&self, number: usize) {
         let (engine, proxy) = &self.engines[number];
         engine.restart(1);
-        proxy.forget_open_connections();
+        proxy.stall_open_connections();
         engine.list(&self.store, &proxy.address().to_string(), "ready");
     }
 
@@ -490,7 +490,7 @@
         engine.set_switches(EngineSwitches {
             event_ms: 15,
             cut_every: 0,
-            late_orders_ms: 0,
+            order_delay_ms: 0,
             ..usual
         });
     }
@@ -502,7 +502,7 @@
         let usual = PlainSwitches {
             work_ms: 5,
             lose_every: 0,
-            cross_every: 0,
+            wrong_id_every: 0,
         };
         let mut switches = usual;
         change(&mut switches);
--- a/crates/borageshore_soak/src/keys.rs
+++ b/crates/borageshore_soak/src/keys.rs
@@ -3,7 +3,9 @@
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc};
 
 use borageshore_net::{HttpClient, sleep_ms};
-use borageshore_standins::platform::{PlatformEngine, PlatformService, PlatformStore, SeenCaller};
+use borageshore_standins::platform::{
+    PlatformEngine, PlatformService, PlatformStore, RecordedCaller,
+};
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
@@ -157,7 +159,7 @@
         .await;
 }
 
-fn check_caller(oracle: &Oracle, id: &str, caller: &SeenCaller, expected: Option<&str>) {
+fn check_caller(oracle: &Oracle, id: &str, caller: &RecordedCaller, expected: Option<&str>) {
     if caller.has_key {
         oracle.broken(format!("{id} reached an endpoint with its caller's key"));
     }
--- a/crates/borageshore_soak/src/oracle.rs
+++ b/crates/borageshore_soak/src/oracle.rs
@@ -7,7 +7,7 @@
 };
 
 use borageshore_standins::platform::{
-    PlatformEngine, PlatformService, SeenRun, event_text, events_of,
+    PlatformEngine, PlatformService, RecordedRun, event_count, event_text,
 };
 use serde::Deserialize;
 
@@ -149,7 +149,7 @@
         if result.state != "done" {
             return;
         }
-        let events: Vec<String> = (1..=events_of(&result.id))
+        let events: Vec<String> = (1..=event_count(&result.id))
             .map(|event| event_text(&result.id, event))
             .collect();
         if result.output != events.join("\n") {
@@ -173,7 +173,7 @@
 
     /// Checks what the endpoints saw over the whole run.
     pub(crate) fn check_endpoints(&self, engines: &[PlatformEngine], services: &[PlatformService]) {
-        let runs: Vec<SeenRun> = engines.iter().flat_map(PlatformEngine::runs).collect();
+        let runs: Vec<RecordedRun> = engines.iter().flat_map(PlatformEngine::runs).collect();
         self.check_refused(&runs);
         self.check_versions(&runs);
         self.check_single_calls(services);
@@ -183,7 +183,7 @@
         }
     }
 
-    fn check_refused(&self, runs: &[SeenRun]) {
+    fn check_refused(&self, runs: &[RecordedRun]) {
         for (id, known) in self.submissions.borrow().iter() {
             let has_run = |item: &String| runs.iter().any(|run| run.item == *item);
             if known.is_refused && !known.is_accepted && known.items.iter().any(has_run) {
@@ -194,7 +194,7 @@
 
     /// The versions of a result are those of events that were made; nothing else can be told from
     /// outside where several runs made the same event.
-    fn check_versions(&self, runs: &[SeenRun]) {
+    fn check_versions(&self, runs: &[RecordedRun]) {
         for (id, known) in self.submissions.borrow().iter() {
             for result in known
                 .results
--- a/crates/borageshore_soak/src/usage.rs
+++ b/crates/borageshore_soak/src/usage.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use borageshore_net::Clock;
-use borageshore_standins::platform::{PlatformDuties, PlatformService, TakenReport};
+use borageshore_standins::platform::{PlatformDuties, PlatformService, ReceivedReport};
 
 use crate::{keys::CALLERS, oracle::Oracle};
 
@@ -25,7 +25,7 @@
 /// Checks who sent reports, and that no two of one window differ.
 pub(crate) fn check_holders(oracle: &Oracle, duties: &PlatformDuties) {
     let reports = duties.reports();
-    let mut first: BTreeMap<u64, &TakenReport> = BTreeMap::new();
+    let mut first: BTreeMap<u64, &ReceivedReport> = BTreeMap::new();
     for report in &reports {
         let known = first.entry(report.window).or_insert(report);
         if known.counts != report.counts {
--- a/crates/borageshore_soak/src/world.rs
+++ b/crates/borageshore_soak/src/world.rs
@@ -10,7 +10,7 @@
 
 use borageshore_net::{Clock, sleep_ms};
 use borageshore_standins::platform::{
-    PlatformDuties, PlatformEngine, PlatformService, PlatformStore, Proxy, events_of,
+    PlatformDuties, PlatformEngine, PlatformService, PlatformStore, Proxy, event_count,
 };
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -317,7 +317,7 @@
         proper_held_at_ms: traffic.held_at_ms.borrow().clone(),
         unauthorized_at_ms: traffic.unauthorized_at_ms.borrow().clone(),
         not_accepted: oracle.not_accepted.get(),
-        kept_records: targets.store.kept_records("keyed.batch-"),
+        kept_records: targets.store.key_count("keyed.batch-"),
         resumed_runs: resumed_runs(targets),
         orders_after_stop_ms: orders_after_stop_ms(targets, oracle),
         most_remade: most_remade(targets),
@@ -350,7 +350,7 @@
     }
     let remade = made
         .iter()
-        .map(|(item, made)| made.saturating_sub(events_of(item)));
+        .map(|(item, made)| made.saturating_sub(event_count(item)));
     remade.max().unwrap_or(0)
 }
 
@@ -368,7 +368,7 @@
     let runs = targets
         .services
         .iter()
-        .flat_map(|(service, _)| service.ends_ms());
+        .flat_map(|(service, _)| service.deadlines_ms());
     let overtime = runs.filter_map(|(id, end_ms)| end_ms.checked_sub(*call_ends_ms.get(&id)?));
     overtime.max().unwrap_or(0)
 }
--- a/crates/borageshore_standins/src/platform/crash.rs
+++ b/crates/borageshore_standins/src/platform/crash.rs
@@ -17,7 +17,7 @@
 
 /// A request that reached an endpoint which it crashes.
 #[derive(Debug, Clone)]
-pub struct CrashingSend {
+pub struct CrashingRequest {
     /// The id of the attempt.
     pub id: String,
     /// What the request asks, the same in each of its repeats.
@@ -35,7 +35,7 @@
     after_ms: Cell<u64>,
     is_down: Cell<bool>,
     crashed: Notify,
-    sends: RefCell<Vec<CrashingSend>>,
+    sends: RefCell<Vec<CrashingRequest>>,
 }
 
 impl Crashes {
@@ -55,7 +55,7 @@
         at_ms: u64,
     ) -> EdgeResponse {
         let number = self.sends.borrow().len();
-        self.sends.borrow_mut().push(CrashingSend {
+        self.sends.borrow_mut().push(CrashingRequest {
             id,
             body: String::from_utf8_lossy(body).into_owned(),
             at_ms,
@@ -78,16 +78,16 @@
     }
 
     /// Waits until a request has crashed the endpoint.
-    pub(crate) async fn crashed(&self) {
+    pub(crate) async fn wait_for_crash(&self) {
         self.crashed.notified().await;
     }
 
-    pub(crate) fn start_again(&self) {
+    pub(crate) fn restart_after_crash(&self) {
         self.is_down.set(false);
     }
 
     /// The requests that crash their endpoints and reached this one, in order.
-    pub(crate) fn sends(&self) -> Vec<CrashingSend> {
+    pub(crate) fn sends(&self) -> Vec<CrashingRequest> {
         self.sends.borrow().clone()
     }
 }
--- a/crates/borageshore_standins/src/platform/duties.rs
+++ b/crates/borageshore_standins/src/platform/duties.rs
@@ -30,7 +30,7 @@
 
 /// A report of usage that was taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TakenReport {
+pub struct ReceivedReport {
     /// When it came.
     pub at_ms: u64,
     /// Who sent it.
@@ -53,7 +53,7 @@
 struct Shared {
     clock: Clock,
     mode: Cell<DutyMode>,
-    reports: RefCell<Vec<TakenReport>>,
+    reports: RefCell<Vec<ReceivedReport>>,
 }
 
 /// The platform's address for duties.
@@ -89,7 +89,7 @@
     }
 
     /// The reports that it took, in order.
-    pub fn reports(&self) -> Vec<TakenReport> {
+    pub fn reports(&self) -> Vec<ReceivedReport> {
         self.shared.reports.borrow().clone()
     }
 }
@@ -115,7 +115,7 @@
         let (Ok(usage), Ok(epoch)) = (usage, epoch) else {
             return status(400);
         };
-        self.0.reports.borrow_mut().push(TakenReport {
+        self.0.reports.borrow_mut().push(ReceivedReport {
             at_ms: self.0.clock.now_ms(),
             holder,
             epoch,
--- a/crates/borageshore_standins/src/platform/engine.rs
+++ b/crates/borageshore_standins/src/platform/engine.rs
@@ -17,24 +17,24 @@
 use serde_json::json;
 
 use super::{
-    SeenCaller,
-    crash::{Crashes, CrashingSend},
+    RecordedCaller,
+    crash::{Crashes, CrashingRequest},
     header, mixed,
     store::PlatformStore,
 };
 use crate::http::{limits, status};
 
 /// The most events of a text.
-const MOST_EVENTS: u64 = 12;
+const MAX_EVENT_COUNT: u64 = 12;
 
 /// The events of an item whose name says that its text is long.
-pub const LONG_EVENTS: u64 = 60;
+pub const LONG_EVENT_COUNT: u64 = 60;
 
 /// How many events the text of an item has.
-pub fn events_of(item: &str) -> u64 {
+pub fn event_count(item: &str) -> u64 {
     match item.starts_with("long") {
-        true => LONG_EVENTS,
-        false => 1 + mixed(item) % MOST_EVENTS,
+        true => LONG_EVENT_COUNT,
+        false => 1 + mixed(item) % MAX_EVENT_COUNT,
     }
 }
 
@@ -56,20 +56,20 @@
     /// Every so many runs are cut in the middle of an event; 0 for none.
     pub cut_every: u64,
     /// Orders get no answer and are carried out this much later; 0 for at once.
-    pub late_orders_ms: u64,
+    pub order_delay_ms: u64,
     /// It accepts connections and answers nothing.
-    pub is_dark: bool,
+    pub is_unresponsive: bool,
 }
 
 /// A run of an item, as the engine saw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SeenRun {
+pub struct RecordedRun {
     /// The item.
     pub item: String,
     /// When it reached the engine.
     pub at_ms: u64,
     /// In whose name it ran.
-    pub caller: SeenCaller,
+    pub caller: RecordedCaller,
     /// The event after which it was asked to begin.
     pub after_event: u64,
     /// The events that it made, with the version of the weights.
@@ -78,7 +78,7 @@
 
 /// An order, as the engine saw it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GivenOrder {
+pub struct ReceivedOrder {
     /// When it arrived.
     pub at_ms: u64,
     /// Who gave it.
@@ -103,8 +103,8 @@
     running: Cell<u64>,
     slots: u64,
     switches: Cell<EngineSwitches>,
-    runs: RefCell<Vec<SeenRun>>,
-    orders: RefCell<Vec<GivenOrder>>,
+    runs: RefCell<Vec<RecordedRun>>,
+    orders: RefCell<Vec<ReceivedOrder>>,
     service: String,
     /// Where it is listed, with its address and state there.
     listed: RefCell<Option<(PlatformStore, String, String)>>,
@@ -152,8 +152,8 @@
                 event_ms: 15,
                 load_ms: 150,
                 cut_every: 0,
-                late_orders_ms: 0,
-                is_dark: false,
+                order_delay_ms: 0,
+                is_unresponsive: false,
             }),
             runs: RefCell::default(),
             orders: RefCell::default(),
@@ -187,22 +187,22 @@
     }
 
     /// Waits until an item has crashed it.
-    pub async fn crashed(&self) {
-        self.shared.crashes.crashed().await;
+    pub async fn wait_for_crash(&self) {
+        self.shared.crashes.wait_for_crash().await;
     }
 
     /// Starts it again after a crash, under its id and with the weights that it had.
-    pub fn start_again(&self) {
+    pub fn restart_after_crash(&self) {
         self.restart(self.shared.version.get());
-        self.shared.crashes.start_again();
+        self.shared.crashes.restart_after_crash();
     }
 
     /// The items that crash their engines and reached it, in order.
-    pub fn crashing_sends(&self) -> Vec<CrashingSend> {
+    pub fn crashing_requests(&self) -> Vec<CrashingRequest> {
         self.shared.crashes.sends()
     }
 
-    /// The instant of its last start, on the clock of [`SeenRun::at_ms`].
+    /// The instant of its last start, on the clock of [`RecordedRun::at_ms`].
     pub fn started_at_ms(&self) -> u64 {
         self.shared.started_at_ms.get()
     }
@@ -218,19 +218,19 @@
     }
 
     /// The runs that it saw.
-    pub fn runs(&self) -> Vec<SeenRun> {
+    pub fn runs(&self) -> Vec<RecordedRun> {
         self.shared.runs.borrow().clone()
     }
 
     /// The orders that it saw.
-    pub fn orders(&self) -> Vec<GivenOrder> {
+    pub fn orders(&self) -> Vec<ReceivedOrder> {
         self.shared.orders.borrow().clone()
     }
 }
 
 impl Handler for Endpoint {
     async fn handle(&self, request: EdgeRequest, _remote: SocketAddr) -> EdgeResponse {
-        if self.0.switches.get().is_dark {
+        if self.0.switches.get().is_unresponsive {
             return std::future::pending().await;
         }
         match request.uri().path() {
@@ -278,13 +278,13 @@
         let Ok(order) = serde_json::from_slice::<Order>(&body) else {
             return status(400);
         };
-        self.orders.borrow_mut().push(GivenOrder {
+        self.orders.borrow_mut().push(ReceivedOrder {
             at_ms: self.clock.now_ms(),
             holder: order.holder.clone(),
             epoch: order.fence,
             version: order.version,
         });
-        let late_ms = self.switches.get().late_orders_ms;
+        let late_ms = self.switches.get().order_delay_ms;
         if late_ms > 0 {
             monoio::spawn(async move {
                 sleep_ms(late_ms).await;
@@ -333,7 +333,7 @@
             .to_owned();
         let after = header(headers, "last-event-id").and_then(|id| id.parse().ok());
         let after_event = after.unwrap_or(0);
-        let caller = SeenCaller::of(headers);
+        let caller = RecordedCaller::of(headers);
         let Ok(asked) = read_body(request.into_body(), limits()).await else {
             return status(400);
         };
@@ -347,7 +347,7 @@
         let load = format!("{},0,{}", self.running.get() + 1, self.slots);
         shown.insert("x-server-load", load.parse().expect("plain text"));
         // With nothing left to make, an engine names no version.
-        if after_event < events_of(&item) {
+        if after_event < event_count(&item) {
             shown.insert("x-weight-versions", self.version.get().into());
         }
         monoio::spawn(self.generate(item, caller, after_event, sender));
@@ -357,13 +357,13 @@
     async fn generate(
         self: Rc<Self>,
         item: String,
-        caller: SeenCaller,
+        caller: RecordedCaller,
         after_event: u64,
         mut sender: http_body_util::channel::Sender<Bytes, io::Error>,
     ) {
         self.running.set(self.running.get() + 1);
         let number = self.runs.borrow().len();
-        self.runs.borrow_mut().push(SeenRun {
+        self.runs.borrow_mut().push(RecordedRun {
             item: item.clone(),
             at_ms: self.clock.now_ms(),
             caller,
@@ -374,7 +374,7 @@
         let is_cut = cut_every > 0 && (number as u64 + 1).is_multiple_of(cut_every);
         let mut shown_version = self.version.get();
         let started_at_ms = self.started_at_ms.get();
-        for event in after_event + 1..=events_of(&item) {
+        for event in after_event + 1..=event_count(&item) {
             sleep_ms(self.switches.get().event_ms).await;
             if self.started_at_ms.get() != started_at_ms {
                 sender.abort(io::Error::other("started again"));
--- a/crates/borageshore_standins/src/platform/mod.rs
+++ b/crates/borageshore_standins/src/platform/mod.rs
@@ -13,10 +13,11 @@
 use hyper::HeaderMap;
 
 pub use self::{
-    crash::{CRASH_MARK, CrashingSend},
-    duties::{DutyMode, PlatformDuties, TakenReport},
+    crash::{CRASH_MARK, CrashingRequest},
+    duties::{DutyMode, PlatformDuties, ReceivedReport},
     engine::{
-        EngineSwitches, GivenOrder, LONG_EVENTS, PlatformEngine, SeenRun, event_text, events_of,
+        EngineSwitches, LONG_EVENT_COUNT, PlatformEngine, ReceivedOrder, RecordedRun, event_count,
+        event_text,
     },
     plain::{PlainSwitches, PlatformService},
     proxy::{Proxy, ProxyMode},
@@ -25,14 +26,14 @@
 
 /// In whose name a request reached an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SeenCaller {
+pub struct RecordedCaller {
     /// The organisation that the endpoint was told.
     pub organisation: Option<String>,
     /// Whether the caller's key was passed on.
     pub has_key: bool,
 }
 
-impl SeenCaller {
+impl RecordedCaller {
     fn of(headers: &HeaderMap) -> Self {
         Self {
             organisation: header(headers, "x-tenant").map(Into::into),
--- a/crates/borageshore_standins/src/platform/plain.rs
+++ b/crates/borageshore_standins/src/platform/plain.rs
@@ -16,8 +16,8 @@
 use serde_json::json;
 
 use super::{
-    SeenCaller,
-    crash::{Crashes, CrashingSend},
+    RecordedCaller,
+    crash::{Crashes, CrashingRequest},
     header, mixed,
     store::PlatformStore,
 };
@@ -31,7 +31,7 @@
     /// Every so many calls run and are never answered; 0 for none.
     pub lose_every: u64,
     /// Every so many answers bear the id of another call; 0 for none.
-    pub cross_every: u64,
+    pub wrong_id_every: u64,
 }
 
 #[derive(Debug)]
@@ -45,7 +45,7 @@
     /// When each call ran, by its id.
     runs: RefCell<BTreeMap<String, Vec<u64>>>,
     /// In whose name each call ran, each of its runs, by its id.
-    callers: RefCell<BTreeMap<String, Vec<SeenCaller>>>,
+    callers: RefCell<BTreeMap<String, Vec<RecordedCaller>>>,
     /// Until when each call was said to be waited for, the latest of its runs, by its id.
     ends: RefCell<BTreeMap<String, u64>>,
 }
@@ -71,7 +71,7 @@
             switches: Cell::new(PlainSwitches {
                 work_ms: 5,
                 lose_every: 0,
-                cross_every: 0,
+                wrong_id_every: 0,
             }),
             running: Cell::new(0),
             calls: Cell::new(0),
@@ -116,18 +116,18 @@
     }
 
     /// Waits until a call has crashed it.
-    pub async fn crashed(&self) {
-        self.shared.crashes.crashed().await;
+    pub async fn wait_for_crash(&self) {
+        self.shared.crashes.wait_for_crash().await;
     }
 
     /// Starts again after a crash, as a new instance.
-    pub fn start_again(&self, instance: &str) {
+    pub fn restart_after_crash(&self, instance: &str) {
         self.shared.instance.replace(instance.into());
-        self.shared.crashes.start_again();
+        self.shared.crashes.restart_after_crash();
     }
 
     /// The calls that reached it and crash their endpoints, in order.
-    pub fn crashing_sends(&self) -> Vec<CrashingSend> {
+    pub fn crashing_requests(&self) -> Vec<CrashingRequest> {
         self.shared.crashes.sends()
     }
 
@@ -142,12 +142,12 @@
     }
 
     /// In whose name each call ran, each of its runs, by its id.
-    pub fn callers(&self) -> BTreeMap<String, Vec<SeenCaller>> {
+    pub fn callers(&self) -> BTreeMap<String, Vec<RecordedCaller>> {
         self.shared.callers.borrow().clone()
     }
 
     /// Until when each call was said to be waited for, the latest of its runs, by its id.
-    pub fn ends_ms(&self) -> BTreeMap<String, u64> {
+    pub fn deadlines_ms(&self) -> BTreeMap<String, u64> {
         self.shared.ends.borrow().clone()
     }
 
@@ -169,7 +169,7 @@
         }
         let time_left_ms =
             header(request.headers(), "x-deadline-ms").and_then(|ms| ms.parse::<u64>().ok());
-        let caller = SeenCaller::of(request.headers());
+        let caller = RecordedCaller::of(request.headers());
         let Ok(body) = read_body(request.into_body(), limits()).await else {
             return status(400);
         };
@@ -204,7 +204,7 @@
         if is_nth(count, switches.lose_every) {
             return pending().await;
         }
-        let is_crossed = is_nth(count, switches.cross_every);
+        let is_crossed = is_nth(count, switches.wrong_id_every);
         let echoed = if is_crossed { "another" } else { &id };
         let mut response = Response::new(full_body(format!("answer to {id}")));
         let headers = response.headers_mut();
--- a/crates/borageshore_standins/src/platform/proxy.rs
+++ b/crates/borageshore_standins/src/platform/proxy.rs
@@ -99,7 +99,7 @@
     }
 
     /// Silences all open connections for good; new ones work.
-    pub fn forget_open_connections(&self) {
+    pub fn stall_open_connections(&self) {
         self.shared.generation.set(self.shared.generation.get() + 1);
     }
 }
--- a/crates/borageshore_standins/src/platform/store.rs
+++ b/crates/borageshore_standins/src/platform/store.rs
@@ -38,7 +38,7 @@
     /// It does what it is asked and answers no append.
     LostAnswers,
     /// It answers no append and does it after so many ms, if its condition still holds.
-    Late(u64),
+    DelayedAppends(u64),
 }
 
 #[derive(Debug, Clone)]
@@ -142,7 +142,7 @@
     }
 
     /// How many keys the topics hold whose names begin so.
-    pub fn kept_records(&self, topics: &str) -> usize {
+    pub fn key_count(&self, topics: &str) -> usize {
         let partitions = self.shared.partitions.borrow();
         let kept = partitions
             .iter()
@@ -151,7 +151,7 @@
     }
 
     /// Drops the history of all topics; the newest records of keyed topics stay.
-    pub fn forget_history(&self) {
+    pub fn drop_history(&self) {
         for partition in self.shared.partitions.borrow_mut().values_mut() {
             partition.records.clear();
         }
@@ -165,7 +165,7 @@
             StoreMode::Busy => return status(503),
             StoreMode::Silent => return pending().await,
             StoreMode::Slow(ms) => sleep_ms(ms).await,
-            StoreMode::Up | StoreMode::LostAnswers | StoreMode::Late(_) => {}
+            StoreMode::Up | StoreMode::LostAnswers | StoreMode::DelayedAppends(_) => {}
         }
         let path = request.uri().path().to_owned();
         let asked = request.uri().query().unwrap_or_default().to_owned();
@@ -186,7 +186,7 @@
         let (topic, partition) = place(asked);
         let at = query(asked, "at").and_then(|at| at.parse().ok());
         let mode = self.mode.get();
-        if let StoreMode::Late(ms) = mode {
+        if let StoreMode::DelayedAppends(ms) = mode {
             sleep_ms(ms).await;
         }
         let end = self.end(&topic, partition);
@@ -194,7 +194,7 @@
             return json_response(412, &json!({ "end": end }));
         }
         let offset = self.append(&topic, partition, records(body));
-        if matches!(mode, StoreMode::LostAnswers | StoreMode::Late(_)) {
+        if matches!(mode, StoreMode::LostAnswers | StoreMode::DelayedAppends(_)) {
             return pending().await;
         }
         let end = self.end(&topic, partition);
