--- a/crates/borageshore_scenarios/src/lib.rs
+++ b/crates/borageshore_scenarios/src/lib.rs
@@ -20,6 +20,6 @@
 pub use self::{
     log::MemoryLog,
     member::Member,
-    oracle::{Broken, Oracle},
+    oracle::{Oracle, Violation},
     world::{CallReply, JOB, PullReply, World},
 };
--- a/crates/borageshore_scenarios/src/oracle.rs
+++ b/crates/borageshore_scenarios/src/oracle.rs
@@ -14,7 +14,7 @@
 
 /// A promise that did not hold.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Broken {
+pub enum Violation {
     /// Two members may act for one shard at the same time.
     TwoHolders(Vec<(Arc<str>, u64)>),
     /// Two members that folded the same records have different settings.
@@ -43,18 +43,18 @@
     /// The last applied offset by member incarnation.
     applied: SortedMap<(Arc<str>, u64), u64>,
     delivered: SortedMap<Arc<str>, u64>,
-    broken: Option<Broken>,
+    violation: Option<Violation>,
 }
 
 impl Oracle {
-    fn report(&mut self, broken: Broken) {
-        self.broken.get_or_insert(broken);
+    fn report(&mut self, violation: Violation) {
+        self.violation.get_or_insert(violation);
     }
 
     /// Looks at who may act now.
     pub fn on_holders(&mut self, holders: Vec<(Arc<str>, u64)>) {
         if holders.len() > 1 {
-            self.report(Broken::TwoHolders(holders));
+            self.report(Violation::TwoHolders(holders));
         }
     }
 
@@ -69,26 +69,26 @@
             .applied
             .insert((member.name.clone(), member.incarnation), applied);
         if before.is_some_and(|before| before > applied) {
-            self.report(Broken::SettingsReverted(member.name.clone()));
+            self.report(Violation::SettingsReverted(member.name.clone()));
         }
         let tree = serde_json::to_string(follower.fold().tree()).expect("trees are plain data");
         let known = self.settings.get_or_insert_with(applied, || tree.clone());
         if *known != tree {
-            self.report(Broken::SettingsDiffer(applied));
+            self.report(Violation::SettingsDiffer(applied));
         }
     }
 
     /// Looks at the plain service's counts.
     pub fn on_runs(&mut self, runs: &SortedMap<Arc<str>, u64>) {
         if let Some((key, _)) = runs.iter().find(|(_, count)| **count > 1) {
-            self.report(Broken::RanTwice(key.clone()));
+            self.report(Violation::RanTwice(key.clone()));
         }
     }
 
     /// Looks at the answer to a call.
     pub fn on_call(&mut self, key: &str, reply: CallReply, runs: u64) {
         if reply.outcome == Outcome::NotRun && runs > 0 {
-            self.report(Broken::FalseNotRun(key.into()));
+            self.report(Violation::FalseNotRun(key.into()));
         }
     }
 
@@ -96,18 +96,18 @@
     pub fn on_delivery(&mut self, cursor: u64, delivery: &Delivery, target_version: u64) {
         for (number, sample) in &delivery.samples {
             if *number <= cursor {
-                self.report(Broken::NumberRepeated(*number));
+                self.report(Violation::NumberRepeated(*number));
             }
             if self.delivered.insert(sample.id.clone(), *number).is_some() {
-                self.report(Broken::DeliveredTwice(sample.id.clone()));
+                self.report(Violation::DeliveredTwice(sample.id.clone()));
             }
             let oldest = sample.segments.iter().map(|segment| segment.version).min();
             match oldest {
-                None => self.report(Broken::Unattributed(sample.id.clone())),
+                None => self.report(Violation::Unattributed(sample.id.clone())),
                 Some(oldest)
                     if target_version.saturating_sub(oldest) > plan().freshness.versions =>
                 {
-                    self.report(Broken::Stale(sample.id.clone()));
+                    self.report(Violation::Stale(sample.id.clone()));
                 }
                 Some(_) => {}
             }
@@ -119,10 +119,10 @@
         self.delivered.len()
     }
 
-    /// The first broken promise, if any.
-    pub fn verdict(&self) -> Result<(), Broken> {
-        match &self.broken {
-            Some(broken) => Err(broken.clone()),
+    /// The first violation, if any.
+    pub fn verdict(&self) -> Result<(), Violation> {
+        match &self.violation {
+            Some(violation) => Err(violation.clone()),
             None => Ok(()),
         }
     }
--- a/crates/borageshore_scenarios/src/world.rs
+++ b/crates/borageshore_scenarios/src/world.rs
@@ -13,7 +13,7 @@
 use crate::{
     log::MemoryLog,
     member::Member,
-    oracle::{Broken, Oracle},
+    oracle::{Oracle, Violation},
 };
 
 /// The one job.
@@ -393,7 +393,7 @@
     }
 
     /// Checks what must always hold.
-    pub fn check(&mut self) -> Result<(), Broken> {
+    pub fn check(&mut self) -> Result<(), Violation> {
         self.check_holders();
         for member in self.members.values() {
             self.oracle.on_settings(member);
--- a/crates/borageshore_standins/src/callers.rs
+++ b/crates/borageshore_standins/src/callers.rs
@@ -75,7 +75,7 @@
 
 impl CallerSummary {
     /// The number of broken promises that callers can see by themselves.
-    pub fn broken(&self) -> u64 {
+    pub fn violation_count(&self) -> u64 {
         self.streams_cut + self.answers_wrong
     }
 }
--- a/crates/borageshore_standins/src/main.rs
+++ b/crates/borageshore_standins/src/main.rs
@@ -199,9 +199,9 @@
     .await;
     println!("{}", serde_json::to_string(&summary)?);
     eyre::ensure!(
-        summary.broken() == 0,
+        summary.violation_count() == 0,
         "{} broken promises",
-        summary.broken()
+        summary.violation_count()
     );
     eyre::ensure!(
         summary.steps == arguments.steps,
@@ -226,9 +226,9 @@
     .await;
     println!("{}", serde_json::to_string(&summary)?);
     eyre::ensure!(
-        summary.broken() == 0,
+        summary.violation_count() == 0,
         "{} broken promises",
-        summary.broken()
+        summary.violation_count()
     );
     Ok(())
 }
--- a/crates/borageshore_standins/src/trainer.rs
+++ b/crates/borageshore_standins/src/trainer.rs
@@ -76,7 +76,7 @@
 
 impl TrainerSummary {
     /// The number of broken promises.
-    pub fn broken(&self) -> u64 {
+    pub fn violation_count(&self) -> u64 {
         self.repeated + self.misattributed + self.stale
     }
 }
