--- a/crates/borageshore_standins/src/platform/crash.rs
+++ b/crates/borageshore_standins/src/platform/crash.rs
@@ -35,7 +35,7 @@
     after_ms: Cell<u64>,
     is_down: Cell<bool>,
     crashed: Notify,
-    sends: RefCell<Vec<CrashingRequest>>,
+    requests: RefCell<Vec<CrashingRequest>>,
 }
 
 impl Crashes {
@@ -54,8 +54,8 @@
         body: &[u8],
         at_ms: u64,
     ) -> EdgeResponse {
-        let number = self.sends.borrow().len();
-        self.sends.borrow_mut().push(CrashingRequest {
+        let index = self.requests.borrow().len();
+        self.requests.borrow_mut().push(CrashingRequest {
             id,
             body: String::from_utf8_lossy(body).into_owned(),
             at_ms,
@@ -64,15 +64,15 @@
         let (crashes, after_ms) = (self.clone(), self.after_ms.get());
         monoio::spawn(async move {
             sleep_ms(after_ms).await;
-            crashes.go_down(number);
+            crashes.go_down(index);
         });
         sleep_ms(after_ms + CRASH_MS).await;
         status(500)
     }
 
-    fn go_down(&self, number: usize) {
+    fn go_down(&self, index: usize) {
         if !self.is_down.replace(true) {
-            self.sends.borrow_mut()[number].has_crashed = true;
+            self.requests.borrow_mut()[index].has_crashed = true;
             self.crashed.notify_one();
         }
     }
@@ -87,7 +87,7 @@
     }
 
     /// The requests that crash their endpoints and reached this one, in order.
-    pub(crate) fn sends(&self) -> Vec<CrashingRequest> {
-        self.sends.borrow().clone()
+    pub(crate) fn requests(&self) -> Vec<CrashingRequest> {
+        self.requests.borrow().clone()
     }
 }
--- a/crates/borageshore_standins/src/platform/duties.rs
+++ b/crates/borageshore_standins/src/platform/duties.rs
@@ -102,12 +102,15 @@
             DutyMode::Slow(ms) => sleep_ms(ms).await,
             DutyMode::Up | DutyMode::LostAnswers => {}
         }
-        let text = |name| {
+        let header_text = |name| {
             header(request.headers(), name)
                 .unwrap_or_default()
                 .to_owned()
         };
-        let (holder, epoch) = (text("x-duty-holder"), text("x-fence-token").parse());
+        let (holder, epoch) = (
+            header_text("x-duty-holder"),
+            header_text("x-fence-token").parse(),
+        );
         let Ok(body) = read_body(request.into_body(), limits()).await else {
             return status(400);
         };
--- a/crates/borageshore_standins/src/platform/engine.rs
+++ b/crates/borageshore_standins/src/platform/engine.rs
@@ -19,7 +19,7 @@
 use super::{
     RecordedCaller,
     crash::{Crashes, CrashingRequest},
-    header, mixed,
+    hash, header,
     store::PlatformStore,
 };
 use crate::http::{limits, status};
@@ -34,7 +34,7 @@
 pub fn event_count(item: &str) -> u64 {
     match item.starts_with("long") {
         true => LONG_EVENT_COUNT,
-        false => 1 + mixed(item) % MAX_EVENT_COUNT,
+        false => 1 + hash(item) % MAX_EVENT_COUNT,
     }
 }
 
@@ -42,7 +42,7 @@
 pub fn event_text(item: &str, event: u64) -> String {
     format!(
         "{item} event {event} {:016x}",
-        mixed(&format!("{item}/{event}"))
+        hash(&format!("{item}/{event}"))
     )
 }
 
@@ -199,7 +199,7 @@
 
     /// The items that crash their engines and reached it, in order.
     pub fn crashing_requests(&self) -> Vec<CrashingRequest> {
-        self.shared.crashes.sends()
+        self.shared.crashes.requests()
     }
 
     /// The instant of its last start, on the clock of [`RecordedRun::at_ms`].
@@ -284,18 +284,18 @@
             epoch: order.fence,
             version: order.version,
         });
-        let late_ms = self.switches.get().order_delay_ms;
-        if late_ms > 0 {
+        let delay_ms = self.switches.get().order_delay_ms;
+        if delay_ms > 0 {
             monoio::spawn(async move {
-                sleep_ms(late_ms).await;
-                self.carry_out(&order);
+                sleep_ms(delay_ms).await;
+                self.apply(&order);
             });
             return std::future::pending().await;
         }
-        self.carry_out(&order)
+        self.apply(&order)
     }
 
-    fn carry_out(self: &Rc<Self>, order: &Order) -> EdgeResponse {
+    fn apply(self: &Rc<Self>, order: &Order) -> EdgeResponse {
         if self.is_loading.get() || order.expect != self.orders_accepted.get() {
             return status(409);
         }
@@ -333,22 +333,25 @@
             .to_owned();
         let after = header(headers, "last-event-id").and_then(|id| id.parse().ok());
         let after_event = after.unwrap_or(0);
-        let caller = RecordedCaller::of(headers);
-        let Ok(asked) = read_body(request.into_body(), limits()).await else {
+        let caller = RecordedCaller::from_headers(headers);
+        let Ok(request_body) = read_body(request.into_body(), limits()).await else {
             return status(400);
         };
-        if Crashes::is_crashing(&asked) {
-            return self.crashes.crash(item, &asked, self.clock.now_ms()).await;
+        if Crashes::is_crashing(&request_body) {
+            return self
+                .crashes
+                .crash(item, &request_body, self.clock.now_ms())
+                .await;
         }
         let (sender, body) = stream_body();
         let mut response = Response::new(body);
-        let shown = response.headers_mut();
-        shown.insert("x-request-id", item.parse().expect("plain text"));
+        let response_headers = response.headers_mut();
+        response_headers.insert("x-request-id", item.parse().expect("plain text"));
         let load = format!("{},0,{}", self.running.get() + 1, self.slots);
-        shown.insert("x-server-load", load.parse().expect("plain text"));
+        response_headers.insert("x-server-load", load.parse().expect("plain text"));
         // With nothing left to make, an engine names no version.
         if after_event < event_count(&item) {
-            shown.insert("x-weight-versions", self.version.get().into());
+            response_headers.insert("x-weight-versions", self.version.get().into());
         }
         monoio::spawn(self.generate(item, caller, after_event, sender));
         response
@@ -362,7 +365,7 @@
         mut sender: http_body_util::channel::Sender<Bytes, io::Error>,
     ) {
         self.running.set(self.running.get() + 1);
-        let number = self.runs.borrow().len();
+        let run_index = self.runs.borrow().len();
         self.runs.borrow_mut().push(RecordedRun {
             item: item.clone(),
             at_ms: self.clock.now_ms(),
@@ -371,8 +374,8 @@
             events: Vec::new(),
         });
         let cut_every = self.switches.get().cut_every;
-        let is_cut = cut_every > 0 && (number as u64 + 1).is_multiple_of(cut_every);
-        let mut shown_version = self.version.get();
+        let is_cut = cut_every > 0 && (run_index as u64 + 1).is_multiple_of(cut_every);
+        let mut announced_version = self.version.get();
         let started_at_ms = self.started_at_ms.get();
         for event in after_event + 1..=event_count(&item) {
             sleep_ms(self.switches.get().event_ms).await;
@@ -381,12 +384,12 @@
                 break;
             }
             let version = self.version.get();
-            let change = match std::mem::replace(&mut shown_version, version) != version {
+            let version_line = match std::mem::replace(&mut announced_version, version) != version {
                 true => format!("x-weight-versions: {version}\n"),
                 false => String::new(),
             };
             let text = format!(
-                "{change}id: {event}\ndata: {}\n\n",
+                "{version_line}id: {event}\ndata: {}\n\n",
                 event_text(&item, event)
             );
             if is_cut {
@@ -396,7 +399,9 @@
                 self.running.set(self.running.get() - 1);
                 return;
             }
-            self.runs.borrow_mut()[number].events.push((event, version));
+            self.runs.borrow_mut()[run_index]
+                .events
+                .push((event, version));
             if sender.send_data(text.into()).await.is_err() {
                 break;
             }
--- a/crates/borageshore_standins/src/platform/mod.rs
+++ b/crates/borageshore_standins/src/platform/mod.rs
@@ -34,7 +34,7 @@
 }
 
 impl RecordedCaller {
-    fn of(headers: &HeaderMap) -> Self {
+    fn from_headers(headers: &HeaderMap) -> Self {
         Self {
             organisation: header(headers, "x-tenant").map(Into::into),
             has_key: headers.contains_key("authorization"),
@@ -46,12 +46,12 @@
     headers.get(name)?.to_str().ok()
 }
 
-fn query<'q>(query: &'q str, name: &str) -> Option<&'q str> {
+fn query_parameter<'q>(query: &'q str, name: &str) -> Option<&'q str> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
 /// A small hash for made-up sizes and signatures.
-fn mixed(text: &str) -> u64 {
+fn hash(text: &str) -> u64 {
     borageshore_base::rendezvous_weight("stand-in", text)
 }
--- a/crates/borageshore_standins/src/platform/plain.rs
+++ b/crates/borageshore_standins/src/platform/plain.rs
@@ -18,7 +18,7 @@
 use super::{
     RecordedCaller,
     crash::{Crashes, CrashingRequest},
-    header, mixed,
+    hash, header,
     store::PlatformStore,
 };
 use crate::http::{limits, status};
@@ -47,7 +47,7 @@
     /// In whose name each call ran, each of its runs, by its id.
     callers: RefCell<BTreeMap<String, Vec<RecordedCaller>>>,
     /// Until when each call was said to be waited for, the latest of its runs, by its id.
-    ends: RefCell<BTreeMap<String, u64>>,
+    deadlines: RefCell<BTreeMap<String, u64>>,
 }
 
 /// A running endpoint of a plain service.
@@ -77,7 +77,7 @@
             calls: Cell::new(0),
             runs: RefCell::default(),
             callers: RefCell::default(),
-            ends: RefCell::default(),
+            deadlines: RefCell::default(),
         });
         let server = HttpServer::bind("127.0.0.1:0", limits(), Endpoint(shared.clone()))?;
         Ok(Self {
@@ -128,7 +128,7 @@
 
     /// The calls that reached it and crash their endpoints, in order.
     pub fn crashing_requests(&self) -> Vec<CrashingRequest> {
-        self.shared.crashes.sends()
+        self.shared.crashes.requests()
     }
 
     /// Changes its behaviour.
@@ -148,12 +148,12 @@
 
     /// Until when each call was said to be waited for, the latest of its runs, by its id.
     pub fn deadlines_ms(&self) -> BTreeMap<String, u64> {
-        self.shared.ends.borrow().clone()
+        self.shared.deadlines.borrow().clone()
     }
 
     /// The signature of this service under the answer to a call.
     pub fn stamp(id: &str) -> String {
-        format!("stamp-{:016x}", mixed(id))
+        format!("stamp-{:016x}", hash(id))
     }
 }
 
@@ -169,7 +169,7 @@
         }
         let time_left_ms =
             header(request.headers(), "x-deadline-ms").and_then(|ms| ms.parse::<u64>().ok());
-        let caller = RecordedCaller::of(request.headers());
+        let caller = RecordedCaller::from_headers(request.headers());
         let Ok(body) = read_body(request.into_body(), limits()).await else {
             return status(400);
         };
@@ -194,23 +194,23 @@
             .or_default()
             .push(caller);
         if let Some(time_left_ms) = time_left_ms {
-            let mut ends = shared.ends.borrow_mut();
-            let end_ms = ends.entry(id.clone()).or_default();
-            *end_ms = now_ms.saturating_add(time_left_ms).max(*end_ms);
+            let mut deadlines = shared.deadlines.borrow_mut();
+            let deadline_ms = deadlines.entry(id.clone()).or_default();
+            *deadline_ms = now_ms.saturating_add(time_left_ms).max(*deadline_ms);
         }
         shared.running.set(shared.running.get() + 1);
-        let _running = Running(shared);
+        let _running = RunningGuard(shared);
         sleep_ms(switches.work_ms).await;
         if is_nth(count, switches.lose_every) {
             return pending().await;
         }
-        let is_crossed = is_nth(count, switches.wrong_id_every);
-        let echoed = if is_crossed { "another" } else { &id };
+        let has_wrong_id = is_nth(count, switches.wrong_id_every);
+        let echoed_id = if has_wrong_id { "another" } else { &id };
         let mut response = Response::new(full_body(format!("answer to {id}")));
         let headers = response.headers_mut();
         let load = format!("{},0,6", shared.running.get());
         for (name, value) in [
-            ("x-request-id", echoed.to_owned()),
+            ("x-request-id", echoed_id.to_owned()),
             ("x-server-stamp", PlatformService::stamp(&id)),
             ("x-server-load", load),
         ] {
@@ -224,9 +224,9 @@
     every > 0 && count.is_multiple_of(every)
 }
 
-struct Running<'s>(&'s Shared);
+struct RunningGuard<'s>(&'s Shared);
 
-impl Drop for Running<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get() - 1);
     }
--- a/crates/borageshore_standins/src/platform/proxy.rs
+++ b/crates/borageshore_standins/src/platform/proxy.rs
@@ -13,9 +13,9 @@
 /// The most bytes that are passed on at once.
 const CHUNK_BYTES: usize = 16 * 1024;
 /// The pace at which a silent connection looks whether it may go on.
-const HELD_MS: u64 = 20;
+const RECHECK_INTERVAL_MS: u64 = 20;
 
-const TURNED_AWAY: &[u8] =
+const UNAVAILABLE_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
 /// What happens to connections.
@@ -53,7 +53,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Direction {
     Request,
     Answer,
 }
@@ -112,51 +112,63 @@
             Either::Right(_) => return,
         };
         let Ok((caller, _)) = accepted else {
-            sleep_ms(HELD_MS).await;
+            sleep_ms(RECHECK_INTERVAL_MS).await;
             continue;
         };
         if shared.mode.get() == ProxyMode::Reset {
             continue;
         }
         if shared.mode.get() == ProxyMode::Busy {
-            monoio::spawn(turn_away(caller));
+            monoio::spawn(answer_unavailable(caller));
             continue;
         }
         let target = shared.target;
         let shared = shared.clone();
         monoio::spawn(async move {
             if let Ok(target) = TcpStream::connect_addr(target).await {
-                join(caller, target, shared).await;
+                relay(caller, target, shared).await;
             }
         });
     }
 }
 
-async fn turn_away(mut caller: TcpStream) {
+async fn answer_unavailable(mut caller: TcpStream) {
     let (read, _) = caller.read(vec![0_u8; CHUNK_BYTES]).await;
     if read.is_ok_and(|count| count > 0) {
-        let (_, _) = caller.write_all(TURNED_AWAY).await;
+        let (_, _) = caller.write_all(UNAVAILABLE_RESPONSE).await;
     }
 }
 
-async fn join(caller: TcpStream, target: TcpStream, shared: Rc<Shared>) {
+async fn relay(caller: TcpStream, target: TcpStream, shared: Rc<Shared>) {
     let _ = (caller.set_nodelay(true), target.set_nodelay(true));
     let generation = shared.generation.get();
     let (from_caller, to_caller) = caller.into_split();
     let (from_target, to_target) = target.into_split();
-    let answers = pass(
+    let answers = relay_direction(
         from_target,
         to_caller,
-        Way::Answer,
+        Direction::Answer,
         shared.clone(),
         generation,
     );
     monoio::spawn(answers);
-    pass(from_caller, to_target, Way::Request, shared, generation).await;
+    relay_direction(
+        from_caller,
+        to_target,
+        Direction::Request,
+        shared,
+        generation,
+    )
+    .await;
 }
 
-async fn pass<From, To>(mut from: From, mut to: To, way: Way, shared: Rc<Shared>, generation: u64)
-where
+async fn relay_direction<From, To>(
+    mut from: From,
+    mut to: To,
+    direction: Direction,
+    shared: Rc<Shared>,
+    generation: u64,
+) where
     From: AsyncReadRent,
     To: AsyncWriteRentExt + monoio::io::AsyncWriteRent,
 {
@@ -164,16 +176,16 @@
         let (read, buffer) = from.read(vec![0_u8; CHUNK_BYTES]).await;
         let Ok(count) = read else { break };
         loop {
-            let is_forgotten = shared.generation.get() != generation;
+            let is_stalled = shared.generation.get() != generation;
             match shared.mode.get() {
                 ProxyMode::Reset | ProxyMode::Busy => return,
-                ProxyMode::Delay(ms) if !is_forgotten => {
+                ProxyMode::Delay(ms) if !is_stalled => {
                     sleep_ms(ms).await;
                     break;
                 }
-                ProxyMode::Pass if !is_forgotten => break,
-                ProxyMode::AnswersHeld if way == Way::Request && !is_forgotten => break,
-                _ => sleep_ms(HELD_MS).await,
+                ProxyMode::Pass if !is_stalled => break,
+                ProxyMode::AnswersHeld if direction == Direction::Request && !is_stalled => break,
+                _ => sleep_ms(RECHECK_INTERVAL_MS).await,
             }
         }
         if count == 0 {
--- a/crates/borageshore_standins/src/platform/store.rs
+++ b/crates/borageshore_standins/src/platform/store.rs
@@ -18,7 +18,7 @@
 use serde_json::json;
 use tokio::sync::Notify;
 
-use super::query;
+use super::query_parameter;
 use crate::http::{limits, status};
 
 /// The most bytes of one read, as the platform has it by default.
@@ -68,7 +68,7 @@
             bytes,
         };
         self.end += 1;
-        if let Some((key, value)) = split_keyed(&record.bytes) {
+        if let Some((key, value)) = split_key(&record.bytes) {
             if value.is_empty() {
                 self.newest.remove(&key);
             } else {
@@ -137,17 +137,17 @@
             .into_iter()
             .flat_map(|partition| partition.newest.values());
         records
-            .filter_map(|record| split_keyed(&record.bytes))
+            .filter_map(|record| split_key(&record.bytes))
             .collect()
     }
 
     /// How many keys the topics hold whose names begin so.
     pub fn key_count(&self, topics: &str) -> usize {
         let partitions = self.shared.partitions.borrow();
-        let kept = partitions
+        let matching = partitions
             .iter()
             .filter(|((topic, _), _)| topic.starts_with(topics));
-        kept.map(|(_, partition)| partition.newest.len()).sum()
+        matching.map(|(_, partition)| partition.newest.len()).sum()
     }
 
     /// Drops the history of all topics; the newest records of keyed topics stay.
@@ -168,32 +168,32 @@
             StoreMode::Up | StoreMode::LostAnswers | StoreMode::DelayedAppends(_) => {}
         }
         let path = request.uri().path().to_owned();
-        let asked = request.uri().query().unwrap_or_default().to_owned();
+        let query_string = request.uri().query().unwrap_or_default().to_owned();
         match path.as_str() {
-            "/api/log-append" => shared.on_append(&asked, request).await,
-            "/api/log-read" => shared.on_read(&asked).await,
-            "/api/log-newest" => shared.on_newest(&asked),
+            "/api/log-append" => shared.on_append(&query_string, request).await,
+            "/api/log-read" => shared.on_read(&query_string).await,
+            "/api/log-newest" => shared.on_newest(&query_string),
             _ => status(404),
         }
     }
 }
 
 impl Shared {
-    async fn on_append(&self, asked: &str, request: EdgeRequest) -> EdgeResponse {
+    async fn on_append(&self, query_string: &str, request: EdgeRequest) -> EdgeResponse {
         let Ok(body) = read_body(request.into_body(), limits()).await else {
             return status(400);
         };
-        let (topic, partition) = place(asked);
-        let at = query(asked, "at").and_then(|at| at.parse().ok());
+        let (topic, partition) = topic_partition(query_string);
+        let expected_end = query_parameter(query_string, "at").and_then(|at| at.parse().ok());
         let mode = self.mode.get();
         if let StoreMode::DelayedAppends(ms) = mode {
             sleep_ms(ms).await;
         }
         let end = self.end(&topic, partition);
-        if at.is_some_and(|at: u64| at != end) {
+        if expected_end.is_some_and(|expected_end: u64| expected_end != end) {
             return json_response(412, &json!({ "end": end }));
         }
-        let offset = self.append(&topic, partition, records(body));
+        let offset = self.append(&topic, partition, split_records(body));
         if matches!(mode, StoreMode::LostAnswers | StoreMode::DelayedAppends(_)) {
             return pending().await;
         }
@@ -219,14 +219,15 @@
         partition.map_or(0, |partition| partition.end)
     }
 
-    async fn on_read(&self, asked: &str) -> EdgeResponse {
-        let (topic, partition) = place(asked);
-        let number = |name| query(asked, name).and_then(|value| value.parse::<u64>().ok());
+    async fn on_read(&self, query_string: &str) -> EdgeResponse {
+        let (topic, partition) = topic_partition(query_string);
+        let number =
+            |name| query_parameter(query_string, name).and_then(|value| value.parse::<u64>().ok());
         let from = number("from").unwrap_or(0);
-        let until_ms = self.clock.now_ms() + number("wait_ms").unwrap_or(0);
+        let deadline_ms = self.clock.now_ms() + number("wait_ms").unwrap_or(0);
         loop {
             let appended = self.appended.notified();
-            let left_ms = until_ms.saturating_sub(self.clock.now_ms());
+            let left_ms = deadline_ms.saturating_sub(self.clock.now_ms());
             if self.end(&topic, partition) > from || left_ms == 0 {
                 break;
             }
@@ -254,9 +255,11 @@
         Response::new(full_body(body.freeze()))
     }
 
-    fn on_newest(&self, asked: &str) -> EdgeResponse {
-        let (topic, partition) = place(asked);
-        let after = query(asked, "after").unwrap_or_default().to_owned();
+    fn on_newest(&self, query_string: &str) -> EdgeResponse {
+        let (topic, partition) = topic_partition(query_string);
+        let after = query_parameter(query_string, "after")
+            .unwrap_or_default()
+            .to_owned();
         let mut partitions = self.partitions.borrow_mut();
         let partition = partitions.entry((topic, partition)).or_default();
         let mut items = Vec::new();
@@ -270,7 +273,7 @@
                 has_more = true;
                 break;
             }
-            let (_, value) = split_keyed(&record.bytes).unwrap_or_default();
+            let (_, value) = split_key(&record.bytes).unwrap_or_default();
             bytes += value.len();
             let value = base64(&value);
             items.push(json!({ "key": key, "value": value, "offset": record.offset }));
@@ -283,13 +286,15 @@
     }
 }
 
-fn place(asked: &str) -> (String, u64) {
-    let topic = query(asked, "topic").unwrap_or_default().to_owned();
-    let partition = query(asked, "part").and_then(|part| part.parse().ok());
+fn topic_partition(query_string: &str) -> (String, u64) {
+    let topic = query_parameter(query_string, "topic")
+        .unwrap_or_default()
+        .to_owned();
+    let partition = query_parameter(query_string, "part").and_then(|part| part.parse().ok());
     (topic, partition.unwrap_or(0))
 }
 
-fn records(mut body: Bytes) -> Vec<Bytes> {
+fn split_records(mut body: Bytes) -> Vec<Bytes> {
     let mut records = Vec::new();
     while body.len() >= 4 {
         let length = body.get_u32() as usize;
@@ -298,7 +303,7 @@
     records
 }
 
-fn split_keyed(record: &Bytes) -> Option<(String, Bytes)> {
+fn split_key(record: &Bytes) -> Option<(String, Bytes)> {
     let length = *record.first()? as usize;
     let key = record.get(1..1 + length)?;
     let key = std::str::from_utf8(key).ok()?.to_owned();
