--- a/crates/borageshore_standins/src/callers.rs
+++ b/crates/borageshore_standins/src/callers.rs
@@ -12,14 +12,14 @@
 use crate::engine::expected_token;
 
 /// The longest time that histograms tell apart.
-const LONGEST_MS: u64 = 3_600_000;
+const MAX_RECORDABLE_MS: u64 = 3_600_000;
 const TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 1_000,
     first_byte_ms: 15_000,
 };
-const STREAM_MS: u64 = 60_000;
+const STREAM_TIMEOUT_MS: u64 = 60_000;
 /// How often a non-idempotent call is repeated under its key.
-const KEY_ATTEMPTS: u32 = 4;
+const MAX_ATTEMPTS_PER_KEY: u32 = 4;
 
 /// What callers do.
 #[derive(Debug, Clone)]
@@ -104,10 +104,10 @@
     latencies_ms: RefCell<Histogram<u64>>,
 }
 
-enum StreamEnd {
-    Whole,
-    Cut,
-    Wrong,
+enum StreamOutcome {
+    Complete,
+    Truncated,
+    Mismatched,
 }
 
 /// Runs all callers to their end.
@@ -121,7 +121,7 @@
         clock: Clock::start(),
         summary: RefCell::new(summary),
         latencies_ms: RefCell::new(
-            Histogram::new_with_max(LONGEST_MS, 3).expect("three digits are supported"),
+            Histogram::new_with_max(MAX_RECORDABLE_MS, 3).expect("three digits are supported"),
         ),
         options,
     });
@@ -140,21 +140,21 @@
 struct Caller {
     shared: Rc<Shared>,
     number: u64,
-    list: AddressList,
-    list_until_ms: u64,
-    turn: usize,
+    address_list: AddressList,
+    list_expires_at_ms: u64,
+    address_index: usize,
     requests: u64,
 }
 
 impl Caller {
     fn open(shared: &Rc<Shared>, number: u64) -> Self {
-        let turn = number as usize;
+        let address_index = number as usize;
         Self {
             shared: shared.clone(),
             number,
-            list: AddressList::default(),
-            list_until_ms: 0,
-            turn,
+            address_list: AddressList::default(),
+            list_expires_at_ms: 0,
+            address_index,
             requests: 0,
         }
     }
@@ -169,7 +169,7 @@
                 self.stream(&service).await;
             }
             if let Some(service) = self.shared.options.plain_service.clone() {
-                self.call_once(&service).await;
+                self.call_non_idempotent(&service).await;
             }
             sleep_ms(self.shared.options.pause_ms).await;
         }
@@ -177,17 +177,17 @@
 
     async fn refresh_addresses(&mut self) {
         let now_ms = self.shared.clock.now_ms();
-        if now_ms < self.list_until_ms {
+        if now_ms < self.list_expires_at_ms {
             return;
         }
-        let known: Vec<Arc<str>> = self
-            .list
+        let candidates: Vec<Arc<str>> = self
+            .address_list
             .addresses
             .iter()
             .chain(&self.shared.options.daemons)
             .cloned()
             .collect();
-        for address in known {
+        for address in candidates {
             let path = format!(
                 "/v1/addresses?caller={}-{}",
                 self.shared.options.name, self.number
@@ -200,22 +200,22 @@
             else {
                 continue;
             };
-            if let Ok(list) = serde_json::from_slice::<AddressList>(&body) {
-                self.list_until_ms = now_ms + list.ttl_ms;
-                self.list = list;
+            if let Ok(address_list) = serde_json::from_slice::<AddressList>(&body) {
+                self.list_expires_at_ms = now_ms + address_list.ttl_ms;
+                self.address_list = address_list;
                 return;
             }
         }
     }
 
     fn next_address(&mut self) -> Arc<str> {
-        self.turn += 1;
-        let addresses = if self.list.addresses.is_empty() {
+        self.address_index += 1;
+        let addresses = if self.address_list.addresses.is_empty() {
             &self.shared.options.daemons
         } else {
-            &self.list.addresses
+            &self.address_list.addresses
         };
-        addresses[self.turn % addresses.len()].clone()
+        addresses[self.address_index % addresses.len()].clone()
     }
 
     async fn stream(&mut self, service: &str) {
@@ -227,20 +227,20 @@
         );
         let max_tokens = self.shared.options.max_tokens;
         let body = serde_json::json!({"prompt": prompt, "max_tokens": max_tokens, "stream": true});
-        let began_ms = self.shared.clock.now_ms();
+        let started_ms = self.shared.clock.now_ms();
         // An address at which nobody listens is passed over, as any client would.
-        for _ in 0..self.list.addresses.len().max(1) {
+        for _ in 0..self.address_list.addresses.len().max(1) {
             let address = self.next_address();
             let path = format!("/v1/services/{service}/generate");
             match self.open_stream(&address, &path, body.to_string()).await {
                 Ok((sender, response)) if response.status() == StatusCode::OK => {
-                    let end = read_stream(response, &prompt, max_tokens).await;
-                    self.on_stream_end(end, began_ms);
+                    let outcome = read_stream(response, &prompt, max_tokens).await;
+                    self.record_stream(outcome, started_ms);
                     self.shared.http.keep(&address, sender);
                     return;
                 }
                 Ok((_, response)) => {
-                    self.on_refusal(&response);
+                    self.record_refusal(&response);
                     return;
                 }
                 Err(CallError::NotSent(_)) => self.shared.summary.borrow_mut().unreachable += 1,
@@ -273,23 +273,23 @@
         Ok((sender, response))
     }
 
-    fn on_stream_end(&self, end: StreamEnd, began_ms: u64) {
+    fn record_stream(&self, outcome: StreamOutcome, started_ms: u64) {
         let mut summary = self.shared.summary.borrow_mut();
-        match end {
-            StreamEnd::Whole => {
+        match outcome {
+            StreamOutcome::Complete => {
                 summary.streams_whole += 1;
-                let took_ms = self.shared.clock.now_ms() - began_ms;
+                let latency_ms = self.shared.clock.now_ms() - started_ms;
                 self.shared
                     .latencies_ms
                     .borrow_mut()
-                    .saturating_record(took_ms.max(1));
+                    .saturating_record(latency_ms.max(1));
             }
-            StreamEnd::Cut => summary.streams_cut += 1,
-            StreamEnd::Wrong => summary.answers_wrong += 1,
+            StreamOutcome::Truncated => summary.streams_cut += 1,
+            StreamOutcome::Mismatched => summary.answers_wrong += 1,
         }
     }
 
-    fn on_refusal(&self, response: &Response<Incoming>) -> Option<u16> {
+    fn record_refusal(&self, response: &Response<Incoming>) -> Option<u16> {
         let code = header(response, "x-result-code")?.parse().ok()?;
         let mut summary = self.shared.summary.borrow_mut();
         summary.refused += 1;
@@ -301,14 +301,14 @@
     }
 
     /// Makes a non-idempotent call; repeats it under the same key while nobody knows.
-    async fn call_once(&mut self, service: &str) {
-        let prefix = &self.list.request_key_prefix;
+    async fn call_non_idempotent(&mut self, service: &str) {
+        let prefix = &self.address_list.request_key_prefix;
         let key: Arc<str> = format!(
             "{prefix}.{}-{}-{}",
             self.shared.options.name, self.number, self.requests
         )
         .into();
-        for _ in 0..KEY_ATTEMPTS {
+        for _ in 0..MAX_ATTEMPTS_PER_KEY {
             let address = self.next_address();
             let request = Request::post(format!("/v1/services/{service}/call/record"))
                 .header(HOST, &*address)
@@ -358,10 +358,10 @@
         .map(str::to_owned)
 }
 
-async fn read_stream(response: Response<Incoming>, prompt: &str, max_tokens: u64) -> StreamEnd {
-    let collected = within_ms(STREAM_MS, response.into_body().collect()).await;
+async fn read_stream(response: Response<Incoming>, prompt: &str, max_tokens: u64) -> StreamOutcome {
+    let collected = within_ms(STREAM_TIMEOUT_MS, response.into_body().collect()).await;
     let Some(Ok(body)) = collected else {
-        return StreamEnd::Cut;
+        return StreamOutcome::Truncated;
     };
     let body = body.to_bytes();
     let mut tokens = 0;
@@ -378,14 +378,14 @@
             Ok(StreamLine::Done { token_count })
                 if token_count == tokens && tokens == max_tokens =>
             {
-                return StreamEnd::Whole;
+                return StreamOutcome::Complete;
             }
             Ok(StreamLine::Failed { code }) => {
                 eprintln!("a stream failed with code {code}");
-                return StreamEnd::Cut;
+                return StreamOutcome::Truncated;
             }
-            _ => return StreamEnd::Wrong,
+            _ => return StreamOutcome::Mismatched,
         }
     }
-    StreamEnd::Cut
+    StreamOutcome::Truncated
 }
--- a/crates/borageshore_standins/src/engine.rs
+++ b/crates/borageshore_standins/src/engine.rs
@@ -72,10 +72,10 @@
 }
 
 #[derive(Debug)]
-struct Active {
+struct ActiveRequest {
     request: EngineRequest,
     next_index: u64,
-    prefill_left: u64,
+    prefill_steps_left: u64,
     arrival: u64,
     chunks: mpsc::Sender<EngineChunk>,
 }
@@ -88,7 +88,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    active: Vec<Active>,
+    active: Vec<ActiveRequest>,
     arrivals: u64,
     adapters: SortedMap<Arc<str>, Weights>,
     cached: Vec<u64>,
@@ -96,7 +96,7 @@
     stalled_steps: u64,
     switches: EngineSwitches,
     tokens: u64,
-    wasted_orders: u64,
+    refused_orders: u64,
 }
 
 /// A running engine.
@@ -147,12 +147,12 @@
             .sort_by_key(|active| (std::cmp::Reverse(active.request.priority), active.arrival));
         let slots = self.options.slots as usize;
         for active in state.active.iter_mut().take(slots) {
-            if active.prefill_left > 0 {
-                active.prefill_left -= 1;
+            if active.prefill_steps_left > 0 {
+                active.prefill_steps_left -= 1;
                 continue;
             }
             let version = version_of(&state.adapters, &active.request);
-            if emit(active, version, &mut state.switches) {
+            if send_chunk(active, version, &mut state.switches) {
                 state.tokens += 1;
             }
         }
@@ -166,14 +166,14 @@
         let report = self.report();
         let mut state = self.state.borrow_mut();
         state.arrivals += 1;
-        let prefill_left = if is_cached(&mut state.cached, &request.prompt) {
+        let prefill_steps_left = if is_cached(&mut state.cached, &request.prompt) {
             1
         } else {
             self.options.prefill_steps
         };
-        let active = Active {
+        let active = ActiveRequest {
             next_index: request.resume_tokens.len() as u64,
-            prefill_left,
+            prefill_steps_left,
             arrival: state.arrivals,
             request,
             chunks,
@@ -208,16 +208,16 @@
     fn order(&self, order: EngineOrder) -> EdgeResponse {
         let mut state = self.state.borrow_mut();
         if order.epoch < state.highest_epoch && !state.switches.ignore_fencing {
-            state.wasted_orders += 1;
+            state.refused_orders += 1;
             return http::status(409);
         }
         state.highest_epoch = state.highest_epoch.max(order.epoch);
         let weights = state
             .adapters
             .get_or_insert_with(order.adapter.clone(), Weights::default);
-        let is_there =
+        let is_present_or_loading =
             weights.version == Some(order.version) || weights.loading == Some(order.version);
-        if !is_there {
+        if !is_present_or_loading {
             weights.loading = Some(order.version);
             let engine = self.clone();
             monoio::spawn(async move { engine.load(order).await });
@@ -298,20 +298,24 @@
     }
 }
 
-fn emit(active: &mut Active, version: Option<u64>, switches: &mut EngineSwitches) -> bool {
+fn send_chunk(
+    active: &mut ActiveRequest,
+    version: Option<u64>,
+    switches: &mut EngineSwitches,
+) -> bool {
     let index = active.next_index;
     let is_last = index >= active.request.max_tokens;
-    let is_crossed = switches.cross_chunks > 0;
-    let request_id = if is_crossed {
+    let is_misattributed = switches.cross_chunks > 0;
+    let request_id = if is_misattributed {
         "another-request".into()
     } else {
         active.request.request_id.clone()
     };
-    let own_token = (!is_last).then(|| expected_token(&active.request.prompt, index));
-    let token = if is_crossed {
+    let correct_token = (!is_last).then(|| expected_token(&active.request.prompt, index));
+    let token = if is_misattributed {
         Some("crossed".into())
     } else {
-        own_token
+        correct_token
     };
     let chunk = EngineChunk {
         request_id,
@@ -322,7 +326,7 @@
     if active.chunks.try_send(chunk).is_err() {
         return false;
     }
-    if is_crossed {
+    if is_misattributed {
         // The crossed chunk came on top: the true one follows in the next step.
         switches.cross_chunks -= 1;
         return false;
--- a/crates/borageshore_standins/src/log.rs
+++ b/crates/borageshore_standins/src/log.rs
@@ -54,7 +54,7 @@
     outage_until_ms: u64,
     appends: u64,
     /// Start of the present second and the appends in it.
-    window: (u64, u64),
+    rate_window: (u64, u64),
     clock: Clock,
 }
 
@@ -65,7 +65,7 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Appended {
+struct AppendResponse {
     offset: u64,
 }
 
@@ -83,7 +83,7 @@
             switches: LogSwitches::default(),
             outage_until_ms: 0,
             appends: 0,
-            window: (0, 0),
+            rate_window: (0, 0),
             clock: Clock::start(),
         };
         HttpServer::bind(
@@ -114,20 +114,20 @@
             // The caller hears nothing until it gives up.
             sleep_ms(60_000).await;
         }
-        json_response(200, &Appended { offset })
+        json_response(200, &AppendResponse { offset })
     }
 
     fn take_append_permit(&self) -> bool {
         let mut state = self.state.borrow_mut();
         let second = state.clock.now_ms() / 1_000;
-        if state.window.0 != second {
-            state.window = (second, 0);
+        if state.rate_window.0 != second {
+            state.rate_window = (second, 0);
         }
         let limit = state.switches.appends_per_second;
-        if limit > 0 && state.window.1 >= limit {
+        if limit > 0 && state.rate_window.1 >= limit {
             return false;
         }
-        state.window.1 += 1;
+        state.rate_window.1 += 1;
         state.appends += 1;
         true
     }
@@ -140,7 +140,7 @@
         for (at, data) in records.into_iter().enumerate() {
             stream.records.push_back(LogRecord {
                 offset: first + at as u64,
-                at_ms: wall_ms(),
+                at_ms: unix_ms(),
                 data,
             });
         }
@@ -241,7 +241,7 @@
     }
 }
 
-fn wall_ms() -> u64 {
+fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_millis() as u64)
--- a/crates/borageshore_standins/src/main.rs
+++ b/crates/borageshore_standins/src/main.rs
@@ -15,7 +15,7 @@
 use clap::{Args, Parser, Subcommand};
 
 /// The first port of endpoints, counted from the base port.
-const ENDPOINT_PORTS: u16 = 10;
+const ENDPOINT_PORT_OFFSET: u16 = 10;
 
 #[derive(Debug, Parser)]
 #[command(about = "Stand-ins for the platform, endpoints, trainers and callers")]
@@ -143,19 +143,31 @@
         weight_store: Some(address(base + 2).into()),
         ..EngineOptions::default()
     };
-    for (service, count) in counted(&arguments.engines)? {
+    for (service, count) in parse_counts(&arguments.engines)? {
         for number in 1..=count {
-            let at = address(base + ENDPOINT_PORTS + vms.len() as u16);
-            servers.push(EngineStandin::bind(&at, options.clone())?);
-            vms.push(vm(&service, number, vms.len(), &at, &arguments.zones));
+            let endpoint_address = address(base + ENDPOINT_PORT_OFFSET + vms.len() as u16);
+            servers.push(EngineStandin::bind(&endpoint_address, options.clone())?);
+            vms.push(listed_vm(
+                &service,
+                number,
+                vms.len(),
+                &endpoint_address,
+                &arguments.zones,
+            ));
         }
     }
-    for (service, count) in counted(&arguments.plain)? {
+    for (service, count) in parse_counts(&arguments.plain)? {
         let plain = PlainStandin::open(2);
         for number in 1..=count {
-            let at = address(base + ENDPOINT_PORTS + vms.len() as u16);
-            servers.push(plain.bind(&at)?);
-            vms.push(vm(&service, number, vms.len(), &at, &arguments.zones));
+            let endpoint_address = address(base + ENDPOINT_PORT_OFFSET + vms.len() as u16);
+            servers.push(plain.bind(&endpoint_address)?);
+            vms.push(listed_vm(
+                &service,
+                number,
+                vms.len(),
+                &endpoint_address,
+                &arguments.zones,
+            ));
         }
     }
     let _list = VmListStandin::bind(&address(base + 1), vms, arguments.list_lag_ms)?;
@@ -164,17 +176,17 @@
     Ok(())
 }
 
-fn vm(service: &str, number: u64, place: usize, address: &str, zones: &[Arc<str>]) -> Vm {
+fn listed_vm(service: &str, number: u64, index: usize, address: &str, zones: &[Arc<str>]) -> Vm {
     Vm {
         name: format!("{service}-{number}").into(),
         service: service.into(),
-        zone: zones[place % zones.len()].clone(),
+        zone: zones[index % zones.len()].clone(),
         address: address.into(),
         state: VmState::Live,
     }
 }
 
-fn counted(pairs: &[String]) -> eyre::Result<Vec<(String, u64)>> {
+fn parse_counts(pairs: &[String]) -> eyre::Result<Vec<(String, u64)>> {
     let pairs = pairs.iter().filter(|pair| !pair.is_empty()).map(|pair| {
         let (name, count) = pair
             .split_once('=')
--- a/crates/borageshore_standins/src/plain.rs
+++ b/crates/borageshore_standins/src/plain.rs
@@ -43,7 +43,7 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Ran<'r> {
+struct RunResponse<'r> {
     request_key: &'r str,
     runs: u64,
     score: f64,
@@ -73,7 +73,7 @@
     }
 
     /// Those of some keys that ran.
-    fn ran(&self, keys: &[Arc<str>]) -> Vec<Arc<str>> {
+    fn keys_that_ran(&self, keys: &[Arc<str>]) -> Vec<Arc<str>> {
         let state = self.state.borrow();
         keys.iter()
             .filter(|key| state.runs.contains_key(*key))
@@ -87,7 +87,7 @@
             .get("x-request-key")
             .and_then(|key| key.to_str().ok());
         let key: Arc<str> = key.unwrap_or("").into();
-        if self.take(|switches| &mut switches.refuse) {
+        if self.consume_fault(|switches| &mut switches.refuse) {
             let mut response = http::status(503);
             response
                 .headers_mut()
@@ -101,12 +101,12 @@
             *runs
         };
         sleep_ms(self.latency_ms).await;
-        if self.take(|switches| &mut switches.lose_answers) {
+        if self.consume_fault(|switches| &mut switches.lose_answers) {
             sleep_ms(60_000).await;
         }
         json_response(
             200,
-            &Ran {
+            &RunResponse {
                 request_key: &key,
                 runs,
                 score: 0.5,
@@ -114,14 +114,14 @@
         )
     }
 
-    fn take<Select>(&self, select: Select) -> bool
+    fn consume_fault<Select>(&self, select: Select) -> bool
     where
         Select: FnOnce(&mut PlainSwitches) -> &mut u64,
     {
         let mut state = self.state.borrow_mut();
-        let left = select(&mut state.switches);
-        let is_on = *left > 0;
-        *left -= u64::from(is_on);
+        let remaining = select(&mut state.switches);
+        let is_on = *remaining > 0;
+        *remaining -= u64::from(is_on);
         is_on
     }
 }
@@ -131,7 +131,7 @@
         match request.uri().path() {
             "/counts" => json_response(200, &self.counts()),
             "/ran" => match http::json::<Vec<Arc<str>>>(request).await {
-                Ok(keys) => json_response(200, &self.ran(&keys)),
+                Ok(keys) => json_response(200, &self.keys_that_ran(&keys)),
                 Err(response) => response,
             },
             "/load" => json_response(
--- a/crates/borageshore_standins/src/trainer.rs
+++ b/crates/borageshore_standins/src/trainer.rs
@@ -13,7 +13,7 @@
 use crate::engine::expected_token;
 
 /// The longest time that histograms tell apart.
-const LONGEST_MS: u64 = 3_600_000;
+const MAX_RECORDABLE_MS: u64 = 3_600_000;
 const TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 1_000,
     first_byte_ms: 8_000,
@@ -87,12 +87,12 @@
     options: TrainerOptions,
     http: HttpClient,
     clock: Clock,
-    daemon: usize,
+    daemon_index: usize,
     cursor: u64,
     epoch: u64,
     version: u64,
-    seen: HashSet<Arc<str>>,
-    staleness: Histogram<u64>,
+    seen_ids: HashSet<Arc<str>>,
+    staleness_versions: Histogram<u64>,
     ages_ms: Histogram<u64>,
     summary: TrainerSummary,
 }
@@ -101,7 +101,7 @@
     /// Opens a trainer that has nothing yet.
     pub fn open(options: TrainerOptions) -> Self {
         let histogram =
-            || Histogram::new_with_max(LONGEST_MS, 3).expect("three digits are supported");
+            || Histogram::new_with_max(MAX_RECORDABLE_MS, 3).expect("three digits are supported");
         let summary = TrainerSummary {
             job: options.job.clone(),
             ..TrainerSummary::default()
@@ -110,12 +110,12 @@
             options,
             http: HttpClient::open(),
             clock: Clock::start(),
-            daemon: 0,
+            daemon_index: 0,
             cursor: 0,
             epoch: 0,
             version: 0,
-            seen: HashSet::new(),
-            staleness: histogram(),
+            seen_ids: HashSet::new(),
+            staleness_versions: histogram(),
             ages_ms: histogram(),
             summary,
         }
@@ -123,11 +123,11 @@
 
     /// Works until all steps are made or the time is up.
     pub async fn run(mut self) -> TrainerSummary {
-        while self.summary.steps < self.options.steps && self.in_time() {
-            let began_ms = self.clock.now_ms();
-            let is_whole = self.collect_step().await;
-            self.summary.idle_ms += self.clock.now_ms() - began_ms;
-            if !is_whole {
+        while self.summary.steps < self.options.steps && self.has_time_left() {
+            let started_ms = self.clock.now_ms();
+            let is_complete = self.collect_step().await;
+            self.summary.idle_ms += self.clock.now_ms() - started_ms;
+            if !is_complete {
                 break;
             }
             sleep_ms(self.options.step_ms).await;
@@ -138,21 +138,21 @@
         self.summarize()
     }
 
-    fn in_time(&self) -> bool {
+    fn has_time_left(&self) -> bool {
         self.clock.now_ms() < self.options.limit_ms
     }
 
     async fn collect_step(&mut self) -> bool {
         let wanted = (self.summary.steps + 1) * self.options.samples_per_step;
         while self.summary.samples < wanted {
-            if !self.in_time() {
+            if !self.has_time_left() {
                 return false;
             }
             let missing = wanted - self.summary.samples;
             match self.pull(missing).await {
-                Some(delivery) => self.take(delivery),
+                Some(delivery) => self.accept(delivery),
                 None => {
-                    self.daemon += 1;
+                    self.daemon_index += 1;
                     sleep_ms(100).await;
                 }
             }
@@ -170,7 +170,7 @@
     }
 
     async fn call(&self, method: &str, path: &str, body: &str) -> Option<Bytes> {
-        let daemon = &self.options.daemons[self.daemon % self.options.daemons.len()];
+        let daemon = &self.options.daemons[self.daemon_index % self.options.daemons.len()];
         let request = Request::builder()
             .method(method)
             .uri(path)
@@ -183,13 +183,13 @@
         }
     }
 
-    fn take(&mut self, delivery: Delivery) {
+    fn accept(&mut self, delivery: Delivery) {
         if delivery.epoch < self.epoch || delivery.through < self.cursor {
             // A late answer of an owner that was replaced.
             return;
         }
-        let numbers = delivery.through - self.cursor;
-        self.summary.given_up += numbers - delivery.samples.len() as u64;
+        let number_count = delivery.through - self.cursor;
+        self.summary.given_up += number_count - delivery.samples.len() as u64;
         for (number, sample) in &delivery.samples {
             self.check(*number, sample, delivery.target_version);
         }
@@ -199,28 +199,29 @@
     }
 
     fn check(&mut self, number: u64, sample: &Sample, target_version: u64) {
-        let is_new = number > self.cursor && self.seen.insert(sample.id.clone());
+        let is_new = number > self.cursor && self.seen_ids.insert(sample.id.clone());
         self.summary.repeated += u64::from(!is_new);
-        let attributed: u64 = sample
+        let attributed_tokens: u64 = sample
             .segments
             .iter()
             .map(|segment| segment.token_count)
             .sum();
-        let is_whole = attributed == sample.tokens.len() as u64 && attributed > 0;
+        let is_fully_attributed =
+            attributed_tokens == sample.tokens.len() as u64 && attributed_tokens > 0;
         let mut tokens = sample.tokens.iter().enumerate();
-        let is_right =
+        let has_expected_tokens =
             tokens.all(|(at, token)| *token == expected_token(&sample.prompt, at as u64));
-        self.summary.misattributed += u64::from(!is_whole || !is_right);
-        let oldest = sample
+        self.summary.misattributed += u64::from(!is_fully_attributed || !has_expected_tokens);
+        let oldest_version = sample
             .segments
             .iter()
             .map(|segment| segment.version)
             .min()
             .unwrap_or(0);
-        let behind = target_version.saturating_sub(oldest);
-        self.summary.stale += u64::from(behind > self.options.staleness_bound_versions);
-        self.staleness
-            .saturating_record(self.version.saturating_sub(oldest));
+        let versions_behind = target_version.saturating_sub(oldest_version);
+        self.summary.stale += u64::from(versions_behind > self.options.staleness_bound_versions);
+        self.staleness_versions
+            .saturating_record(self.version.saturating_sub(oldest_version));
         self.ages_ms.saturating_record(sample.age_ms);
     }
 
@@ -228,8 +229,8 @@
         self.version += 1;
         let path = format!("/v1/jobs/{}/weights", self.options.job);
         let body = format!("{{\"version\":{}}}", self.version);
-        while self.in_time() && self.call("POST", &path, &body).await.is_none() {
-            self.daemon += 1;
+        while self.has_time_left() && self.call("POST", &path, &body).await.is_none() {
+            self.daemon_index += 1;
             sleep_ms(100).await;
         }
     }
@@ -237,8 +238,8 @@
     fn summarize(mut self) -> TrainerSummary {
         let total_ms = (self.summary.idle_ms + self.summary.busy_ms).max(1);
         self.summary.idle_percent = self.summary.idle_ms as f64 * 100.0 / total_ms as f64;
-        self.summary.staleness_versions_p50 = self.staleness.value_at_quantile(0.5);
-        self.summary.staleness_versions_p99 = self.staleness.value_at_quantile(0.99);
+        self.summary.staleness_versions_p50 = self.staleness_versions.value_at_quantile(0.5);
+        self.summary.staleness_versions_p99 = self.staleness_versions.value_at_quantile(0.99);
         self.summary.age_ms_p50 = self.ages_ms.value_at_quantile(0.5);
         self.summary.age_ms_p99 = self.ages_ms.value_at_quantile(0.99);
         self.summary
--- a/crates/borageshore_standins/src/vm_list.rs
+++ b/crates/borageshore_standins/src/vm_list.rs
@@ -71,15 +71,15 @@
         )
     }
 
-    fn shown(&self) -> Listing {
+    fn visible_listing(&self) -> Listing {
         let state = self.state.borrow();
         let now_ms = state.clock.now_ms();
-        let shown = state
+        let visible = state
             .versions
             .iter()
             .rev()
-            .find(|(from_ms, _)| now_ms >= *from_ms);
-        shown
+            .find(|(visible_from_ms, _)| now_ms >= *visible_from_ms);
+        visible
             .expect("the first version shows from the start")
             .1
             .clone()
@@ -95,8 +95,10 @@
             .versions
             .last()
             .map_or(1, |(_, listing)| listing.version + 1);
-        let from_ms = state.clock.now_ms() + state.lag_ms;
-        state.versions.push((from_ms, Listing { version, vms }));
+        let visible_from_ms = state.clock.now_ms() + state.lag_ms;
+        state
+            .versions
+            .push((visible_from_ms, Listing { version, vms }));
         json_response(200, &version)
     }
 }
@@ -106,10 +108,10 @@
         if request.method() == Method::POST {
             return self.replace(request).await;
         }
-        let shown = self.shown();
-        if http::number(&request, "known") == Some(shown.version) {
+        let visible = self.visible_listing();
+        if http::number(&request, "known") == Some(visible.version) {
             return http::status(304);
         }
-        json_response(200, &shown)
+        json_response(200, &visible)
     }
 }
