--- a/crates/borageshore_scenarios/src/log.rs
+++ b/crates/borageshore_scenarios/src/log.rs
@@ -7,7 +7,7 @@
 
 /// What became of an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Appended {
+pub enum AppendOutcome {
     /// It took effect and the writer knows.
     Acknowledged,
     /// It took effect and the writer does not know.
@@ -35,27 +35,27 @@
     /// The next append that contains this text is held back until [`MemoryLog::release`].
     pub delay_next: Option<String>,
     /// Reads of this stream get no answer.
-    pub blocked: Option<Arc<str>>,
+    pub blocked_stream: Option<Arc<str>>,
     delayed: Vec<(Arc<str>, Vec<String>)>,
 }
 
 impl MemoryLog {
     /// Appends records.
-    pub fn append(&mut self, stream: &str, records: Vec<String>, at_ms: u64) -> Appended {
+    pub fn append(&mut self, stream: &str, records: Vec<String>, at_ms: u64) -> AppendOutcome {
         if self.has_outage {
-            return Appended::Refused;
+            return AppendOutcome::Refused;
         }
-        let is_awaited = |text: &String| records.iter().any(|record| record.contains(text));
-        if self.delay_next.as_ref().is_some_and(is_awaited) {
+        let is_to_be_delayed = |text: &String| records.iter().any(|record| record.contains(text));
+        if self.delay_next.as_ref().is_some_and(is_to_be_delayed) {
             self.delay_next = None;
             self.delayed.push((stream.into(), records));
-            return Appended::Delayed;
+            return AppendOutcome::Delayed;
         }
         self.push(stream, records, at_ms);
         if std::mem::take(&mut self.lose_next_answer) {
-            Appended::AnswerLost
+            AppendOutcome::AnswerLost
         } else {
-            Appended::Acknowledged
+            AppendOutcome::Acknowledged
         }
     }
 
@@ -85,9 +85,9 @@
         }
     }
 
-    /// Reads up to `most` records; `None` during an outage.
-    pub fn read(&self, stream: &str, from_offset: u64, most: usize) -> Option<LogPage> {
-        if self.has_outage || self.blocked.as_deref() == Some(stream) {
+    /// Reads up to `max_records` records; `None` during an outage.
+    pub fn read(&self, stream: &str, from_offset: u64, max_records: usize) -> Option<LogPage> {
+        if self.has_outage || self.blocked_stream.as_deref() == Some(stream) {
             return None;
         }
         let Some(stream) = self.streams.get(stream) else {
@@ -105,7 +105,7 @@
                 .records
                 .iter()
                 .skip(skipped)
-                .take(most)
+                .take(max_records)
                 .cloned()
                 .collect(),
         })
--- a/crates/borageshore_scenarios/src/member.rs
+++ b/crates/borageshore_scenarios/src/member.rs
@@ -9,7 +9,7 @@
 use borageshore_settings::SettingsFold;
 
 use crate::{
-    log::{Appended, MemoryLog},
+    log::{AppendOutcome, MemoryLog},
     world::{JOB, LEDGER, shard_of_job},
 };
 
@@ -50,9 +50,9 @@
             return;
         };
         match log.append(&self.name, records, now_ms) {
-            Appended::Acknowledged => self.proposer.on_acknowledged(),
-            Appended::AnswerLost | Appended::Delayed => self.proposer.on_lost_answer(),
-            Appended::Refused => self.proposer.on_refused(now_ms, 0),
+            AppendOutcome::Acknowledged => self.proposer.on_acknowledged(),
+            AppendOutcome::AnswerLost | AppendOutcome::Delayed => self.proposer.on_lost_answer(),
+            AppendOutcome::Refused => self.proposer.on_refused(now_ms, 0),
         }
     }
 
@@ -147,10 +147,10 @@
         let now_ms = self.local_ms(true_ms);
         self.settings.read(log, now_ms, |_, _| {});
         let agent = &mut self.agent;
-        let is_in_touch = self.leases.read(log, now_ms, |offset, envelope| {
+        let has_log_answered = self.leases.read(log, now_ms, |offset, envelope| {
             agent.on_applied(offset, envelope, now_ms);
         });
-        if is_in_touch {
+        if has_log_answered {
             self.agent.on_contact(now_ms);
         }
         self.tick_leases(now_ms);
@@ -180,10 +180,10 @@
     fn tick_job(&mut self, log: &MemoryLog, true_ms: u64) {
         let now_ms = self.local_ms(true_ms);
         let table = self.leases.follower.fold();
-        let owned = self.agent.owned_epoch(table, &shard_of_job());
-        let opened = self.job.as_ref().map(|(_, controller)| controller.epoch());
-        if opened != owned {
-            self.job = owned.map(|epoch| self.open_job(epoch));
+        let owned_epoch = self.agent.owned_epoch(table, &shard_of_job());
+        let open_epoch = self.job.as_ref().map(|(_, controller)| controller.epoch());
+        if open_epoch != owned_epoch {
+            self.job = owned_epoch.map(|epoch| self.open_job(epoch));
         }
         if let Some((ledger, controller)) = &mut self.job {
             ledger.read(log, now_ms, |_, _| {});
--- a/crates/borageshore_scenarios/src/oracle.rs
+++ b/crates/borageshore_scenarios/src/oracle.rs
@@ -39,9 +39,9 @@
 #[derive(Debug, Default)]
 pub struct Oracle {
     /// The settings as text by applied offset.
-    settings: SortedMap<u64, String>,
+    settings_by_offset: SortedMap<u64, String>,
     /// The last applied offset by member incarnation.
-    applied: SortedMap<(Arc<str>, u64), u64>,
+    applied_offsets: SortedMap<(Arc<str>, u64), u64>,
     delivered: SortedMap<Arc<str>, u64>,
     violation: Option<Violation>,
 }
@@ -66,14 +66,16 @@
         }
         let applied = follower.applied_offset();
         let before = self
-            .applied
+            .applied_offsets
             .insert((member.name.clone(), member.incarnation), applied);
         if before.is_some_and(|before| before > applied) {
             self.report(Violation::SettingsReverted(member.name.clone()));
         }
         let tree = serde_json::to_string(follower.fold().tree()).expect("trees are plain data");
-        let known = self.settings.get_or_insert_with(applied, || tree.clone());
-        if *known != tree {
+        let recorded = self
+            .settings_by_offset
+            .get_or_insert_with(applied, || tree.clone());
+        if *recorded != tree {
             self.report(Violation::SettingsDiffer(applied));
         }
     }
--- a/crates/borageshore_scenarios/src/world.rs
+++ b/crates/borageshore_scenarios/src/world.rs
@@ -240,10 +240,10 @@
             });
         };
         let owner = prefix.daemon.clone();
-        let is_there = self
+        let is_owner_running = self
             .running(&owner)
             .is_some_and(|owner| owner.keys.owns(&prefix));
-        if !is_there {
+        if !is_owner_running {
             return Some(CallReply {
                 code: ResultCode::KeyOwnerGone,
                 outcome: Outcome::Unknown,
--- a/crates/borageshore_scenarios/tests/fuzz.rs
+++ b/crates/borageshore_scenarios/tests/fuzz.rs
@@ -34,7 +34,7 @@
         key: Key,
         value: u8,
     },
-    SetBlindly {
+    SetWithRevision {
         who: Who,
         key: Key,
         value: u8,
@@ -54,7 +54,7 @@
         fate: Fate,
     },
     /// A whole turn of the trainer's work with whoever may act for the job.
-    Work,
+    TrainerRound,
     Publish,
     EngineSwaps,
 }
@@ -92,7 +92,7 @@
     Lost,
 }
 
-fn carry_out(world: &mut World, step: &Step) {
+fn apply(world: &mut World, step: &Step) {
     match step {
         Step::Tick(who) => world.tick(who.name()),
         Step::Advance(duration_ms) => world.advance(u64::from(*duration_ms)),
@@ -115,7 +115,7 @@
         }
         Step::Outage(has_outage) => world.log.has_outage = *has_outage,
         Step::Set { who, key, value } => set(world, *who, *key, *value, None),
-        Step::SetBlindly {
+        Step::SetWithRevision {
             who,
             key,
             value,
@@ -136,7 +136,7 @@
                 &format!("{}.{incarnation}.{slot}.{number}", owner.name()),
             );
         }
-        Step::Work => work(world),
+        Step::TrainerRound => run_trainer_round(world),
         Step::LoseRun => world.lose_next_run = true,
         Step::Generate(who) => {
             world.generate(who.name());
@@ -193,7 +193,7 @@
     }
 }
 
-fn work(world: &mut World) {
+fn run_trainer_round(world: &mut World) {
     let now_ms = world.now_ms;
     let holds = |name: &&&str| {
         let member = world.members.get(**name).filter(|member| !member.is_paused);
@@ -220,7 +220,7 @@
         let mut world = World::open(&NAMES);
         world.settle();
         for step in steps {
-            carry_out(&mut world, step);
+            apply(&mut world, step);
             if let Err(broken) = world.check() {
                 panic!("{broken:?} after {step:?}");
             }
@@ -231,7 +231,7 @@
 /// The fuzzer would prove nothing if its steps never got anywhere: with no faults at all, the usual
 /// order of steps delivers samples, changes settings and runs calls.
 #[test]
-fn steps_reach_what_they_test() {
+fn steps_without_faults_make_progress() {
     let mut world = World::open(&NAMES);
     world.settle();
     let steps = [
@@ -262,7 +262,7 @@
         },
     ];
     for step in &steps {
-        carry_out(&mut world, step);
+        apply(&mut world, step);
     }
     assert_eq!(world.oracle.delivered(), 4);
     assert_eq!(world.runs.values().sum::<u64>(), 1);
--- a/crates/borageshore_scenarios/tests/scenarios.rs
+++ b/crates/borageshore_scenarios/tests/scenarios.rs
@@ -187,7 +187,7 @@
     }
 
     fn block(&mut self, stream: Option<&str>) -> Output {
-        self.world.log.blocked = stream.map(Into::into);
+        self.world.log.blocked_stream = stream.map(Into::into);
         Ok(String::new())
     }
 
