--- a/crates/borageshore_standins/src/callers.rs
+++ b/crates/borageshore_standins/src/callers.rs
@@ -1,4 +1,5 @@
-//! Callers: they ask for addresses, keep them for a while, and check that every answer is whole.
+//! Callers that generate load: they fetch daemon addresses, cache them for their TTL and verify every
+//! response.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
@@ -11,70 +12,70 @@
 
 use crate::engine::expected_token;
 
-/// The longest time that histograms tell apart.
+/// Upper bound of the latency histogram; longer times saturate.
 const MAX_RECORDABLE_MS: u64 = 3_600_000;
 const TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 1_000,
     first_byte_ms: 15_000,
 };
 const STREAM_TIMEOUT_MS: u64 = 60_000;
-/// How often a non-idempotent call is repeated under its key.
+/// Maximum attempts of a non-idempotent call under one request key.
 const MAX_ATTEMPTS_PER_KEY: u32 = 4;
 
-/// What callers do.
+/// Configuration of [`run_callers`].
 #[derive(Debug, Clone)]
 pub struct CallerOptions {
-    /// Daemons known from the start.
+    /// Addresses of daemons to start with.
     pub daemons: Vec<Arc<str>>,
-    /// Callers at once.
+    /// Number of concurrent callers.
     pub callers: u64,
-    /// How long.
+    /// How long callers send requests.
     pub duration_ms: u64,
-    /// Pause of a caller between two requests.
+    /// Pause of each caller between two rounds of requests.
     pub pause_ms: u64,
     /// The settings node that the requests run under.
     pub node: Arc<str>,
-    /// The engine service, if tokens are asked for.
+    /// The engine service to stream tokens from, if any.
     pub engine_service: Option<Arc<str>>,
-    /// The plain service, if non-idempotent calls are made.
+    /// The plain service to send non-idempotent calls to, if any.
     pub plain_service: Option<Arc<str>>,
-    /// Tokens of a request.
+    /// Tokens to request for each stream.
     pub max_tokens: u64,
-    /// Distinguishes request keys and prompts of several programs.
+    /// Distinguishes the request keys and prompts of concurrent processes.
     pub name: Arc<str>,
 }
 
-/// What callers saw.
+/// Results of all callers.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct CallerSummary {
     /// The settings node.
     pub node: Arc<str>,
-    /// Whole streamed answers.
+    /// Streams that were received completely.
     pub streams_whole: u64,
-    /// Streams that ended before their last line: a broken promise.
+    /// Streams that ended before their last line; each is a violation.
     pub streams_cut: u64,
-    /// Answers with a wrong token: a broken promise.
+    /// Streams with an unexpected token or line; each is a violation.
     pub answers_wrong: u64,
-    /// Non-idempotent calls answered as done.
+    /// Non-idempotent calls that were reported as run.
     pub calls_done: u64,
-    /// Calls whose final answer is that nobody knows.
+    /// Non-idempotent calls whose outcome was unknown after the last attempt.
     pub calls_unknown: u64,
-    /// Requests refused as not run, for good.
+    /// Requests that were refused without being run.
     pub refused: u64,
-    /// Addresses at which nobody listened, passed over.
+    /// Addresses that could not be reached; the next one was tried.
     pub unreachable: u64,
-    /// Median time of a whole answer.
+    /// Median latency of a complete stream.
     pub latency_ms_p50: u64,
-    /// 99th percentile.
+    /// 99th percentile of that latency.
     pub latency_ms_p99: u64,
     /// Refusals by result code.
     pub codes: Vec<(u16, u64)>,
-    /// Keys that were answered as not run.
+    /// Request keys of calls that were reported as not run.
     pub not_run_keys: Vec<Arc<str>>,
 }
 
 impl CallerSummary {
-    /// The number of broken promises that callers can see by themselves.
+    /// The number of violations that callers can detect.
     pub fn violation_count(&self) -> u64 {
         self.streams_cut + self.answers_wrong
     }
@@ -110,7 +111,7 @@
     Mismatched,
 }
 
-/// Runs all callers to their end.
+/// Runs all callers for the configured duration.
 pub async fn run_callers(options: CallerOptions) -> CallerSummary {
     let summary = CallerSummary {
         node: options.node.clone(),
@@ -160,7 +161,7 @@
     }
 
     async fn run(mut self) {
-        // Callers do not start all at once.
+        // Staggers the starts of the callers.
         sleep_ms(self.number * 7 % 200).await;
         while self.shared.clock.now_ms() < self.shared.options.duration_ms {
             self.requests += 1;
@@ -228,7 +229,7 @@
         let max_tokens = self.shared.options.max_tokens;
         let body = serde_json::json!({"prompt": prompt, "max_tokens": max_tokens, "stream": true});
         let started_ms = self.shared.clock.now_ms();
-        // An address at which nobody listens is passed over, as any client would.
+        // Tries the next address if a daemon cannot be reached.
         for _ in 0..self.address_list.addresses.len().max(1) {
             let address = self.next_address();
             let path = format!("/v1/services/{service}/generate");
@@ -300,7 +301,8 @@
         Some(code)
     }
 
-    /// Makes a non-idempotent call; repeats it under the same key while nobody knows.
+    /// Sends a non-idempotent call; retries under the same request key while the outcome is
+    /// unknown.
     async fn call_non_idempotent(&mut self, service: &str) {
         let prefix = &self.address_list.request_key_prefix;
         let key: Arc<str> = format!(
