--- a/crates/borageshore_standins/src/engine.rs
+++ b/crates/borageshore_standins/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: continuous batching in steps, priorities, a prefix cache and weight swaps.
+//! A fake model engine with continuous batching, priorities, a prefix cache and weight swaps.
 
 use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, sync::Arc};
 
@@ -19,29 +19,29 @@
 
 use crate::http;
 
-/// Prompts whose prefix is kept.
+/// Capacity of the prefix cache, in prompts.
 const CACHED_PROMPTS: usize = 256;
-/// Bytes of a prompt that count as its prefix.
+/// Maximum length of a cached prefix.
 const PREFIX_BYTES: usize = 256;
-/// Tokens that wait for a slow reader.
+/// Chunks that are buffered for a slow reader.
 const CHUNK_BUFFER: usize = 64;
 const STORE_TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 1_000,
     first_byte_ms: 600_000,
 };
 
-/// How an engine is built.
+/// Configuration of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
-    /// Requests that run at once.
+    /// Maximum requests in a batch.
     pub slots: u64,
-    /// Time for one token of all running requests.
+    /// Duration of one step, in which each request of the batch gets one token.
     pub step_ms: u64,
     /// Steps before the first token when the prompt is not cached.
     pub prefill_steps: u64,
-    /// Pause of generation at the end of a swap.
+    /// Pause of generation at the end of a weight swap.
     pub swap_ms: u64,
-    /// Where weights come from.
+    /// Address of the weight store, if weights are fetched.
     pub weight_store: Option<Arc<str>>,
 }
 
@@ -57,17 +57,17 @@
     }
 }
 
-/// Faults that can be switched on.
+/// Injected faults.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineSwitches {
-    /// Generates nothing for this long from now; connections stay open.
+    /// How long generation stalls from now on; connections stay open.
     pub stall_ms: u64,
-    /// This many swaps end without weights.
+    /// How many of the next weight swaps fail and leave no weights.
     pub fail_swaps: u64,
-    /// This many chunks go out under the name of another request.
+    /// How many of the next chunks carry the id of another request.
     pub cross_chunks: u64,
-    /// Orders with an old fencing number are carried out as well.
+    /// Whether orders of an outdated epoch are applied too.
     pub ignore_fencing: bool,
 }
 
@@ -107,14 +107,14 @@
     http: HttpClient,
 }
 
-/// The token that any engine produces at a place of an answer to a prompt.
+/// The token at an index of the answer to a prompt; the same on every engine.
 pub fn expected_token(prompt: &str, index: u64) -> String {
     let hash = xxh3_64(prompt.as_bytes()).wrapping_add(index.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     format!("w{:03}", hash % 1_000)
 }
 
 impl EngineStandin {
-    /// Binds an address and starts to generate.
+    /// Binds an address and starts the generation loop.
     pub fn bind(address: &str, options: EngineOptions) -> io::Result<HttpServer> {
         let engine = Self {
             state: Rc::default(),
@@ -133,7 +133,7 @@
         }
     }
 
-    /// One step of the batch: the most important requests that fit get a token each.
+    /// Runs one step: the requests of the highest priority that fit into the batch get one token each.
     fn step(&self) {
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
@@ -225,7 +225,7 @@
         http::status(200)
     }
 
-    /// Fetches weights beside generation, then pauses generation while they are put in place.
+    /// Fetches weights while generation continues, then pauses generation to swap them in.
     async fn load(&self, order: EngineOrder) {
         if let Some(store) = &self.options.weight_store {
             let _ = self
@@ -282,7 +282,8 @@
     }
 }
 
-/// An engine that lost its weights in a failed swap does not know which version makes its tokens.
+/// The weight version that serves a request: 0 until the first weights are loaded, `None` after a failed
+/// swap.
 fn version_of(adapters: &SortedMap<Arc<str>, Weights>, request: &EngineRequest) -> Option<u64> {
     let adapter = request
         .adapter
@@ -327,7 +328,7 @@
         return false;
     }
     if is_misattributed {
-        // The crossed chunk came on top: the true one follows in the next step.
+        // The wrong chunk is an extra one; the correct chunk follows in the next step.
         switches.cross_chunks -= 1;
         return false;
     }
