--- a/crates/borageshore_standins/src/http.rs
+++ b/crates/borageshore_standins/src/http.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins share of HTTP.
+//! HTTP helpers shared by the stand-ins.
 
 use borageshore_net::{
     EdgeRequest, EdgeResponse, ServerLimits, full_body, json_response, read_body,
@@ -6,7 +6,7 @@
 use hyper::Response;
 use serde::de::DeserializeOwned;
 
-/// Larger than what daemons accept: a snapshot travels in one append.
+/// Larger than the limits of daemons, since a snapshot is sent in one append.
 const LIMITS: ServerLimits = ServerLimits {
     connections: 16_384,
     head_bytes: 16 * 1024,
@@ -15,19 +15,19 @@
     body_timeout_ms: 60_000,
 };
 
-/// The limits of all stand-ins.
+/// The server limits of all stand-ins.
 pub(crate) fn limits() -> ServerLimits {
     LIMITS
 }
 
-/// An answer without a body.
+/// A response without a body.
 pub(crate) fn status(code: u16) -> EdgeResponse {
     let mut response = Response::new(full_body(""));
     *response.status_mut() = code.try_into().expect("a constant of this crate");
     response
 }
 
-/// Reads a JSON body.
+/// Reads a JSON body; the error is a response with status 400.
 pub(crate) async fn json<Content>(request: EdgeRequest) -> Result<Content, EdgeResponse>
 where
     Content: DeserializeOwned,
@@ -38,7 +38,7 @@
     serde_json::from_slice(&body).map_err(|error| json_response(400, &error.to_string()))
 }
 
-/// A number in the query.
+/// A numeric query parameter.
 pub(crate) fn number(request: &EdgeRequest, name: &str) -> Option<u64> {
     let pairs = request.uri().query()?.split('&');
     let mut pairs = pairs.filter_map(|pair| pair.split_once('='));
