--- a/crates/borageshore_standins/src/log.rs
+++ b/crates/borageshore_standins/src/log.rs
@@ -1,4 +1,4 @@
-//! The append-only log service.
+//! A fake append-only log service.
 
 use std::{
     cell::RefCell,
@@ -21,22 +21,22 @@
 
 use crate::http;
 
-/// Records in one answer to a read.
+/// Maximum records in one page.
 const PAGE_RECORDS: usize = 1_024;
 
-/// Faults that can be switched on.
+/// Injected faults.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSwitches {
-    /// Answers nothing but errors for this long from now.
+    /// How long every call fails from now on.
     pub outage_ms: u64,
-    /// The answers to this many appends are lost after they took effect.
+    /// How many of the next appends take effect without a response.
     pub lose_answers: u64,
-    /// Each call takes this much longer.
+    /// Extra latency of each call.
     pub slow_ms: u64,
-    /// Records kept a stream; 0 keeps all.
+    /// Maximum records retained per stream; 0 retains all.
     pub retention_records: usize,
-    /// Appends accepted a second; 0 for no limit.
+    /// Maximum appends per second; 0 for no limit.
     pub appends_per_second: u64,
 }
 
@@ -53,12 +53,12 @@
     switches: LogSwitches,
     outage_until_ms: u64,
     appends: u64,
-    /// Start of the present second and the appends in it.
+    /// The current second and the number of appends in it.
     rate_window: (u64, u64),
     clock: Clock,
 }
 
-/// A running log.
+/// A running log service.
 #[derive(Debug, Clone)]
 pub struct LogStandin {
     state: Rc<RefCell<State>>,
@@ -111,7 +111,7 @@
             is_lost
         };
         if is_lost {
-            // The caller hears nothing until it gives up.
+            // Long enough that the client times out.
             sleep_ms(60_000).await;
         }
         json_response(200, &AppendResponse { offset })
