--- a/crates/borageshore_standins/src/plain.rs
+++ b/crates/borageshore_standins/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often it ran each request key, and a scorer.
+//! A fake plain service and scorer that counts the runs of each request key.
 
 use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, sync::Arc};
 
@@ -8,13 +8,13 @@
 
 use crate::http;
 
-/// Faults that can be switched on.
+/// Injected faults.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlainSwitches {
-    /// The answers to this many calls are lost after they ran.
+    /// How many of the next calls run without a response.
     pub lose_answers: u64,
-    /// This many calls are refused before they run, and say so.
+    /// How many of the next calls are refused with `x-not-run`.
     pub refuse: u64,
 }
 
@@ -24,14 +24,14 @@
     switches: PlainSwitches,
 }
 
-/// What the service ran.
+/// Counts of the calls that the service ran.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunCounts {
     /// Distinct request keys.
     pub keys: u64,
-    /// Runs in all.
+    /// Total runs.
     pub runs: u64,
-    /// The most runs of one key.
+    /// Maximum runs of a single key.
     pub most_runs: u64,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl PlainStandin {
-    /// Opens a service whose calls take `latency_ms`; its replicas share one count of runs.
+    /// Creates a service whose calls take `latency_ms`; its replicas share their run counts.
     pub fn open(latency_ms: u64) -> Self {
         Self {
             state: Rc::default(),
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Those of some keys that ran.
+    /// The subset of `keys` that have run.
     fn keys_that_ran(&self, keys: &[Arc<str>]) -> Vec<Arc<str>> {
         let state = self.state.borrow();
         keys.iter()
@@ -114,6 +114,7 @@
         )
     }
 
+    /// Decrements a switch's counter; returns whether the fault applies to this call.
     fn consume_fault<Select>(&self, select: Select) -> bool
     where
         Select: FnOnce(&mut PlainSwitches) -> &mut u64,
