--- a/crates/borageshore_standins/src/trainer.rs
+++ b/crates/borageshore_standins/src/trainer.rs
@@ -1,4 +1,4 @@
-//! A trainer that pulls samples, checks every promise about them and publishes new weights.
+//! A fake trainer that pulls samples, verifies them and publishes new weights.
 
 use std::{collections::HashSet, sync::Arc};
 
@@ -12,7 +12,7 @@
 
 use crate::engine::expected_token;
 
-/// The longest time that histograms tell apart.
+/// Upper bound of the histograms; larger values saturate.
 const MAX_RECORDABLE_MS: u64 = 3_600_000;
 const TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 1_000,
@@ -20,43 +20,43 @@
 };
 const PULL_WAIT_MS: u64 = 2_000;
 
-/// How a trainer works.
+/// Configuration of a trainer.
 #[derive(Debug, Clone)]
 pub struct TrainerOptions {
-    /// Daemons to ask, in turn.
+    /// Addresses of daemons; a failed call moves on to the next one.
     pub daemons: Vec<Arc<str>>,
-    /// The trainer token.
+    /// The trainer's bearer token.
     pub token: Arc<str>,
     /// The job.
     pub job: Arc<str>,
-    /// Samples in a step.
+    /// Samples per training step.
     pub samples_per_step: u64,
-    /// Time that the trainer computes for a step.
+    /// Compute time of a step.
     pub step_ms: u64,
-    /// Steps to make.
+    /// Training steps to run.
     pub steps: u64,
-    /// The staleness bound that the job promises.
+    /// Maximum versions that a delivered sample may be behind.
     pub staleness_bound_versions: u64,
-    /// Gives up after this time.
+    /// Time limit of the run.
     pub limit_ms: u64,
 }
 
-/// What a trainer saw.
+/// Results of a trainer.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct TrainerSummary {
     /// The job.
     pub job: Arc<str>,
-    /// Whole steps.
+    /// Completed steps.
     pub steps: u64,
-    /// Samples taken.
+    /// Samples received.
     pub samples: u64,
-    /// Samples that came again: a broken promise.
+    /// Samples that were delivered again; each is a violation.
     pub repeated: u64,
-    /// Samples with wrong tokens or attribution: a broken promise.
+    /// Samples with wrong tokens or attribution; each is a violation.
     pub misattributed: u64,
-    /// Samples over the staleness bound: a broken promise.
+    /// Samples over the staleness bound; each is a violation.
     pub stale: u64,
-    /// Numbers that were given up and never delivered.
+    /// Sample numbers that were skipped and never delivered.
     pub given_up: u64,
     /// Time spent waiting for samples.
     pub idle_ms: u64,
@@ -64,24 +64,24 @@
     pub busy_ms: u64,
     /// Share of the time spent waiting.
     pub idle_percent: f64,
-    /// Median of versions behind.
+    /// Median number of versions that samples were behind.
     pub staleness_versions_p50: u64,
-    /// 99th percentile of versions behind.
+    /// 99th percentile of the number of versions behind.
     pub staleness_versions_p99: u64,
-    /// Median age.
+    /// Median age of samples at delivery.
     pub age_ms_p50: u64,
-    /// 99th percentile of age.
+    /// 99th percentile of the age at delivery.
     pub age_ms_p99: u64,
 }
 
 impl TrainerSummary {
-    /// The number of broken promises.
+    /// The number of violations.
     pub fn violation_count(&self) -> u64 {
         self.repeated + self.misattributed + self.stale
     }
 }
 
-/// A trainer at work.
+/// A running trainer.
 #[derive(Debug)]
 pub struct Trainer {
     options: TrainerOptions,
@@ -98,7 +98,7 @@
 }
 
 impl Trainer {
-    /// Opens a trainer that has nothing yet.
+    /// Creates a trainer that has no samples yet.
     pub fn open(options: TrainerOptions) -> Self {
         let histogram =
             || Histogram::new_with_max(MAX_RECORDABLE_MS, 3).expect("three digits are supported");
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Works until all steps are made or the time is up.
+    /// Runs until all steps are completed or the time limit is reached.
     pub async fn run(mut self) -> TrainerSummary {
         while self.summary.steps < self.options.steps && self.has_time_left() {
             let started_ms = self.clock.now_ms();
@@ -185,7 +185,7 @@
 
     fn accept(&mut self, delivery: Delivery) {
         if delivery.epoch < self.epoch || delivery.through < self.cursor {
-            // A late answer of an owner that was replaced.
+            // A delayed response, for example of a previous owner.
             return;
         }
         let number_count = delivery.through - self.cursor;
