--- a/crates/borageshore_standins/src/vm_list.rs
+++ b/crates/borageshore_standins/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! The VM list, which shows each change only after a lag.
+//! A fake VM list in which each change becomes visible after a lag.
 
 use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, sync::Arc};
 
@@ -17,7 +17,7 @@
     pub service: Arc<str>,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: Arc<str>,
     /// Its state.
     pub state: VmState,
@@ -29,7 +29,7 @@
 pub enum VmState {
     /// In use.
     Live,
-    /// About to go.
+    /// About to shut down.
     Leaving,
 }
 
@@ -41,13 +41,13 @@
 
 #[derive(Debug)]
 struct State {
-    /// All versions with the time from which each shows.
+    /// All versions, each with the time from which it is visible.
     versions: Vec<(u64, Listing)>,
     lag_ms: u64,
     clock: Clock,
 }
 
-/// A running list.
+/// A running VM list.
 #[derive(Debug, Clone)]
 pub struct VmListStandin {
     state: Rc<RefCell<State>>,
@@ -80,7 +80,7 @@
             .rev()
             .find(|(visible_from_ms, _)| now_ms >= *visible_from_ms);
         visible
-            .expect("the first version shows from the start")
+            .expect("the first version is visible from the start")
             .1
             .clone()
     }
