--- a/crates/borageshore_standins/src/weight_store.rs
+++ b/crates/borageshore_standins/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! The weight store: a rate shared by all loads.
+//! A fake weight store that serves one load at a time.
 
 use std::{cell::Cell, io, net::SocketAddr, rc::Rc};
 
@@ -8,7 +8,7 @@
 
 use crate::http;
 
-/// A running store.
+/// A running weight store.
 #[derive(Debug, Clone)]
 pub struct WeightStoreStandin {
     load_ms: u64,
@@ -18,7 +18,7 @@
 }
 
 impl WeightStoreStandin {
-    /// Binds an address; one load keeps the store busy for `load_ms`.
+    /// Binds an address; each load occupies the store for `load_ms`.
     pub fn bind(address: &str, load_ms: u64) -> io::Result<HttpServer> {
         let store = Self {
             load_ms,
