--- a/crates/borageshore_standins/src/lib.rs
+++ b/crates/borageshore_standins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for everything outside: the platform, endpoints, trainers and callers.
+//! Stand-ins (fakes) for the systems around the daemons: platform, endpoints, trainers and callers.
 //!
-//! They exist for tests, examples and measurements and are no part of the shipped binary. Each
-//! answers over HTTP and takes switches that make it fail in one of the ways that the users named.
+//! Used by tests, examples and benchmarks, not by the shipped binary. All of them speak HTTP; the
+//! servers have switches that inject faults.
 //!
 //! ```
 //! use borageshore_standins::expected_token;
--- a/crates/borageshore_standins/src/main.rs
+++ b/crates/borageshore_standins/src/main.rs
@@ -1,4 +1,4 @@
-//! The stand-ins as a program: `standins platform`, `standins trainer`, `standins callers`.
+//! Runs the stand-ins from the command line: `standins platform`, `standins trainer`, `standins callers`.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 };
 use clap::{Args, Parser, Subcommand};
 
-/// The first port of endpoints, counted from the base port.
+/// Offset of the first endpoint's port from the base port.
 const ENDPOINT_PORT_OFFSET: u16 = 10;
 
 #[derive(Debug, Parser)]
@@ -212,12 +212,12 @@
     println!("{}", serde_json::to_string(&summary)?);
     eyre::ensure!(
         summary.violation_count() == 0,
-        "{} broken promises",
+        "{} samples were repeated, misattributed or too stale",
         summary.violation_count()
     );
     eyre::ensure!(
         summary.steps == arguments.steps,
-        "only {} steps were whole",
+        "only {} steps were completed within the time limit",
         summary.steps
     );
     Ok(())
@@ -239,7 +239,7 @@
     println!("{}", serde_json::to_string(&summary)?);
     eyre::ensure!(
         summary.violation_count() == 0,
-        "{} broken promises",
+        "{} streams were cut off or had wrong content",
         summary.violation_count()
     );
     Ok(())
