--- a/crates/borageshore_standins/src/platform/store.rs
+++ b/crates/borageshore_standins/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store: partitioned logs, keyed topics, long polls, and switches that make it fail.
+//! A fake store of the platform with partitioned logs, keyed topics, long polls and injected faults.
 
 use std::{
     cell::{Cell, RefCell},
@@ -21,23 +21,23 @@
 use super::query_parameter;
 use crate::http::{limits, status};
 
-/// The most bytes of one read, as the platform has it by default.
+/// Maximum bytes of one read; the platform's default.
 const READ_BYTES: usize = 1_024 * 1_024;
 
-/// How the store behaves.
+/// The injected fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreMode {
-    /// It answers.
+    /// No fault.
     Up,
-    /// It answers every call with 503.
+    /// Answers every call with 503.
     Busy,
-    /// It answers nothing.
+    /// Never responds.
     Silent,
-    /// It answers after so many ms.
+    /// Delays every call by this many ms.
     Slow(u64),
-    /// It does what it is asked and answers no append.
+    /// Applies appends without responding to them.
     LostAnswers,
-    /// It answers no append and does it after so many ms, if its condition still holds.
+    /// Applies appends after this many ms if their condition still holds, without responding to them.
     DelayedAppends(u64),
 }
 
@@ -98,7 +98,7 @@
 struct Service(Rc<Shared>);
 
 impl PlatformStore {
-    /// Binds an address and serves it.
+    /// Binds an address and serves an empty store.
     pub fn bind(address: &str) -> io::Result<Self> {
         let shared = Rc::new(Shared {
             clock: Clock::start(),
@@ -110,17 +110,17 @@
         Ok(Self { shared, server })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes its behaviour for calls from now on.
+    /// Sets the fault of calls that arrive from now on.
     pub fn set_mode(&self, mode: StoreMode) {
         self.shared.mode.set(mode);
     }
 
-    /// Writes a record under a key as the operator or an endpoint does, whatever the mode.
+    /// Appends a keyed record as an operator or endpoint would, regardless of the mode.
     pub fn put(&self, topic: &str, key: &str, value: &[u8]) {
         let mut record = BytesMut::new();
         record.put_u8(key.len() as u8);
@@ -141,7 +141,7 @@
             .collect()
     }
 
-    /// How many keys the topics hold whose names begin so.
+    /// The number of keys in all topics whose names start with `topics`.
     pub fn key_count(&self, topics: &str) -> usize {
         let partitions = self.shared.partitions.borrow();
         let matching = partitions
@@ -150,7 +150,7 @@
         matching.map(|(_, partition)| partition.newest.len()).sum()
     }
 
-    /// Drops the history of all topics; the newest records of keyed topics stay.
+    /// Drops the log records of all topics; the newest record of each key is kept.
     pub fn drop_history(&self) {
         for partition in self.shared.partitions.borrow_mut().values_mut() {
             partition.records.clear();
