--- a/crates/borageshore_standins/src/platform/engine.rs
+++ b/crates/borageshore_standins/src/platform/engine.rs
@@ -1,4 +1,4 @@
-//! An engine of the platform: resumable streams, versions of weights, orders.
+//! A fake engine of the platform with resumable streams, weight versions and load orders.
 
 use std::{
     cell::{Cell, RefCell},
@@ -24,13 +24,13 @@
 };
 use crate::http::{limits, status};
 
-/// The most events of a text.
+/// Maximum events of a text, except for items marked as long.
 const MAX_EVENT_COUNT: u64 = 12;
 
-/// The events of an item whose name says that its text is long.
+/// The number of events of an item whose name starts with `long`.
 pub const LONG_EVENT_COUNT: u64 = 60;
 
-/// How many events the text of an item has.
+/// The number of events in the text of an item.
 pub fn event_count(item: &str) -> u64 {
     match item.starts_with("long") {
         true => LONG_EVENT_COUNT,
@@ -38,7 +38,7 @@
     }
 }
 
-/// The data of an event.
+/// The data of an event; events are numbered from 1.
 pub fn event_text(item: &str, event: u64) -> String {
     format!(
         "{item} event {event} {:016x}",
@@ -46,46 +46,46 @@
     )
 }
 
-/// How the engine behaves.
+/// Timing and injected faults of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineSwitches {
-    /// Time of one event.
+    /// Time to generate one event.
     pub event_ms: u64,
-    /// Time of a load of weights.
+    /// Time to load weights.
     pub load_ms: u64,
-    /// Every so many runs are cut in the middle of an event; 0 for none.
+    /// Cuts every n-th run in the middle of an event; 0 cuts none.
     pub cut_every: u64,
-    /// Orders get no answer and are carried out this much later; 0 for at once.
+    /// Applies orders after this delay, without a response; 0 applies them at once and responds.
     pub order_delay_ms: u64,
-    /// It accepts connections and answers nothing.
+    /// Whether it accepts connections without responding to requests.
     pub is_unresponsive: bool,
 }
 
-/// A run of an item, as the engine saw it.
+/// A run of an item, as recorded by the engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordedRun {
     /// The item.
     pub item: String,
-    /// When it reached the engine.
+    /// Arrival time.
     pub at_ms: u64,
-    /// In whose name it ran.
+    /// The identity under which it ran.
     pub caller: RecordedCaller,
-    /// The event after which it was asked to begin.
+    /// The event after which it was to resume; 0 for a run from the start.
     pub after_event: u64,
-    /// The events that it made, with the version of the weights.
+    /// The generated events, each with its weight version.
     pub events: Vec<(u64, u64)>,
 }
 
-/// An order, as the engine saw it.
+/// A load order, as recorded by the engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReceivedOrder {
-    /// When it arrived.
+    /// Arrival time.
     pub at_ms: u64,
-    /// Who gave it.
+    /// The holder that sent it.
     pub holder: String,
-    /// Its epoch.
+    /// The holder's fencing epoch.
     pub epoch: u64,
-    /// The version that it asks for.
+    /// The requested weight version.
     pub version: u64,
 }
 
@@ -95,7 +95,7 @@
     instance: String,
     model: String,
     version: Cell<u64>,
-    /// When it started, in ms of the run's clock; names its incarnation.
+    /// Time of the last start; identifies the incarnation.
     started_at_ms: Cell<u64>,
     is_loading: Cell<bool>,
     orders_accepted: Cell<u64>,
@@ -106,7 +106,7 @@
     runs: RefCell<Vec<RecordedRun>>,
     orders: RefCell<Vec<ReceivedOrder>>,
     service: String,
-    /// Where it is listed, with its address and state there.
+    /// The store in which it is listed, with the listed address and state.
     listed: RefCell<Option<(PlatformStore, String, String)>>,
 }
 
@@ -129,7 +129,7 @@
 }
 
 impl PlatformEngine {
-    /// Binds an address and serves it with weights of a version; it is not listed yet.
+    /// Starts an engine on a free port with weights of `version`; it is not listed yet.
     pub fn bind(
         service: &str,
         instance: &str,
@@ -164,19 +164,20 @@
         Ok(Self { shared, server })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Lists it in the store under an address, which may be that of a proxy.
+    /// Lists it in the store under an address, which may be that of a proxy in front of it.
     pub fn list(&self, store: &PlatformStore, address: &str, state: &str) {
         let listed = (store.clone(), address.to_owned(), state.to_owned());
         self.shared.listed.replace(Some(listed));
         self.shared.write_entry();
     }
 
-    /// Starts it again under its id, with weights of a version: what it ran is cut, its counts start anew.
+    /// Restarts it under the same id with weights of `version`: running streams are cut and its order
+    /// count is reset.
     pub fn restart(&self, version: u64) {
         let shared = &self.shared;
         let started_at_ms = shared.clock.now_ms().max(shared.started_at_ms.get() + 1);
@@ -191,38 +192,38 @@
         self.shared.crashes.wait_for_crash().await;
     }
 
-    /// Starts it again after a crash, under its id and with the weights that it had.
+    /// Restarts it after a crash under the same id and with the same weights.
     pub fn restart_after_crash(&self) {
         self.restart(self.shared.version.get());
         self.shared.crashes.restart_after_crash();
     }
 
-    /// The items that crash their engines and reached it, in order.
+    /// The crashing items that reached it, in order of arrival.
     pub fn crashing_requests(&self) -> Vec<CrashingRequest> {
         self.shared.crashes.requests()
     }
 
-    /// The instant of its last start, on the clock of [`RecordedRun::at_ms`].
+    /// Time of its last start, on the clock of [`RecordedRun::at_ms`].
     pub fn started_at_ms(&self) -> u64 {
         self.shared.started_at_ms.get()
     }
 
-    /// Changes its behaviour.
+    /// Changes its timing and faults.
     pub fn set_switches(&self, switches: EngineSwitches) {
         self.shared.switches.set(switches);
     }
 
-    /// Its behaviour.
+    /// Its current timing and faults.
     pub fn switches(&self) -> EngineSwitches {
         self.shared.switches.get()
     }
 
-    /// The runs that it saw.
+    /// The recorded runs, in order of arrival.
     pub fn runs(&self) -> Vec<RecordedRun> {
         self.shared.runs.borrow().clone()
     }
 
-    /// The orders that it saw.
+    /// The recorded orders, in order of arrival.
     pub fn orders(&self) -> Vec<ReceivedOrder> {
         self.shared.orders.borrow().clone()
     }
@@ -242,7 +243,7 @@
 }
 
 impl Shared {
-    /// Writes its entry as it is by now, with its version of the weights.
+    /// Writes its current entry to the store, if it is listed.
     fn write_entry(&self) {
         let listed = self.listed.borrow();
         let Some((store, address, state)) = &*listed else {
@@ -349,7 +350,7 @@
         response_headers.insert("x-request-id", item.parse().expect("plain text"));
         let load = format!("{},0,{}", self.running.get() + 1, self.slots);
         response_headers.insert("x-server-load", load.parse().expect("plain text"));
-        // With nothing left to make, an engine names no version.
+        // An engine reports no weight version if no event is left to generate.
         if after_event < event_count(&item) {
             response_headers.insert("x-weight-versions", self.version.get().into());
         }
@@ -395,7 +396,7 @@
             if is_cut {
                 let half = text.as_bytes()[..text.len() / 2].to_vec();
                 let _ = sender.send_data(half.into()).await;
-                sender.abort(io::Error::other("cut"));
+                sender.abort(io::Error::other("stream cut in the middle of an event"));
                 self.running.set(self.running.get() - 1);
                 return;
             }
