--- a/crates/borageshore_standins/src/platform/plain.rs
+++ b/crates/borageshore_standins/src/platform/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service of the platform: answers calls with a signature and counts their runs.
+//! A fake plain service of the platform that signs its responses and records the runs of calls.
 
 use std::{
     cell::{Cell, RefCell},
@@ -23,14 +23,14 @@
 };
 use crate::http::{limits, status};
 
-/// How the service behaves.
+/// Timing and injected faults of the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlainSwitches {
-    /// Time of one call.
+    /// Time to run one call.
     pub work_ms: u64,
-    /// Every so many calls run and are never answered; 0 for none.
+    /// Runs every n-th call without a response; 0 affects none.
     pub lose_every: u64,
-    /// Every so many answers bear the id of another call; 0 for none.
+    /// Gives every n-th response the id of another call; 0 affects none.
     pub wrong_id_every: u64,
 }
 
@@ -42,11 +42,11 @@
     switches: Cell<PlainSwitches>,
     running: Cell<u64>,
     calls: Cell<u64>,
-    /// When each call ran, by its id.
+    /// The times at which each call ran, by call id.
     runs: RefCell<BTreeMap<String, Vec<u64>>>,
-    /// In whose name each call ran, each of its runs, by its id.
+    /// The identity of each run of each call, by call id.
     callers: RefCell<BTreeMap<String, Vec<RecordedCaller>>>,
-    /// Until when each call was said to be waited for, the latest of its runs, by its id.
+    /// The latest deadline of each call's runs, by call id.
     deadlines: RefCell<BTreeMap<String, u64>>,
 }
 
@@ -62,7 +62,7 @@
 struct Endpoint(Rc<Shared>);
 
 impl PlatformService {
-    /// Binds an address and serves it; it is not listed yet.
+    /// Starts an endpoint on a free port; it is not listed yet.
     pub fn bind(service: &str, instance: &str, clock: Clock) -> io::Result<Self> {
         let shared = Rc::new(Shared {
             clock,
@@ -87,12 +87,12 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Lists it in the store under an address, which may be that of a proxy.
+    /// Lists it in the store under an address, which may be that of a proxy in front of it.
     pub fn list(&self, store: &PlatformStore, address: &str, state: &str) {
         let entry = json!({
             "service": self.service, "address": address, "zone": "z1", "version": "v1",
@@ -105,12 +105,12 @@
         );
     }
 
-    /// Takes its entry out of the store.
+    /// Removes its entry from the store.
     pub fn unlist(&self, store: &PlatformStore) {
         store.put("keyed.servers", &self.shared.instance.borrow(), b"");
     }
 
-    /// How long a call that crashes it runs before it does, whether its caller still waits or not.
+    /// Sets how long a crashing call runs before the crash, even if its caller has disconnected.
     pub fn set_crash_after_ms(&self, after_ms: u64) {
         self.shared.crashes.set_after_ms(after_ms);
     }
@@ -120,13 +120,13 @@
         self.shared.crashes.wait_for_crash().await;
     }
 
-    /// Starts again after a crash, as a new instance.
+    /// Restarts it after a crash as a new instance.
     pub fn restart_after_crash(&self, instance: &str) {
         self.shared.instance.replace(instance.into());
         self.shared.crashes.restart_after_crash();
     }
 
-    /// The calls that reached it and crash their endpoints, in order.
+    /// The crashing calls that reached it, in order of arrival.
     pub fn crashing_requests(&self) -> Vec<CrashingRequest> {
         self.shared.crashes.requests()
     }
@@ -136,22 +136,22 @@
         self.shared.switches.set(switches);
     }
 
-    /// When each call ran, by its id.
+    /// The times at which each call ran, by call id.
     pub fn runs(&self) -> BTreeMap<String, Vec<u64>> {
         self.shared.runs.borrow().clone()
     }
 
-    /// In whose name each call ran, each of its runs, by its id.
+    /// The identity of each run of each call, by call id.
     pub fn callers(&self) -> BTreeMap<String, Vec<RecordedCaller>> {
         self.shared.callers.borrow().clone()
     }
 
-    /// Until when each call was said to be waited for, the latest of its runs, by its id.
+    /// The latest deadline of each call's runs, by call id.
     pub fn deadlines_ms(&self) -> BTreeMap<String, u64> {
         self.shared.deadlines.borrow().clone()
     }
 
-    /// The signature of this service under the answer to a call.
+    /// The signature of this service in the response to a call.
     pub fn stamp(id: &str) -> String {
         format!("stamp-{:016x}", hash(id))
     }
