--- a/crates/borageshore_standins/src/platform/crash.rs
+++ b/crates/borageshore_standins/src/platform/crash.rs
@@ -1,4 +1,4 @@
-//! Endpoints that crash under a given request.
+//! Endpoints that crash while they run a marked request.
 
 use std::{
     cell::{Cell, RefCell},
@@ -10,28 +10,28 @@
 
 use crate::http::status;
 
-/// A request whose body begins so crashes the endpoint that runs it.
+/// Body prefix of requests that crash the endpoint that runs them.
 pub const CRASH_MARK: &str = "crash";
-/// An endpoint that crashes takes a moment before it is gone.
+/// Time from the crash until the request ends, in which the connection can be closed.
 const CRASH_MS: u64 = 20;
 
-/// A request that reached an endpoint which it crashes.
+/// A crashing request that reached an endpoint.
 #[derive(Debug, Clone)]
 pub struct CrashingRequest {
     /// The id of the attempt.
     pub id: String,
-    /// What the request asks, the same in each of its repeats.
+    /// The request's body, the same in each attempt.
     pub body: String,
-    /// When it arrived.
+    /// Arrival time.
     pub at_ms: u64,
-    /// Whether the endpoint was up, and crashed under it.
+    /// Whether it crashed the endpoint; false if the endpoint was down already.
     pub has_crashed: bool,
 }
 
 /// The crashes of one endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct Crashes {
-    /// How long a request runs before the endpoint crashes, whether its caller still waits or not.
+    /// How long a request runs before the crash, even if its caller has disconnected.
     after_ms: Cell<u64>,
     is_down: Cell<bool>,
     crashed: Notify,
@@ -47,7 +47,7 @@
         self.after_ms.set(after_ms);
     }
 
-    /// Goes down under a request. What is answered in the end is lost with the endpoint's connections.
+    /// Records a crashing request and crashes. The response is lost with the endpoint's connections.
     pub(crate) async fn crash(
         self: &Rc<Self>,
         id: String,
@@ -86,7 +86,7 @@
         self.is_down.set(false);
     }
 
-    /// The requests that crash their endpoints and reached this one, in order.
+    /// The crashing requests that reached this endpoint, in order of arrival.
     pub(crate) fn requests(&self) -> Vec<CrashingRequest> {
         self.requests.borrow().clone()
     }
