--- a/crates/borageshore_standins/src/platform/duties.rs
+++ b/crates/borageshore_standins/src/platform/duties.rs
@@ -1,4 +1,4 @@
-//! The platform's side of duties: takes calls of one holder at a time, checks nothing and remembers all.
+//! A fake receiver of duty calls that records every usage report without checking it.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,31 +15,31 @@
 use super::header;
 use crate::http::{limits, status};
 
-/// How the platform takes calls.
+/// The injected fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DutyMode {
-    /// At once.
+    /// No fault.
     Up,
-    /// Not at all, with 503.
+    /// Answers every call with 503.
     Busy,
-    /// After so many ms.
+    /// Delays every call by this many ms.
     Slow(u64),
-    /// It takes them and answers none.
+    /// Accepts calls without responding to them.
     LostAnswers,
 }
 
-/// A report of usage that was taken.
+/// A usage report that was accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReceivedReport {
-    /// When it came.
+    /// Arrival time.
     pub at_ms: u64,
-    /// Who sent it.
+    /// The duty holder that sent it.
     pub holder: String,
-    /// Its epoch.
+    /// The holder's fencing epoch.
     pub epoch: u64,
-    /// Its window.
+    /// The id of the reported window.
     pub window: u64,
-    /// The requests of each organisation.
+    /// The number of requests by organisation.
     pub counts: BTreeMap<String, u64>,
 }
 
@@ -56,7 +56,7 @@
     reports: RefCell<Vec<ReceivedReport>>,
 }
 
-/// The platform's address for duties.
+/// A running receiver of duty calls.
 #[derive(Debug, Clone)]
 pub struct PlatformDuties {
     shared: Rc<Shared>,
@@ -67,7 +67,7 @@
 struct Service(Rc<Shared>);
 
 impl PlatformDuties {
-    /// Binds an address and serves it.
+    /// Starts a receiver on a free port.
     pub fn bind(clock: Clock) -> io::Result<Self> {
         let shared = Rc::new(Shared {
             clock,
@@ -78,17 +78,17 @@
         Ok(Self { shared, server })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Changes how it takes calls from now on.
+    /// Sets the fault of calls that arrive from now on.
     pub fn set_mode(&self, mode: DutyMode) {
         self.shared.mode.set(mode);
     }
 
-    /// The reports that it took, in order.
+    /// The accepted reports, in order of arrival.
     pub fn reports(&self) -> Vec<ReceivedReport> {
         self.shared.reports.borrow().clone()
     }
