--- a/crates/borageshore_standins/src/platform/proxy.rs
+++ b/crates/borageshore_standins/src/platform/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that delays, resets, silences or cuts connections.
+//! A loopback TCP proxy that delays, stalls or closes connections.
 
 use std::{cell::Cell, io, net::SocketAddr, pin::pin, rc::Rc};
 
@@ -10,28 +10,28 @@
 };
 use tokio::sync::Notify;
 
-/// The most bytes that are passed on at once.
+/// Maximum bytes that are forwarded at once.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// The pace at which a silent connection looks whether it may go on.
+/// Interval at which a stalled connection checks whether it may continue.
 const RECHECK_INTERVAL_MS: u64 = 20;
 
 const UNAVAILABLE_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
-/// What happens to connections.
+/// The injected fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProxyMode {
-    /// Bytes pass.
+    /// No fault: all bytes are forwarded.
     Pass,
-    /// Bytes pass after so many ms.
+    /// Delays bytes by this many ms.
     Delay(u64),
-    /// Nothing passes, either way; what is held passes later.
+    /// Holds all bytes of both directions until the mode changes.
     Silent,
-    /// Requests pass, answers are held.
+    /// Forwards requests and holds responses until the mode changes.
     AnswersHeld,
-    /// Open connections end, new ones end at once.
+    /// Closes open connections, and new ones at once.
     Reset,
-    /// Open connections end; on new ones every request is answered with 503.
+    /// Closes open connections and answers requests on new ones with 503.
     Busy,
 }
 
@@ -39,10 +39,10 @@
 struct Shared {
     address: Cell<SocketAddr>,
     target: SocketAddr,
-    /// Told when nothing listens any more.
+    /// Notified when the proxy stops listening.
     closed: Notify,
     mode: Cell<ProxyMode>,
-    /// Connections of an earlier generation stay silent for good.
+    /// Connections of earlier generations are stalled permanently.
     generation: Cell<u64>,
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl Proxy {
-    /// Opens a proxy before a target.
+    /// Starts a proxy for `target` on a free port.
     pub fn bind(target: SocketAddr) -> io::Result<Self> {
         let listener = bind_listener("127.0.0.1:0")?;
         let shared = Rc::new(Shared {
@@ -73,13 +73,13 @@
         Ok(Self { shared })
     }
 
-    /// Ends open connections and listens no more, as a process that crashes does.
+    /// Closes open connections and stops listening, like a process that crashes.
     pub fn close(&self) {
         self.shared.mode.set(ProxyMode::Reset);
         self.shared.closed.notify_waiters();
     }
 
-    /// Listens again, at another address.
+    /// Listens again, on another free port.
     pub fn reopen(&self) -> io::Result<()> {
         let listener = bind_listener("127.0.0.1:0")?;
         self.shared.address.set(listener.local_addr()?);
@@ -88,17 +88,17 @@
         Ok(())
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.shared.address.get()
     }
 
-    /// Changes what happens to connections.
+    /// Sets the fault of all connections.
     pub fn set_mode(&self, mode: ProxyMode) {
         self.shared.mode.set(mode);
     }
 
-    /// Silences all open connections for good; new ones work.
+    /// Stalls all open connections permanently; new ones work.
     pub fn stall_open_connections(&self) {
         self.shared.generation.set(self.shared.generation.get() + 1);
     }
