--- a/crates/borageshore_standins/src/platform/mod.rs
+++ b/crates/borageshore_standins/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-ins that speak the protocol of the users' platform: the store, engines, plain services, and
-//! a proxy that harms connections.
+//! Stand-ins that speak the platform's protocol: the store, engines, plain services, the receiver of
+//! duty calls, and a proxy that injects network faults.
 //!
-//! They record what they see, so that a test can check the daemons' promises from the outside.
+//! They record the requests that they receive, so that tests can check the daemons from the outside.
 
 mod crash;
 mod duties;
@@ -24,12 +24,12 @@
     store::{PlatformStore, StoreMode},
 };
 
-/// In whose name a request reached an endpoint.
+/// The identity under which a request reached an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordedCaller {
-    /// The organisation that the endpoint was told.
+    /// The organisation named by the request, if any.
     pub organisation: Option<String>,
-    /// Whether the caller's key was passed on.
+    /// Whether the request carried the caller's key.
     pub has_key: bool,
 }
 
@@ -51,7 +51,7 @@
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// A small hash for made-up sizes and signatures.
+/// A deterministic hash for generated sizes and signatures.
 fn hash(text: &str) -> u64 {
     borageshore_base::rendezvous_weight("stand-in", text)
 }
