--- a/crates/borageshore_scenarios/src/world.rs
+++ b/crates/borageshore_scenarios/src/world.rs
@@ -1,4 +1,4 @@
-//! Members, endpoints and a trainer in one place.
+//! The simulated system: members, endpoints and a trainer.
 
 use std::sync::Arc;
 
@@ -16,19 +16,19 @@
     oracle::{Oracle, Violation},
 };
 
-/// The one job.
+/// The name of the only job.
 pub const JOB: &str = "job";
-/// The stream of its ledger.
+/// The log stream of its ledger.
 pub(crate) const LEDGER: &str = "ledger-job";
 const TICK_MS: u64 = 100;
 const SETTLE_ROUNDS: u64 = 30;
 
-/// The shard of the one job.
+/// The shard of the only job.
 pub(crate) fn shard_of_job() -> Arc<str> {
     "job/job".into()
 }
 
-/// What a caller is told.
+/// The reply to a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallReply {
     /// The result code.
@@ -37,54 +37,54 @@
     pub outcome: Outcome,
 }
 
-/// What a trainer is told.
+/// The reply to a pull.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PullReply {
-    /// Samples, perhaps none.
+    /// A delivery, which may have no samples.
     Delivered(Delivery),
     /// A refusal.
     Refused(ResultCode),
-    /// Nothing is ready.
+    /// No delivery is ready yet.
     Nothing,
 }
 
-/// The trainer's own memory.
+/// The state that the trainer keeps.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct TrainerState {
-    /// Everything up to this number was taken.
+    /// The highest sample number that was received or skipped.
     pub cursor: u64,
-    /// The highest epoch that it was served under.
+    /// The highest epoch of an accepted delivery.
     pub epoch: u64,
 }
 
-/// Everything that a scenario moves.
+/// The simulated system that a scenario drives.
 #[derive(Debug)]
 pub struct World {
-    /// The true time.
+    /// The true time; the clocks of members may differ.
     pub now_ms: u64,
     /// The log.
     pub log: MemoryLog,
-    /// The living members by name.
+    /// The members that have not crashed, by name.
     pub members: SortedMap<Arc<str>, Member>,
     /// Runs of each request key at the plain service.
     pub runs: SortedMap<Arc<str>, u64>,
-    /// The next run's answer is lost.
+    /// Whether the response to the next run is lost.
     pub lose_next_run: bool,
-    /// The engine's weight version, and whether it checks fencing numbers.
+    /// The engine's weight version.
     pub engine_version: u64,
-    /// The highest fencing number that the engine has seen.
+    /// The highest epoch of an order that the engine has accepted.
     pub engine_epoch: u64,
-    /// The newest version in force.
+    /// The newest published weight version.
     pub target_version: u64,
-    /// The trainer.
+    /// The trainer's state.
     pub trainer: TrainerState,
-    /// What must always hold.
+    /// Checks the invariants.
     pub oracle: Oracle,
     next_incarnation: u64,
 }
 
 impl World {
-    /// Opens a world with members of these names, in order of candidacy.
+    /// Creates a world with members of these names, ranked as candidates in this order.
     pub fn open(names: &[&str]) -> Self {
         let mut world = Self {
             now_ms: 1_000,
@@ -105,7 +105,7 @@
         world
     }
 
-    /// Starts a member, or starts it anew after a crash.
+    /// Starts a member, or restarts it after a crash.
     pub fn start(&mut self, name: &str) {
         let rank = self.members.len() as u64;
         let member = Member::open(name, self.next_incarnation, rank);
@@ -113,19 +113,19 @@
         self.members.insert(name.into(), member);
     }
 
-    /// Ends a member without a word.
+    /// Removes a member without a clean shutdown.
     pub fn crash(&mut self, name: &str) {
         self.members.remove(name);
     }
 
-    /// A member that is alive and not paused.
+    /// A member that has neither crashed nor is paused.
     pub fn running(&mut self, name: &str) -> Option<&mut Member> {
         self.members
             .get_mut(name)
             .filter(|member| !member.is_paused)
     }
 
-    /// Runs one round of a member's event loop, unless it is paused or gone.
+    /// Runs one round of a member's event loop, unless it is paused or has crashed.
     pub fn tick(&mut self, name: &str) {
         let now_ms = self.now_ms;
         let member = self.members.get_mut(name);
@@ -138,7 +138,7 @@
         self.log.has_outage = has_outage;
     }
 
-    /// Moves the clock and runs every member's event loop at its usual pace.
+    /// Advances the clock and runs every member's event loop once per tick.
     pub fn advance(&mut self, duration_ms: u64) {
         let until_ms = self.now_ms + duration_ms;
         while self.now_ms < until_ms {
@@ -159,7 +159,7 @@
         self.oracle.on_holders(holders.collect());
     }
 
-    /// Moves the clock until a member may act for the job, for a minute at the most.
+    /// Advances the clock until a member may act for the job, by at most a minute.
     pub fn advance_until_holder(&mut self, name: &str) {
         self.advance_until(|world| {
             let member = world.members.get(name);
@@ -167,7 +167,7 @@
         });
     }
 
-    /// Moves the clock until an append is held back, for a minute at the most.
+    /// Advances the clock until an append is delayed, by at most a minute.
     pub fn advance_until_delayed(&mut self) {
         self.advance_until(|world| world.log.delayed() > 0);
     }
@@ -182,12 +182,12 @@
         }
     }
 
-    /// Gives everybody time to read and append what there is.
+    /// Runs enough rounds for all members to read and append all pending records.
     pub fn settle(&mut self) {
         self.advance(SETTLE_ROUNDS * TICK_MS);
     }
 
-    /// Proposes a change of one key through a member; returns the sequence.
+    /// Proposes a settings change through a member; returns its sequence number.
     pub fn propose(&mut self, name: &str, change: SettingsChange) -> Option<u64> {
         let member = self.running(name)?;
         Some(
@@ -198,7 +198,7 @@
         )
     }
 
-    /// A change of one key, based on what a member sees now.
+    /// An edit of one key, based on the revision that a member sees now.
     pub fn edit(
         &self,
         name: &str,
@@ -230,7 +230,7 @@
         member.settings.proposer.propose(record);
     }
 
-    /// Calls the plain service through a member with a key that must run at most once.
+    /// Calls the plain service through a member, with a request key that may run at most once.
     pub fn call(&mut self, name: &str, key: &str) -> Option<CallReply> {
         self.running(name)?;
         let Some(prefix) = KeyPrefix::parse(key) else {
@@ -307,7 +307,8 @@
         }
     }
 
-    /// Generates everything that the owner of the job wants, with the engine's present weights.
+    /// Generates all samples that the job's owner orders, with the engine's current weights; returns their
+    /// number.
     pub fn generate(&mut self, name: &str) -> usize {
         let (true_ms, version) = (self.now_ms, self.engine_version);
         let versions = Versions {
@@ -342,8 +343,8 @@
         count
     }
 
-    /// A pull of the trainer at a member that believes to be the owner. The reply still has to be
-    /// taken with [`World::take`]: it may be lost or come late.
+    /// Pulls samples from a member as the trainer. A delivery takes effect only with [`World::take`], so
+    /// that it can be lost or delayed.
     pub fn pull(&mut self, name: &str) -> PullReply {
         let view = PullView {
             cursor: self.trainer.cursor,
@@ -371,7 +372,7 @@
         }
     }
 
-    /// The trainer takes a delivery that answers its latest pull.
+    /// Accepts a delivery as the trainer, unless its epoch is outdated.
     pub fn take(&mut self, delivery: &Delivery) {
         if delivery.epoch < self.trainer.epoch {
             return;
@@ -382,7 +383,7 @@
         self.trainer.cursor = delivery.through;
     }
 
-    /// An order to the engine by a member that believes to own its weights.
+    /// Sends a weight order to the engine; returns whether it was accepted.
     pub fn order(&mut self, epoch: u64, version: u64) -> bool {
         if epoch < self.engine_epoch {
             return false;
@@ -392,7 +393,7 @@
         true
     }
 
-    /// Checks what must always hold.
+    /// Checks the invariants; the error is the first violation.
     pub fn check(&mut self) -> Result<(), Violation> {
         self.check_holders();
         for member in self.members.values() {
@@ -412,7 +413,7 @@
     CallReply { code, outcome }
 }
 
-/// The plan of the one job.
+/// The plan of the only job.
 pub(crate) fn plan() -> JobPlan {
     JobPlan {
         groups_per_step: 2,
