--- a/crates/borageshore_scenarios/src/member.rs
+++ b/crates/borageshore_scenarios/src/member.rs
@@ -1,4 +1,4 @@
-//! One daemon's decision core.
+//! The decision logic of one daemon.
 
 use std::sync::Arc;
 
@@ -15,19 +15,19 @@
 
 const BATCH_RECORDS: usize = 8;
 const PAGE_RECORDS: usize = 16;
-/// The lease time until a scenario sets another.
+/// The default lease duration.
 const LEASE_TTL_MS: u64 = 5_000;
 const KEY_WINDOW_MS: u64 = 60_000;
 const KEY_BYTES: usize = 4_096;
 
-/// A stream with both of its sides.
+/// A log stream with its reader and its writer.
 #[derive(Debug)]
 pub struct Stream<State> {
     name: Arc<str>,
     writer: Arc<str>,
-    /// The reader's side.
+    /// The reader.
     pub follower: Follower<State>,
-    /// The writer's side.
+    /// The writer.
     pub proposer: Proposer,
 }
 
@@ -45,7 +45,7 @@
     }
 
     fn append(&mut self, log: &mut MemoryLog, now_ms: u64) {
-        // The log stamps records with a clock of its own; any clock will do for the folds.
+        // The log timestamps records with its own clock; the folds work with any clock.
         let ProposerAction::Append(records) = self.proposer.poll(now_ms) else {
             return;
         };
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Reads one page; says whether the log answered.
+    /// Reads one page; returns whether the log responded.
     fn read<Observe>(&mut self, log: &MemoryLog, now_ms: u64, mut observe: Observe) -> bool
     where
         Observe: FnMut(u64, &borageshore_log::Envelope<State::Body>),
@@ -89,25 +89,25 @@
     pub name: Arc<str>,
     /// Its incarnation.
     pub incarnation: u64,
-    /// Whether it is stopped in its tracks, as by SIGSTOP.
+    /// Whether it is suspended, as by SIGSTOP.
     pub is_paused: bool,
-    /// Whether it cannot reach the log, which others still can.
+    /// Whether it is partitioned from the log, which others can reach.
     pub is_cut_off: bool,
     /// The settings stream.
     pub settings: Stream<SettingsFold>,
     /// The lease stream.
     pub leases: Stream<LeaseTable>,
-    /// The ledger of the one job, while this member owns it.
+    /// The ledger and the controller of the only job, while this member owns it.
     pub job: Option<(Stream<Ledger>, JobController)>,
-    /// When it may act, and what it should renew or claim.
+    /// Decides when it may act, and which leases to renew or claim.
     pub agent: LeaseAgent,
     /// The request keys that it ran.
     pub keys: KeyTable,
-    /// Its place among the candidates for shards.
+    /// Its rank among the candidates for shards.
     pub rank: u64,
-    /// The lease time that it asks for.
+    /// The lease duration that it requests.
     pub lease_ttl_ms: u64,
-    /// How fast its clock runs, in thousandths of true time.
+    /// The rate of its clock, in thousandths of true time.
     pub clock_permille: u64,
 }
 
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The time by its own clock.
+    /// The time on its own clock.
     pub fn local_ms(&self, true_ms: u64) -> u64 {
         true_ms * self.clock_permille / 1_000
     }
@@ -142,7 +142,7 @@
             .epoch(self.leases.follower.fold(), shard, self.local_ms(true_ms))
     }
 
-    /// One round of the event loop at a true time: read, decide, append.
+    /// Runs one round of the event loop at a true time: read, decide, append.
     pub fn tick(&mut self, log: &mut MemoryLog, true_ms: u64) {
         let now_ms = self.local_ms(true_ms);
         self.settings.read(log, now_ms, |_, _| {});
