--- a/crates/borageshore_scenarios/src/oracle.rs
+++ b/crates/borageshore_scenarios/src/oracle.rs
@@ -1,4 +1,4 @@
-//! What must always hold, checked against the simplest possible memory of what happened.
+//! Invariants that are checked against a record of all observed events.
 
 use std::sync::Arc;
 
@@ -12,14 +12,14 @@
     world::{CallReply, plan},
 };
 
-/// A promise that did not hold.
+/// A violated invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Violation {
     /// Two members may act for one shard at the same time.
     TwoHolders(Vec<(Arc<str>, u64)>),
     /// Two members that folded the same records have different settings.
     SettingsDiffer(u64),
-    /// A member's settings went back.
+    /// A member's settings reverted to an earlier offset.
     SettingsReverted(Arc<str>),
     /// A request key ran more than once.
     RanTwice(Arc<str>),
@@ -35,10 +35,10 @@
     NumberRepeated(u64),
 }
 
-/// The memory of what happened.
+/// Records observed events and checks the invariants.
 #[derive(Debug, Default)]
 pub struct Oracle {
-    /// The settings as text by applied offset.
+    /// The serialized settings by applied offset.
     settings_by_offset: SortedMap<u64, String>,
     /// The last applied offset by member incarnation.
     applied_offsets: SortedMap<(Arc<str>, u64), u64>,
@@ -51,14 +51,14 @@
         self.violation.get_or_insert(violation);
     }
 
-    /// Looks at who may act now.
+    /// Checks that at most one member may act for the job.
     pub fn on_holders(&mut self, holders: Vec<(Arc<str>, u64)>) {
         if holders.len() > 1 {
             self.report(Violation::TwoHolders(holders));
         }
     }
 
-    /// Looks at a member's settings.
+    /// Checks that a member's settings never revert and equal those of others at the same offset.
     pub fn on_settings(&mut self, member: &Member) {
         let follower = &member.settings.follower;
         if follower.state() != FollowerState::Following {
@@ -80,21 +80,21 @@
         }
     }
 
-    /// Looks at the plain service's counts.
+    /// Checks that no request key ran more than once.
     pub fn on_runs(&mut self, runs: &SortedMap<Arc<str>, u64>) {
         if let Some((key, _)) = runs.iter().find(|(_, count)| **count > 1) {
             self.report(Violation::RanTwice(key.clone()));
         }
     }
 
-    /// Looks at the answer to a call.
+    /// Checks that a call that is reported as not run did not run.
     pub fn on_call(&mut self, key: &str, reply: CallReply, runs: u64) {
         if reply.outcome == Outcome::NotRun && runs > 0 {
             self.report(Violation::FalseNotRun(key.into()));
         }
     }
 
-    /// Looks at what the trainer takes.
+    /// Checks a delivery that the trainer accepts.
     pub fn on_delivery(&mut self, cursor: u64, delivery: &Delivery, target_version: u64) {
         for (number, sample) in &delivery.samples {
             if *number <= cursor {
@@ -121,7 +121,7 @@
         self.delivered.len()
     }
 
-    /// The first violation, if any.
+    /// Returns the first violation as the error.
     pub fn verdict(&self) -> Result<(), Violation> {
         match &self.violation {
             Some(violation) => Err(violation.clone()),
