--- a/crates/borageshore_scenarios/src/log.rs
+++ b/crates/borageshore_scenarios/src/log.rs
@@ -1,20 +1,20 @@
-//! A log service in memory, with the faults of the real one.
+//! An in-memory log service with injected faults.
 
 use std::sync::Arc;
 
 use borageshore_base::SortedMap;
 use borageshore_log::{LogPage, LogRecord};
 
-/// What became of an append.
+/// The outcome of an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendOutcome {
-    /// It took effect and the writer knows.
+    /// It took effect and was acknowledged.
     Acknowledged,
-    /// It took effect and the writer does not know.
+    /// It took effect, but the acknowledgement was lost.
     AnswerLost,
-    /// It had no effect and the writer knows.
+    /// It was refused and had no effect.
     Refused,
-    /// It has no effect yet, may have one later, and the writer does not know.
+    /// It may take effect later; the writer gets no response.
     Delayed,
 }
 
@@ -24,23 +24,23 @@
     records: Vec<LogRecord>,
 }
 
-/// Streams of records.
+/// An in-memory log service.
 #[derive(Debug, Default)]
 pub struct MemoryLog {
     streams: SortedMap<Arc<str>, Stream>,
-    /// Answers nothing while it lasts.
+    /// Whether all appends and reads fail.
     pub has_outage: bool,
-    /// The next append takes effect and its answer is lost.
+    /// Whether the next append takes effect without an acknowledgement.
     pub lose_next_answer: bool,
-    /// The next append that contains this text is held back until [`MemoryLog::release`].
+    /// Delays the next append that contains this text until [`MemoryLog::release`].
     pub delay_next: Option<String>,
-    /// Reads of this stream get no answer.
+    /// The stream whose reads fail, if any.
     pub blocked_stream: Option<Arc<str>>,
     delayed: Vec<(Arc<str>, Vec<String>)>,
 }
 
 impl MemoryLog {
-    /// Appends records.
+    /// Appends records to a stream, subject to the injected faults.
     pub fn append(&mut self, stream: &str, records: Vec<String>, at_ms: u64) -> AppendOutcome {
         if self.has_outage {
             return AppendOutcome::Refused;
@@ -59,12 +59,12 @@
         }
     }
 
-    /// The number of appends that are held back.
+    /// The number of delayed appends.
     pub fn delayed(&self) -> usize {
         self.delayed.len()
     }
 
-    /// Lets the appends that were held back take effect.
+    /// Applies all delayed appends.
     pub fn release(&mut self, at_ms: u64) {
         for (stream, records) in std::mem::take(&mut self.delayed) {
             self.push(&stream, records, at_ms);
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Reads up to `max_records` records; `None` during an outage.
+    /// Reads up to `max_records` records; `None` if reads of the stream fail.
     pub fn read(&self, stream: &str, from_offset: u64, max_records: usize) -> Option<LogPage> {
         if self.has_outage || self.blocked_stream.as_deref() == Some(stream) {
             return None;
@@ -111,7 +111,7 @@
         })
     }
 
-    /// Forgets all records of a stream below an offset, as retention does.
+    /// Drops all records of a stream below an offset, like retention.
     pub fn trim(&mut self, stream: &str, below_offset: u64) {
         if let Some(stream) = self.streams.get_mut(stream) {
             let count = below_offset.saturating_sub(stream.first_offset) as usize;
