--- a/crates/borageshore_scenarios/src/lib.rs
+++ b/crates/borageshore_scenarios/src/lib.rs
@@ -1,8 +1,8 @@
-//! A handful of decision cores around an in-memory log, moved by hand.
+//! A deterministic simulation of several daemons' decision logic around an in-memory log.
 //!
-//! [`World`] is what scripted scenarios and the fuzzer drive: members fold and propose, an engine
-//! and a plain service count what reaches them, a trainer pulls. There are no sockets, threads or
-//! clocks, and no model of a network: a member acts only when it is told to.
+//! Scripted scenarios and the fuzzer drive a [`World`]: members read the log and propose records, an
+//! engine and a plain service count the requests that reach them, a trainer pulls samples. There are no
+//! sockets, threads, real clocks or network model: a member acts only when the driver calls it.
 //!
 //! ```
 //! use borageshore_scenarios::World;
