--- a/crates/borageshore_scenarios/tests/fuzz.rs
+++ b/crates/borageshore_scenarios/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Stateful fuzzing: random steps of members, operators, callers, a trainer and the log's faults, with
-//! the oracle asked after each.
+//! Stateful fuzzing: random steps of members, operators, callers, a trainer and log faults, with the
+//! invariants checked after each step.
 //!
 //! CI runs a fixed count from the fixed seed of `.cargo/config.toml`; for a longer run see
 //! `docs/operators/testing.md`.
@@ -11,7 +11,7 @@
 const NAMES: [&str; 3] = ["a", "b", "c"];
 const ITERATIONS: usize = 400;
 
-/// One step.
+/// One random step.
 #[derive(Debug, Clone, TypeGenerator)]
 enum Step {
     Tick(Who),
@@ -53,7 +53,7 @@
         who: Who,
         fate: Fate,
     },
-    /// A whole turn of the trainer's work with whoever may act for the job.
+    /// Generation and two pulls at the member that may act for the job, if there is one.
     TrainerRound,
     Publish,
     EngineSwaps,
@@ -75,7 +75,7 @@
     Parent,
 }
 
-/// A request key; few values, so that keys repeat.
+/// A request key out of few values, so that keys repeat.
 #[derive(Debug, Clone, Copy, TypeGenerator)]
 struct CallKey {
     #[generator(1_u64..6)]
@@ -228,8 +228,7 @@
     });
 }
 
-/// The fuzzer would prove nothing if its steps never got anywhere: with no faults at all, the usual
-/// order of steps delivers samples, changes settings and runs calls.
+/// Guards against steps without any effect, with which the fuzzer would pass trivially.
 #[test]
 fn steps_without_faults_make_progress() {
     let mut world = World::open(&NAMES);
--- a/crates/borageshore_scenarios/tests/scenarios.rs
+++ b/crates/borageshore_scenarios/tests/scenarios.rs
@@ -1,6 +1,6 @@
-//! Scripted scenarios: one file a story, under `scenarios/`.
+//! Scripted scenarios, one file each under `scenarios/`.
 //!
-//! A file's output is compared with what the file says; `UPDATE_GOLDENFILES=1` writes it anew.
+//! The output is compared with the expected one in the file; `UPDATE_GOLDENFILES=1` rewrites it.
 
 use std::error::Error;
 
