--- a/crates/borageshore_bench/src/bin/capacity.rs
+++ b/crates/borageshore_bench/src/bin/capacity.rs
@@ -5,7 +5,7 @@
 use borageshore_bench::{Sweep, render};
 
 const DOCS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs");
-/// The deployments that `tools/run-sweep` plays, the largest first.
+/// The deployments of `tools/run-sweep`, the largest first.
 const DEPLOYMENTS: [&str; 5] = [
     "navua-feedlog-large",
     "navua-feedlog-grown",
--- a/crates/borageshore_bench/src/fit.rs
+++ b/crates/borageshore_bench/src/fit.rs
@@ -1,13 +1,13 @@
-//! Straight lines through measured points.
+//! Linear regression through measured points.
 
-/// A straight line.
+/// A fitted line.
 #[derive(Debug, Clone, Copy)]
 pub struct Fit {
     /// The value at size 0.
     pub intercept: f64,
-    /// The growth for one more.
+    /// The growth per unit of size.
     pub slope: f64,
-    /// The largest distance of a point from the line, as a share of the largest value.
+    /// The largest distance of a point from the line, relative to the largest value.
     pub worst_miss: f64,
 }
 
--- a/crates/borageshore_bench/src/lib.rs
+++ b/crates/borageshore_bench/src/lib.rs
@@ -1,8 +1,8 @@
-//! From sweeps over deployments of several sizes to `docs/CAPACITY.md`.
+//! Generates `docs/CAPACITY.md` from sweeps over deployments of several sizes.
 //!
 //! `tools/run-sweep` saves the tables of sweeps under `docs/measured/`, and
-//! `cargo run -p borageshore_bench --bin capacity` writes the page from them. A test checks that the page is what
-//! the tables say.
+//! `cargo run -p borageshore_bench --bin capacity` writes the page from them. A test checks that the page matches
+//! the tables.
 //!
 //! ```
 //! use borageshore_bench::Fit;
--- a/crates/borageshore_bench/src/page.rs
+++ b/crates/borageshore_bench/src/page.rs
@@ -1,4 +1,4 @@
-//! The page.
+//! Renders the capacity page.
 
 use std::fmt::Write;
 
@@ -7,14 +7,14 @@
     sweep::{Row, Sweep},
 };
 
-/// The sizes that the page is worked out for: what the users name as next, and letter 1's.
+/// The deployment sizes, in VMs, that the page extrapolates to.
 const SIZES: [f64; 2] = [675.0, 680.0];
-/// The largest daemon of today's large VMs, and what letter 1 grants for control.
+/// The memory budget of a daemon, in MB.
 const MEMORY_MB: f64 = 256.0;
 const PROCESSOR: &str = "daemon: processor %";
 const MEMORY: &str = "daemon: memory MB";
 
-/// Writes the page.
+/// Renders the page as Markdown.
 pub fn render(sweeps: &[Sweep]) -> String {
     let mut page = String::from(INTRODUCTION);
     for sweep in sweeps {
@@ -46,7 +46,7 @@
     }
 }
 
-/// The figures of a sweep, and where a straight line through its sound sizes leads.
+/// Renders the metrics of a sweep, extrapolated by a line through the sizes without violations.
 fn figures(page: &mut String, sweep: &Sweep) {
     page.push_str("\n| figure, middle / most |");
     for play in &sweep.plays {
--- a/crates/borageshore_bench/src/sweep.rs
+++ b/crates/borageshore_bench/src/sweep.rs
@@ -1,44 +1,44 @@
-//! The tables of a sweep: one day at several sizes of a deployment.
+//! The tables of a sweep: the same day at several sizes of a deployment.
 
-/// The day at one size.
+/// The results of the day at one size.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Play {
-    /// Daemons.
+    /// The number of daemons.
     pub daemons: f64,
-    /// Endpoints.
+    /// The number of endpoints.
     pub endpoints: f64,
     /// The share of the requests that were served.
     pub served: f64,
-    /// What the users say the day was worth.
+    /// The worth of the day, as rated by the bench.
     pub worth: f64,
-    /// The promises that were broken; empty if none was.
+    /// The violations; empty if there were none.
     pub broken: String,
 }
 
-/// A figure at each size.
+/// A metric at each size.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Row {
-    /// What it measures.
+    /// The name of the metric.
     pub name: String,
-    /// Of the daemon, or the time, in the middle.
+    /// The value of the middle daemon, or the middle time, at each size.
     pub middle: Vec<f64>,
-    /// Of the busiest daemon, or the longest time.
+    /// The value of the busiest daemon, or the longest time, at each size.
     pub most: Vec<f64>,
 }
 
-/// A sweep.
+/// The results of a sweep.
 #[derive(Debug, Default)]
 pub struct Sweep {
     /// The deployment.
     pub deployment: String,
-    /// The sizes, smallest first.
+    /// The results at each size, smallest first.
     pub plays: Vec<Play>,
-    /// The figures.
+    /// The metrics.
     pub rows: Vec<Row>,
 }
 
 impl Sweep {
-    /// Reads the text of a sweep; lines of another shape are passed over.
+    /// Parses the printed tables of a sweep; other lines are ignored.
     pub fn parse(deployment: &str, text: &str) -> Self {
         let plays: Vec<Play> = text.lines().filter_map(play).collect();
         let row = |line| row(line, plays.len());
@@ -49,21 +49,21 @@
         }
     }
 
-    /// A figure by its name.
+    /// Returns the metric of a name.
     pub fn row(&self, name: &str) -> Option<&Row> {
         self.rows.iter().find(|row| row.name == name)
     }
 
-    /// Sizes and values of a row, of those sizes at which no promise was broken: beyond them a daemon does not
-    /// do its work, and its figures say nothing.
+    /// Pairs of size and value at the sizes without violations: at others daemons do not do all their work,
+    /// so their values are not comparable.
     pub fn points<'s>(&'s self, values: &'s [f64]) -> Vec<(f64, f64)> {
-        let sound = self.plays.iter().zip(values);
-        let sound = sound.filter(|(play, _)| play.broken.is_empty());
-        sound.map(|(play, value)| (play.daemons, *value)).collect()
+        let valid = self.plays.iter().zip(values);
+        let valid = valid.filter(|(play, _)| play.broken.is_empty());
+        valid.map(|(play, value)| (play.daemons, *value)).collect()
     }
 }
 
-/// A line such as `sweep-30  28/300  0.78  0.776  1.000 ...`.
+/// Parses a line such as `sweep-30  28/300  0.78  0.776  1.000 ...`.
 fn play(line: &str) -> Option<Play> {
     let mut fields = line.strip_prefix("sweep-")?.split_whitespace().skip(1);
     let (daemons, endpoints) = fields.next()?.split_once('/')?;
@@ -79,7 +79,7 @@
     })
 }
 
-/// A line such as `daemon: memory MB   5.1 / 50.5   4.3 / 53.3 ...`, with one pair a size.
+/// Parses a line such as `daemon: memory MB   5.1 / 50.5   4.3 / 53.3 ...`, with one pair a size.
 fn row(line: &str, sizes: usize) -> Option<Row> {
     let (name, values) = line.split_once("  ")?;
     let mut numbers = values
--- a/crates/borageshore_bench/tests/page.rs
+++ b/crates/borageshore_bench/tests/page.rs
@@ -1,4 +1,4 @@
-//! The page is what the measured tables say.
+//! Checks that the capacity page matches the measured tables.
 
 use borageshore_bench::{Sweep, render};
 
