--- a/crates/borageshore_standins/src/platform/engine.rs
+++ b/crates/borageshore_standins/src/platform/engine.rs
@@ -396,7 +396,7 @@
             if is_cut {
                 let half = text.as_bytes()[..text.len() / 2].to_vec();
                 let _ = sender.send_data(half.into()).await;
-                sender.abort(io::Error::other("stream cut in the middle of an event"));
+                sender.abort(io::Error::other("cut"));
                 self.running.set(self.running.get() - 1);
                 return;
             }
