--- a/crates/borageshore_standins/src/engine.rs
+++ b/crates/borageshore_standins/src/engine.rs
@@ -166,7 +166,7 @@
         let report = self.report();
         let mut state = self.state.borrow_mut();
         state.arrivals += 1;
-        let prefill_steps_left = if is_cached(&mut state.cached, &request.prompt) {
+        let prefill_steps_left = if touch_prefix_cache(&mut state.cached, &request.prompt) {
             1
         } else {
             self.options.prefill_steps
@@ -252,7 +252,7 @@
     }
 
     async fn set_switches(&self, request: EdgeRequest) -> EdgeResponse {
-        match http::json::<EngineSwitches>(request).await {
+        match http::read_json::<EngineSwitches>(request).await {
             Ok(switches) => {
                 let mut state = self.state.borrow_mut();
                 state.stalled_steps += switches.stall_ms / self.options.step_ms.max(1);
@@ -267,11 +267,11 @@
 impl Handler for EngineStandin {
     async fn handle(&self, request: EdgeRequest, _remote: SocketAddr) -> EdgeResponse {
         match request.uri().path() {
-            "/generate" => match http::json(request).await {
+            "/generate" => match http::read_json(request).await {
                 Ok(generation) => self.generate(generation),
                 Err(response) => response,
             },
-            "/order" => match http::json(request).await {
+            "/order" => match http::read_json(request).await {
                 Ok(order) => self.order(order),
                 Err(response) => response,
             },
@@ -336,7 +336,8 @@
     !is_last
 }
 
-fn is_cached(cached: &mut Vec<u64>, prompt: &str) -> bool {
+/// Marks the prefix of a prompt as most recently used; returns whether it was cached before.
+fn touch_prefix_cache(cached: &mut Vec<u64>, prompt: &str) -> bool {
     let prefix = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
     let hash = xxh3_64(prefix);
     let found = cached.iter().position(|known| *known == hash);
--- a/crates/borageshore_standins/src/http.rs
+++ b/crates/borageshore_standins/src/http.rs
@@ -28,7 +28,7 @@
 }
 
 /// Reads a JSON body; the error is a response with status 400.
-pub(crate) async fn json<Content>(request: EdgeRequest) -> Result<Content, EdgeResponse>
+pub(crate) async fn read_json<Content>(request: EdgeRequest) -> Result<Content, EdgeResponse>
 where
     Content: DeserializeOwned,
 {
@@ -39,7 +39,7 @@
 }
 
 /// A numeric query parameter.
-pub(crate) fn number(request: &EdgeRequest, name: &str) -> Option<u64> {
+pub(crate) fn query_number(request: &EdgeRequest, name: &str) -> Option<u64> {
     let pairs = request.uri().query()?.split('&');
     let mut pairs = pairs.filter_map(|pair| pair.split_once('='));
     pairs
--- a/crates/borageshore_standins/src/log.rs
+++ b/crates/borageshore_standins/src/log.rs
@@ -96,7 +96,7 @@
     }
 
     async fn append(&self, stream: Arc<str>, request: EdgeRequest) -> EdgeResponse {
-        let records: Vec<String> = match http::json(request).await {
+        let records: Vec<String> = match http::read_json(request).await {
             Ok(records) => records,
             Err(response) => return response,
         };
@@ -182,7 +182,7 @@
     }
 
     async fn set_switches(&self, request: EdgeRequest) -> EdgeResponse {
-        let switches: LogSwitches = match http::json(request).await {
+        let switches: LogSwitches = match http::read_json(request).await {
             Ok(switches) => switches,
             Err(response) => return response,
         };
@@ -232,8 +232,8 @@
         match (request.method(), parts.as_slice()) {
             (&Method::POST, ["streams", stream]) => self.append((*stream).into(), request).await,
             (&Method::GET, ["streams", stream]) => {
-                let from = http::number(&request, "from").unwrap_or(0);
-                let wait_ms = http::number(&request, "wait_ms").unwrap_or(0);
+                let from = http::query_number(&request, "from").unwrap_or(0);
+                let wait_ms = http::query_number(&request, "wait_ms").unwrap_or(0);
                 self.read((*stream).into(), from, wait_ms).await
             }
             _ => http::status(404),
--- a/crates/borageshore_standins/src/plain.rs
+++ b/crates/borageshore_standins/src/plain.rs
@@ -131,7 +131,7 @@
     async fn handle(&self, request: EdgeRequest, _remote: SocketAddr) -> EdgeResponse {
         match request.uri().path() {
             "/counts" => json_response(200, &self.counts()),
-            "/ran" => match http::json::<Vec<Arc<str>>>(request).await {
+            "/ran" => match http::read_json::<Vec<Arc<str>>>(request).await {
                 Ok(keys) => json_response(200, &self.keys_that_ran(&keys)),
                 Err(response) => response,
             },
@@ -139,7 +139,7 @@
                 200,
                 &serde_json::json!({"requests": 0, "slots": 64, "adapters": []}),
             ),
-            "/switches" => match http::json(request).await {
+            "/switches" => match http::read_json(request).await {
                 Ok(switches) => {
                     self.state.borrow_mut().switches = switches;
                     json_response(200, &switches)
--- a/crates/borageshore_standins/src/platform/store.rs
+++ b/crates/borageshore_standins/src/platform/store.rs
@@ -227,11 +227,11 @@
         let deadline_ms = self.clock.now_ms() + number("wait_ms").unwrap_or(0);
         loop {
             let appended = self.appended.notified();
-            let left_ms = deadline_ms.saturating_sub(self.clock.now_ms());
-            if self.end(&topic, partition) > from || left_ms == 0 {
+            let remaining_ms = deadline_ms.saturating_sub(self.clock.now_ms());
+            if self.end(&topic, partition) > from || remaining_ms == 0 {
                 break;
             }
-            within_ms(left_ms, appended).await;
+            within_ms(remaining_ms, appended).await;
         }
         let mut partitions = self.partitions.borrow_mut();
         let partition = partitions.entry((topic, partition)).or_default();
--- a/crates/borageshore_standins/src/vm_list.rs
+++ b/crates/borageshore_standins/src/vm_list.rs
@@ -86,7 +86,7 @@
     }
 
     async fn replace(&self, request: EdgeRequest) -> EdgeResponse {
-        let vms: Vec<Vm> = match http::json(request).await {
+        let vms: Vec<Vm> = match http::read_json(request).await {
             Ok(vms) => vms,
             Err(response) => return response,
         };
@@ -109,7 +109,7 @@
             return self.replace(request).await;
         }
         let visible = self.visible_listing();
-        if http::number(&request, "known") == Some(visible.version) {
+        if http::query_number(&request, "known") == Some(visible.version) {
             return http::status(304);
         }
         json_response(200, &visible)
