--- a/crates/borageshore_scenarios/src/member.rs
+++ b/crates/borageshore_scenarios/src/member.rs
@@ -92,7 +92,7 @@
     /// Whether it is suspended, as by SIGSTOP.
     pub is_paused: bool,
     /// Whether it is partitioned from the log, which others can reach.
-    pub is_cut_off: bool,
+    pub is_partitioned: bool,
     /// The settings stream.
     pub settings: Stream<SettingsFold>,
     /// The lease stream.
@@ -119,7 +119,7 @@
             name: name.into(),
             incarnation,
             is_paused: false,
-            is_cut_off: false,
+            is_partitioned: false,
             settings: Stream::open("settings", session.clone()),
             leases: Stream::open("leases", session.clone()),
             job: None,
--- a/crates/borageshore_scenarios/src/world.rs
+++ b/crates/borageshore_scenarios/src/world.rs
@@ -119,7 +119,7 @@
     }
 
     /// A member that has neither crashed nor is paused.
-    pub fn running(&mut self, name: &str) -> Option<&mut Member> {
+    pub fn running_member(&mut self, name: &str) -> Option<&mut Member> {
         self.members
             .get_mut(name)
             .filter(|member| !member.is_paused)
@@ -133,7 +133,7 @@
             return;
         };
         let has_outage = self.log.has_outage;
-        self.log.has_outage |= member.is_cut_off;
+        self.log.has_outage |= member.is_partitioned;
         member.tick(&mut self.log, now_ms);
         self.log.has_outage = has_outage;
     }
@@ -189,7 +189,7 @@
 
     /// Proposes a settings change through a member; returns its sequence number.
     pub fn propose(&mut self, name: &str, change: SettingsChange) -> Option<u64> {
-        let member = self.running(name)?;
+        let member = self.running_member(name)?;
         Some(
             member
                 .settings
@@ -218,7 +218,7 @@
 
     /// Has a member append a snapshot of its settings.
     pub fn snapshot_settings(&mut self, name: &str) {
-        let Some(member) = self.running(name) else {
+        let Some(member) = self.running_member(name) else {
             return;
         };
         let next_offset = member.settings.follower.applied_offset();
@@ -232,7 +232,7 @@
 
     /// Calls the plain service through a member, with a request key that may run at most once.
     pub fn call(&mut self, name: &str, key: &str) -> Option<CallReply> {
-        self.running(name)?;
+        self.running_member(name)?;
         let Some(prefix) = KeyPrefix::parse(key) else {
             return Some(CallReply {
                 code: ResultCode::KeyWithoutPrefix,
@@ -241,7 +241,7 @@
         };
         let owner = prefix.daemon.clone();
         let is_owner_running = self
-            .running(&owner)
+            .running_member(&owner)
             .is_some_and(|owner| owner.keys.owns(&prefix));
         if !is_owner_running {
             return Some(CallReply {
@@ -250,7 +250,7 @@
             });
         }
         let true_ms = self.now_ms;
-        let member = self.running(&owner)?;
+        let member = self.running_member(&owner)?;
         let now_ms = member.local_ms(true_ms);
         let decision = member.keys.decide(key, &prefix, now_ms);
         let reply = match decision {
@@ -315,7 +315,7 @@
             target: self.target_version,
             floor: self.engine_version,
         };
-        let Some(member) = self.running(name) else {
+        let Some(member) = self.running_member(name) else {
             return 0;
         };
         let now_ms = member.local_ms(true_ms);
@@ -343,7 +343,7 @@
         count
     }
 
-    /// Pulls samples from a member as the trainer. A delivery takes effect only with [`World::take`], so
+    /// Pulls samples from a member as the trainer. A delivery takes effect only with [`World::accept`], so
     /// that it can be lost or delayed.
     pub fn pull(&mut self, name: &str) -> PullReply {
         let view = PullView {
@@ -353,7 +353,7 @@
             target_version: self.target_version,
         };
         let true_ms = self.now_ms;
-        let Some(member) = self.running(name) else {
+        let Some(member) = self.running_member(name) else {
             return PullReply::Nothing;
         };
         let now_ms = member.local_ms(true_ms);
@@ -373,7 +373,7 @@
     }
 
     /// Accepts a delivery as the trainer, unless its epoch is outdated.
-    pub fn take(&mut self, delivery: &Delivery) {
+    pub fn accept(&mut self, delivery: &Delivery) {
         if delivery.epoch < self.trainer.epoch {
             return;
         }
--- a/crates/borageshore_scenarios/tests/fuzz.rs
+++ b/crates/borageshore_scenarios/tests/fuzz.rs
@@ -20,9 +20,9 @@
     Resume(Who),
     Crash(Who),
     Start(Who),
-    CutOff {
+    SetPartitioned {
         who: Who,
-        is_cut_off: bool,
+        is_partitioned: bool,
     },
     LoseAnswer,
     DelayAppend,
@@ -101,9 +101,12 @@
         Step::Crash(who) => world.crash(who.name()),
         Step::Start(who) if !world.members.contains_key(who.name()) => world.start(who.name()),
         Step::Start(_) => {}
-        Step::CutOff { who, is_cut_off } => {
+        Step::SetPartitioned {
+            who,
+            is_partitioned,
+        } => {
             if let Some(member) = world.members.get_mut(who.name()) {
-                member.is_cut_off = *is_cut_off;
+                member.is_partitioned = *is_partitioned;
             }
         }
         Step::LoseAnswer => world.log.lose_next_answer = true,
@@ -189,7 +192,7 @@
     if let PullReply::Delivered(delivery) = world.pull(who.name())
         && fate == Fate::Taken
     {
-        world.take(&delivery);
+        world.accept(&delivery);
     }
 }
 
--- a/crates/borageshore_scenarios/tests/scenarios.rs
+++ b/crates/borageshore_scenarios/tests/scenarios.rs
@@ -72,8 +72,8 @@
             "lose_answer" => self.lose_answer(),
             "delay_append" => self.delay_append(next()?),
             "block" => self.block(Some(next()?)),
-            "cut_off" => self.set_cut_off(next()?, true),
-            "mend" => self.set_cut_off(next()?, false),
+            "cut_off" => self.set_partitioned(next()?, true),
+            "mend" => self.set_partitioned(next()?, false),
             "unblock" => self.block(None),
             "until_delayed" => self.until_delayed(),
             "until_holder" => self.until_holder(next()?),
@@ -180,9 +180,9 @@
         Ok(String::new())
     }
 
-    fn set_cut_off(&mut self, name: &str, is_cut_off: bool) -> Output {
+    fn set_partitioned(&mut self, name: &str, is_partitioned: bool) -> Output {
         let member = self.world.members.get_mut(name).ok_or("no such member")?;
-        member.is_cut_off = is_cut_off;
+        member.is_partitioned = is_partitioned;
         Ok(String::new())
     }
 
@@ -360,7 +360,7 @@
         match self.world.pull(name) {
             PullReply::Delivered(delivery) => {
                 if taken == Taken::Yes {
-                    self.world.take(&delivery);
+                    self.world.accept(&delivery);
                 }
                 let samples = delivery
                     .samples
