--- a/crates/borageshore_scenarios/src/member.rs
+++ b/crates/borageshore_scenarios/src/member.rs
@@ -1,4 +1,4 @@
-//! One daemon's decision core.
+//! The decision logic of one daemon.
 
 use std::sync::Arc;
 
@@ -9,25 +9,25 @@
 use borageshore_settings::SettingsFold;
 
 use crate::{
-    log::{Appended, MemoryLog},
+    log::{AppendOutcome, MemoryLog},
     world::{JOB, LEDGER, shard_of_job},
 };
 
 const BATCH_RECORDS: usize = 8;
 const PAGE_RECORDS: usize = 16;
-/// The lease time until a scenario sets another.
+/// The default lease duration.
 const LEASE_TTL_MS: u64 = 5_000;
 const KEY_WINDOW_MS: u64 = 60_000;
 const KEY_BYTES: usize = 4_096;
 
-/// A stream with both of its sides.
+/// A log stream with its reader and its writer.
 #[derive(Debug)]
 pub struct Stream<State> {
     name: Arc<str>,
     writer: Arc<str>,
-    /// The reader's side.
+    /// The reader.
     pub follower: Follower<State>,
-    /// The writer's side.
+    /// The writer.
     pub proposer: Proposer,
 }
 
@@ -45,18 +45,18 @@
     }
 
     fn append(&mut self, log: &mut MemoryLog, now_ms: u64) {
-        // The log stamps records with a clock of its own; any clock will do for the folds.
+        // The log timestamps records with its own clock; the folds work with any clock.
         let ProposerAction::Append(records) = self.proposer.poll(now_ms) else {
             return;
         };
         match log.append(&self.name, records, now_ms) {
-            Appended::Acknowledged => self.proposer.on_acknowledged(),
-            Appended::AnswerLost | Appended::Delayed => self.proposer.on_lost_answer(),
-            Appended::Refused => self.proposer.on_refused(now_ms, 0),
+            AppendOutcome::Acknowledged => self.proposer.on_acknowledged(),
+            AppendOutcome::AnswerLost | AppendOutcome::Delayed => self.proposer.on_lost_answer(),
+            AppendOutcome::Refused => self.proposer.on_refused(now_ms, 0),
         }
     }
 
-    /// Reads one page; says whether the log answered.
+    /// Reads one page; returns whether the log responded.
     fn read<Observe>(&mut self, log: &MemoryLog, now_ms: u64, mut observe: Observe) -> bool
     where
         Observe: FnMut(u64, &borageshore_log::Envelope<State::Body>),
@@ -89,25 +89,25 @@
     pub name: Arc<str>,
     /// Its incarnation.
     pub incarnation: u64,
-    /// Whether it is stopped in its tracks, as by SIGSTOP.
+    /// Whether it is suspended, as by SIGSTOP.
     pub is_paused: bool,
-    /// Whether it cannot reach the log, which others still can.
-    pub is_cut_off: bool,
+    /// Whether it is partitioned from the log, which others can reach.
+    pub is_partitioned: bool,
     /// The settings stream.
     pub settings: Stream<SettingsFold>,
     /// The lease stream.
     pub leases: Stream<LeaseTable>,
-    /// The ledger of the one job, while this member owns it.
+    /// The ledger and the controller of the only job, while this member owns it.
     pub job: Option<(Stream<Ledger>, JobController)>,
-    /// When it may act, and what it should renew or claim.
+    /// Decides when it may act, and which leases to renew or claim.
     pub agent: LeaseAgent,
     /// The request keys that it ran.
     pub keys: KeyTable,
-    /// Its place among the candidates for shards.
+    /// Its rank among the candidates for shards.
     pub rank: u64,
-    /// The lease time that it asks for.
+    /// The lease duration that it requests.
     pub lease_ttl_ms: u64,
-    /// How fast its clock runs, in thousandths of true time.
+    /// The rate of its clock, in thousandths of true time.
     pub clock_permille: u64,
 }
 
@@ -119,7 +119,7 @@
             name: name.into(),
             incarnation,
             is_paused: false,
-            is_cut_off: false,
+            is_partitioned: false,
             settings: Stream::open("settings", session.clone()),
             leases: Stream::open("leases", session.clone()),
             job: None,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The time by its own clock.
+    /// The time on its own clock.
     pub fn local_ms(&self, true_ms: u64) -> u64 {
         true_ms * self.clock_permille / 1_000
     }
@@ -142,15 +142,15 @@
             .epoch(self.leases.follower.fold(), shard, self.local_ms(true_ms))
     }
 
-    /// One round of the event loop at a true time: read, decide, append.
+    /// Runs one round of the event loop at a true time: read, decide, append.
     pub fn tick(&mut self, log: &mut MemoryLog, true_ms: u64) {
         let now_ms = self.local_ms(true_ms);
         self.settings.read(log, now_ms, |_, _| {});
         let agent = &mut self.agent;
-        let is_in_touch = self.leases.read(log, now_ms, |offset, envelope| {
+        let has_log_answered = self.leases.read(log, now_ms, |offset, envelope| {
             agent.on_applied(offset, envelope, now_ms);
         });
-        if is_in_touch {
+        if has_log_answered {
             self.agent.on_contact(now_ms);
         }
         self.tick_leases(now_ms);
@@ -183,10 +183,10 @@
     fn tick_job(&mut self, log: &MemoryLog, true_ms: u64) {
         let now_ms = self.local_ms(true_ms);
         let table = self.leases.follower.fold();
-        let owned = self.agent.owned_epoch(table, &shard_of_job());
-        let opened = self.job.as_ref().map(|(_, controller)| controller.epoch());
-        if opened != owned {
-            self.job = owned.map(|epoch| self.open_job(epoch));
+        let owned_epoch = self.agent.owned_epoch(table, &shard_of_job());
+        let open_epoch = self.job.as_ref().map(|(_, controller)| controller.epoch());
+        if open_epoch != owned_epoch {
+            self.job = owned_epoch.map(|epoch| self.open_job(epoch));
         }
         if let Some((ledger, controller)) = &mut self.job {
             ledger.read(log, now_ms, |_, _| {});
--- a/crates/borageshore_scenarios/src/oracle.rs
+++ b/crates/borageshore_scenarios/src/oracle.rs
@@ -1,4 +1,4 @@
-//! What must always hold, checked against the simplest possible memory of what happened.
+//! Invariants that are checked against a record of all observed events.
 
 use std::sync::Arc;
 
@@ -12,14 +12,14 @@
     world::{CallReply, plan},
 };
 
-/// A promise that did not hold.
+/// A violated invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Broken {
+pub enum Violation {
     /// Two members may act for one shard at the same time.
     TwoHolders(Vec<(Arc<str>, u64)>),
     /// Two members that folded the same records have different settings.
     SettingsDiffer(u64),
-    /// A member's settings went back.
+    /// A member's settings reverted to an earlier offset.
     SettingsReverted(Arc<str>),
     /// A request key ran more than once.
     RanTwice(Arc<str>),
@@ -35,30 +35,30 @@
     NumberRepeated(u64),
 }
 
-/// The memory of what happened.
+/// Records observed events and checks the invariants.
 #[derive(Debug, Default)]
 pub struct Oracle {
-    /// The settings as text by applied offset.
-    settings: SortedMap<u64, String>,
+    /// The serialized settings by applied offset.
+    settings_by_offset: SortedMap<u64, String>,
     /// The last applied offset by member incarnation.
-    applied: SortedMap<(Arc<str>, u64), u64>,
+    applied_offsets: SortedMap<(Arc<str>, u64), u64>,
     delivered: SortedMap<Arc<str>, u64>,
-    broken: Option<Broken>,
+    violation: Option<Violation>,
 }
 
 impl Oracle {
-    fn report(&mut self, broken: Broken) {
-        self.broken.get_or_insert(broken);
+    fn report(&mut self, violation: Violation) {
+        self.violation.get_or_insert(violation);
     }
 
-    /// Looks at who may act now.
+    /// Checks that at most one member may act for the job.
     pub fn on_holders(&mut self, holders: Vec<(Arc<str>, u64)>) {
         if holders.len() > 1 {
-            self.report(Broken::TwoHolders(holders));
+            self.report(Violation::TwoHolders(holders));
         }
     }
 
-    /// Looks at a member's settings.
+    /// Checks that a member's settings never revert and equal those of others at the same offset.
     pub fn on_settings(&mut self, member: &Member) {
         let follower = &member.settings.follower;
         if follower.state() != FollowerState::Following {
@@ -66,48 +66,50 @@
         }
         let applied = follower.applied_offset();
         let before = self
-            .applied
+            .applied_offsets
             .insert((member.name.clone(), member.incarnation), applied);
         if before.is_some_and(|before| before > applied) {
-            self.report(Broken::SettingsReverted(member.name.clone()));
+            self.report(Violation::SettingsReverted(member.name.clone()));
         }
         let tree = serde_json::to_string(follower.fold().tree()).expect("trees are plain data");
-        let known = self.settings.get_or_insert_with(applied, || tree.clone());
-        if *known != tree {
-            self.report(Broken::SettingsDiffer(applied));
+        let recorded = self
+            .settings_by_offset
+            .get_or_insert_with(applied, || tree.clone());
+        if *recorded != tree {
+            self.report(Violation::SettingsDiffer(applied));
         }
     }
 
-    /// Looks at the plain service's counts.
+    /// Checks that no request key ran more than once.
     pub fn on_runs(&mut self, runs: &SortedMap<Arc<str>, u64>) {
         if let Some((key, _)) = runs.iter().find(|(_, count)| **count > 1) {
-            self.report(Broken::RanTwice(key.clone()));
+            self.report(Violation::RanTwice(key.clone()));
         }
     }
 
-    /// Looks at the answer to a call.
+    /// Checks that a call that is reported as not run did not run.
     pub fn on_call(&mut self, key: &str, reply: CallReply, runs: u64) {
         if reply.outcome == Outcome::NotRun && runs > 0 {
-            self.report(Broken::FalseNotRun(key.into()));
+            self.report(Violation::FalseNotRun(key.into()));
         }
     }
 
-    /// Looks at what the trainer takes.
+    /// Checks a delivery that the trainer accepts.
     pub fn on_delivery(&mut self, cursor: u64, delivery: &Delivery, target_version: u64) {
         for (number, sample) in &delivery.samples {
             if *number <= cursor {
-                self.report(Broken::NumberRepeated(*number));
+                self.report(Violation::NumberRepeated(*number));
             }
             if self.delivered.insert(sample.id.clone(), *number).is_some() {
-                self.report(Broken::DeliveredTwice(sample.id.clone()));
+                self.report(Violation::DeliveredTwice(sample.id.clone()));
             }
             let oldest = sample.segments.iter().map(|segment| segment.version).min();
             match oldest {
-                None => self.report(Broken::Unattributed(sample.id.clone())),
+                None => self.report(Violation::Unattributed(sample.id.clone())),
                 Some(oldest)
                     if target_version.saturating_sub(oldest) > plan().staleness_bound.versions =>
                 {
-                    self.report(Broken::Stale(sample.id.clone()));
+                    self.report(Violation::Stale(sample.id.clone()));
                 }
                 Some(_) => {}
             }
@@ -119,10 +121,10 @@
         self.delivered.len()
     }
 
-    /// The first broken promise, if any.
-    pub fn verdict(&self) -> Result<(), Broken> {
-        match &self.broken {
-            Some(broken) => Err(broken.clone()),
+    /// Returns the first violation as the error.
+    pub fn verdict(&self) -> Result<(), Violation> {
+        match &self.violation {
+            Some(violation) => Err(violation.clone()),
             None => Ok(()),
         }
     }
--- a/crates/borageshore_scenarios/tests/fuzz.rs
+++ b/crates/borageshore_scenarios/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Stateful fuzzing: random steps of members, operators, callers, a trainer and the log's faults, with
-//! the oracle asked after each.
+//! Stateful fuzzing: random steps of members, operators, callers, a trainer and log faults, with the
+//! invariants checked after each step.
 //!
 //! CI runs a fixed count from the fixed seed of `.cargo/config.toml`; for a longer run see
 //! `docs/operators/testing.md`.
@@ -11,7 +11,7 @@
 const NAMES: [&str; 3] = ["a", "b", "c"];
 const ITERATIONS: usize = 400;
 
-/// One step.
+/// One random step.
 #[derive(Debug, Clone, TypeGenerator)]
 enum Step {
     Tick(Who),
@@ -20,9 +20,9 @@
     Resume(Who),
     Crash(Who),
     Start(Who),
-    CutOff {
+    SetPartitioned {
         who: Who,
-        is_cut_off: bool,
+        is_partitioned: bool,
     },
     LoseAnswer,
     DelayAppend,
@@ -34,7 +34,7 @@
         key: Key,
         value: u8,
     },
-    SetBlindly {
+    SetWithRevision {
         who: Who,
         key: Key,
         value: u8,
@@ -53,8 +53,8 @@
         who: Who,
         fate: Fate,
     },
-    /// A whole turn of the trainer's work with whoever may act for the job.
-    Work,
+    /// Generation and two pulls at the member that may act for the job, if there is one.
+    TrainerRound,
     Publish,
     EngineSwaps,
 }
@@ -75,7 +75,7 @@
     Parent,
 }
 
-/// A request key; few values, so that keys repeat.
+/// A request key out of few values, so that keys repeat.
 #[derive(Debug, Clone, Copy, TypeGenerator)]
 struct CallKey {
     #[generator(1_u64..6)]
@@ -92,7 +92,7 @@
     Lost,
 }
 
-fn carry_out(world: &mut World, step: &Step) {
+fn apply(world: &mut World, step: &Step) {
     match step {
         Step::Tick(who) => world.tick(who.name()),
         Step::Advance(duration_ms) => world.advance(u64::from(*duration_ms)),
@@ -101,9 +101,12 @@
         Step::Crash(who) => world.crash(who.name()),
         Step::Start(who) if !world.members.contains_key(who.name()) => world.start(who.name()),
         Step::Start(_) => {}
-        Step::CutOff { who, is_cut_off } => {
+        Step::SetPartitioned {
+            who,
+            is_partitioned,
+        } => {
             if let Some(member) = world.members.get_mut(who.name()) {
-                member.is_cut_off = *is_cut_off;
+                member.is_partitioned = *is_partitioned;
             }
         }
         Step::LoseAnswer => world.log.lose_next_answer = true,
@@ -115,7 +118,7 @@
         }
         Step::Outage(has_outage) => world.log.has_outage = *has_outage,
         Step::Set { who, key, value } => set(world, *who, *key, *value, None),
-        Step::SetBlindly {
+        Step::SetWithRevision {
             who,
             key,
             value,
@@ -136,7 +139,7 @@
                 &format!("{}.{incarnation}.{slot}.{number}", owner.name()),
             );
         }
-        Step::Work => work(world),
+        Step::TrainerRound => run_trainer_round(world),
         Step::LoseRun => world.lose_next_run = true,
         Step::Generate(who) => {
             world.generate(who.name());
@@ -189,11 +192,11 @@
     if let PullReply::Delivered(delivery) = world.pull(who.name())
         && fate == Fate::Taken
     {
-        world.take(&delivery);
+        world.accept(&delivery);
     }
 }
 
-fn work(world: &mut World) {
+fn run_trainer_round(world: &mut World) {
     let now_ms = world.now_ms;
     let holds = |name: &&&str| {
         let member = world.members.get(**name).filter(|member| !member.is_paused);
@@ -220,7 +223,7 @@
         let mut world = World::open(&NAMES);
         world.settle();
         for step in steps {
-            carry_out(&mut world, step);
+            apply(&mut world, step);
             if let Err(broken) = world.check() {
                 panic!("{broken:?} after {step:?}");
             }
@@ -228,10 +231,9 @@
     });
 }
 
-/// The fuzzer would prove nothing if its steps never got anywhere: with no faults at all, the usual
-/// order of steps delivers samples, changes settings and runs calls.
+/// Guards against steps without any effect, with which the fuzzer would pass trivially.
 #[test]
-fn steps_reach_what_they_test() {
+fn steps_without_faults_make_progress() {
     let mut world = World::open(&NAMES);
     world.settle();
     let steps = [
@@ -262,7 +264,7 @@
         },
     ];
     for step in &steps {
-        carry_out(&mut world, step);
+        apply(&mut world, step);
     }
     assert_eq!(world.oracle.delivered(), 4);
     assert_eq!(world.runs.values().sum::<u64>(), 1);
--- a/crates/borageshore_scenarios/tests/scenarios.rs
+++ b/crates/borageshore_scenarios/tests/scenarios.rs
@@ -1,6 +1,6 @@
-//! Scripted scenarios: one file a story, under `scenarios/`.
+//! Scripted scenarios, one file each under `scenarios/`.
 //!
-//! A file's output is compared with what the file says; `UPDATE_GOLDENFILES=1` writes it anew.
+//! The output is compared with the expected one in the file; `UPDATE_GOLDENFILES=1` rewrites it.
 
 use std::error::Error;
 
@@ -72,8 +72,8 @@
             "lose_answer" => self.lose_answer(),
             "delay_append" => self.delay_append(next()?),
             "block" => self.block(Some(next()?)),
-            "cut_off" => self.set_cut_off(next()?, true),
-            "mend" => self.set_cut_off(next()?, false),
+            "cut_off" => self.set_partitioned(next()?, true),
+            "mend" => self.set_partitioned(next()?, false),
             "unblock" => self.block(None),
             "until_delayed" => self.until_delayed(),
             "until_holder" => self.until_holder(next()?),
@@ -180,14 +180,14 @@
         Ok(String::new())
     }
 
-    fn set_cut_off(&mut self, name: &str, is_cut_off: bool) -> Output {
+    fn set_partitioned(&mut self, name: &str, is_partitioned: bool) -> Output {
         let member = self.world.members.get_mut(name).ok_or("no such member")?;
-        member.is_cut_off = is_cut_off;
+        member.is_partitioned = is_partitioned;
         Ok(String::new())
     }
 
     fn block(&mut self, stream: Option<&str>) -> Output {
-        self.world.log.blocked = stream.map(Into::into);
+        self.world.log.blocked_stream = stream.map(Into::into);
         Ok(String::new())
     }
 
@@ -360,7 +360,7 @@
         match self.world.pull(name) {
             PullReply::Delivered(delivery) => {
                 if taken == Taken::Yes {
-                    self.world.take(&delivery);
+                    self.world.accept(&delivery);
                 }
                 let samples = delivery
                     .samples
--- a/crates/borageshore_standins/src/engine.rs
+++ b/crates/borageshore_standins/src/engine.rs
@@ -1,4 +1,4 @@
-//! A model engine: continuous batching in steps, priorities, a prefix cache and weight swaps.
+//! A fake model engine with continuous batching, priorities, a prefix cache and weight swaps.
 
 use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, sync::Arc};
 
@@ -19,29 +19,29 @@
 
 use crate::http;
 
-/// Prompts whose prefix is kept.
+/// Capacity of the prefix cache, in prompts.
 const CACHED_PROMPTS: usize = 256;
-/// Bytes of a prompt that count as its prefix.
+/// Maximum length of a cached prefix.
 const PREFIX_BYTES: usize = 256;
-/// Tokens that wait for a slow reader.
+/// Chunks that are buffered for a slow reader.
 const CHUNK_BUFFER: usize = 64;
 const STORE_TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 1_000,
     first_byte_ms: 600_000,
 };
 
-/// How an engine is built.
+/// Configuration of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
-    /// Requests that run at once.
+    /// Maximum requests in a batch.
     pub slots: u64,
-    /// Time for one token of all running requests.
+    /// Duration of one step, in which each request of the batch gets one token.
     pub step_ms: u64,
     /// Steps before the first token when the prompt is not cached.
     pub prefill_steps: u64,
-    /// Pause of generation at the end of a swap.
+    /// Pause of generation at the end of a weight swap.
     pub swap_ms: u64,
-    /// Where weights come from.
+    /// Address of the weight store, if weights are fetched.
     pub weight_store: Option<Arc<str>>,
 }
 
@@ -57,25 +57,25 @@
     }
 }
 
-/// Faults that can be switched on.
+/// Injected faults.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineSwitches {
-    /// Generates nothing for this long from now; connections stay open.
+    /// How long generation stalls from now on; connections stay open.
     pub stall_ms: u64,
-    /// This many swaps end without weights.
+    /// How many of the next weight swaps fail and leave no weights.
     pub fail_swaps: u64,
-    /// This many chunks go out under the name of another request.
+    /// How many of the next chunks carry the id of another request.
     pub cross_chunks: u64,
-    /// Orders with an old fencing number are carried out as well.
+    /// Whether orders of an outdated epoch are applied too.
     pub ignore_fencing: bool,
 }
 
 #[derive(Debug)]
-struct Active {
+struct ActiveRequest {
     request: EngineRequest,
     next_index: u64,
-    prefill_left: u64,
+    prefill_steps_left: u64,
     arrival: u64,
     chunks: mpsc::Sender<EngineChunk>,
 }
@@ -88,7 +88,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    active: Vec<Active>,
+    active: Vec<ActiveRequest>,
     arrivals: u64,
     adapters: SortedMap<Arc<str>, Weights>,
     cached: Vec<u64>,
@@ -96,7 +96,7 @@
     stalled_steps: u64,
     switches: EngineSwitches,
     tokens: u64,
-    wasted_orders: u64,
+    refused_orders: u64,
 }
 
 /// A running engine.
@@ -107,14 +107,14 @@
     http: HttpClient,
 }
 
-/// The token that any engine produces at a place of an answer to a prompt.
+/// The token at an index of the answer to a prompt; the same on every engine.
 pub fn expected_token(prompt: &str, index: u64) -> String {
     let hash = xxh3_64(prompt.as_bytes()).wrapping_add(index.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     format!("w{:03}", hash % 1_000)
 }
 
 impl EngineStandin {
-    /// Binds an address and starts to generate.
+    /// Binds an address and starts the generation loop.
     pub fn bind(address: &str, options: EngineOptions) -> io::Result<HttpServer> {
         let engine = Self {
             state: Rc::default(),
@@ -133,7 +133,7 @@
         }
     }
 
-    /// One step of the batch: the most important requests that fit get a token each.
+    /// Runs one step: the requests of the highest priority that fit into the batch get one token each.
     fn step(&self) {
         let mut state = self.state.borrow_mut();
         let state = &mut *state;
@@ -147,12 +147,12 @@
             .sort_by_key(|active| (std::cmp::Reverse(active.request.priority), active.arrival));
         let slots = self.options.slots as usize;
         for active in state.active.iter_mut().take(slots) {
-            if active.prefill_left > 0 {
-                active.prefill_left -= 1;
+            if active.prefill_steps_left > 0 {
+                active.prefill_steps_left -= 1;
                 continue;
             }
             let version = version_of(&state.adapters, &active.request);
-            if emit(active, version, &mut state.switches) {
+            if send_chunk(active, version, &mut state.switches) {
                 state.tokens += 1;
             }
         }
@@ -166,14 +166,14 @@
         let report = self.report();
         let mut state = self.state.borrow_mut();
         state.arrivals += 1;
-        let prefill_left = if is_cached(&mut state.cached, &request.prompt) {
+        let prefill_steps_left = if touch_prefix_cache(&mut state.cached, &request.prompt) {
             1
         } else {
             self.options.prefill_steps
         };
-        let active = Active {
+        let active = ActiveRequest {
             next_index: request.resume_tokens.len() as u64,
-            prefill_left,
+            prefill_steps_left,
             arrival: state.arrivals,
             request,
             chunks,
@@ -208,16 +208,16 @@
     fn order(&self, order: EngineOrder) -> EdgeResponse {
         let mut state = self.state.borrow_mut();
         if order.epoch < state.highest_epoch && !state.switches.ignore_fencing {
-            state.wasted_orders += 1;
+            state.refused_orders += 1;
             return http::status(409);
         }
         state.highest_epoch = state.highest_epoch.max(order.epoch);
         let weights = state
             .adapters
             .get_or_insert_with(order.adapter.clone(), Weights::default);
-        let is_there =
+        let is_present_or_loading =
             weights.version == Some(order.version) || weights.loading == Some(order.version);
-        if !is_there {
+        if !is_present_or_loading {
             weights.loading = Some(order.version);
             let engine = self.clone();
             monoio::spawn(async move { engine.load(order).await });
@@ -225,7 +225,7 @@
         http::status(200)
     }
 
-    /// Fetches weights beside generation, then pauses generation while they are put in place.
+    /// Fetches weights while generation continues, then pauses generation to swap them in.
     async fn load(&self, order: EngineOrder) {
         if let Some(store) = &self.options.weight_store {
             let _ = self
@@ -252,7 +252,7 @@
     }
 
     async fn set_switches(&self, request: EdgeRequest) -> EdgeResponse {
-        match http::json::<EngineSwitches>(request).await {
+        match http::read_json::<EngineSwitches>(request).await {
             Ok(switches) => {
                 let mut state = self.state.borrow_mut();
                 state.stalled_steps += switches.stall_ms / self.options.step_ms.max(1);
@@ -267,11 +267,11 @@
 impl Handler for EngineStandin {
     async fn handle(&self, request: EdgeRequest, _remote: SocketAddr) -> EdgeResponse {
         match request.uri().path() {
-            "/generate" => match http::json(request).await {
+            "/generate" => match http::read_json(request).await {
                 Ok(generation) => self.generate(generation),
                 Err(response) => response,
             },
-            "/order" => match http::json(request).await {
+            "/order" => match http::read_json(request).await {
                 Ok(order) => self.order(order),
                 Err(response) => response,
             },
@@ -282,7 +282,8 @@
     }
 }
 
-/// An engine that lost its weights in a failed swap does not know which version makes its tokens.
+/// The weight version that serves a request: 0 until the first weights are loaded, `None` after a failed
+/// swap.
 fn version_of(adapters: &SortedMap<Arc<str>, Weights>, request: &EngineRequest) -> Option<u64> {
     let adapter = request
         .adapter
@@ -298,20 +299,24 @@
     }
 }
 
-fn emit(active: &mut Active, version: Option<u64>, switches: &mut EngineSwitches) -> bool {
+fn send_chunk(
+    active: &mut ActiveRequest,
+    version: Option<u64>,
+    switches: &mut EngineSwitches,
+) -> bool {
     let index = active.next_index;
     let is_last = index >= active.request.max_tokens;
-    let is_crossed = switches.cross_chunks > 0;
-    let request_id = if is_crossed {
+    let is_misattributed = switches.cross_chunks > 0;
+    let request_id = if is_misattributed {
         "another-request".into()
     } else {
         active.request.request_id.clone()
     };
-    let own_token = (!is_last).then(|| expected_token(&active.request.prompt, index));
-    let token = if is_crossed {
+    let correct_token = (!is_last).then(|| expected_token(&active.request.prompt, index));
+    let token = if is_misattributed {
         Some("crossed".into())
     } else {
-        own_token
+        correct_token
     };
     let chunk = EngineChunk {
         request_id,
@@ -322,8 +327,8 @@
     if active.chunks.try_send(chunk).is_err() {
         return false;
     }
-    if is_crossed {
-        // The crossed chunk came on top: the true one follows in the next step.
+    if is_misattributed {
+        // The wrong chunk is an extra one; the correct chunk follows in the next step.
         switches.cross_chunks -= 1;
         return false;
     }
@@ -331,7 +336,8 @@
     !is_last
 }
 
-fn is_cached(cached: &mut Vec<u64>, prompt: &str) -> bool {
+/// Marks the prefix of a prompt as most recently used; returns whether it was cached before.
+fn touch_prefix_cache(cached: &mut Vec<u64>, prompt: &str) -> bool {
     let prefix = &prompt.as_bytes()[..prompt.len().min(PREFIX_BYTES)];
     let hash = xxh3_64(prefix);
     let found = cached.iter().position(|known| *known == hash);
--- a/crates/borageshore_standins/src/log.rs
+++ b/crates/borageshore_standins/src/log.rs
@@ -1,4 +1,4 @@
-//! The append-only log service.
+//! A fake append-only log service.
 
 use std::{
     cell::RefCell,
@@ -21,22 +21,22 @@
 
 use crate::http;
 
-/// Records in one answer to a read.
+/// Maximum records in one page.
 const PAGE_RECORDS: usize = 1_024;
 
-/// Faults that can be switched on.
+/// Injected faults.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSwitches {
-    /// Answers nothing but errors for this long from now.
+    /// How long every call fails from now on.
     pub outage_ms: u64,
-    /// The answers to this many appends are lost after they took effect.
+    /// How many of the next appends take effect without a response.
     pub lose_answers: u64,
-    /// Each call takes this much longer.
+    /// Extra latency of each call.
     pub slow_ms: u64,
-    /// Records kept a stream; 0 keeps all.
+    /// Maximum records retained per stream; 0 retains all.
     pub retention_records: usize,
-    /// Appends accepted a second; 0 for no limit.
+    /// Maximum appends per second; 0 for no limit.
     pub appends_per_second: u64,
 }
 
@@ -53,19 +53,19 @@
     switches: LogSwitches,
     outage_until_ms: u64,
     appends: u64,
-    /// Start of the present second and the appends in it.
-    window: (u64, u64),
+    /// The current second and the number of appends in it.
+    rate_window: (u64, u64),
     clock: Clock,
 }
 
-/// A running log.
+/// A running log service.
 #[derive(Debug, Clone)]
 pub struct LogStandin {
     state: Rc<RefCell<State>>,
 }
 
 #[derive(Debug, Serialize)]
-struct Appended {
+struct AppendResponse {
     offset: u64,
 }
 
@@ -83,7 +83,7 @@
             switches: LogSwitches::default(),
             outage_until_ms: 0,
             appends: 0,
-            window: (0, 0),
+            rate_window: (0, 0),
             clock: Clock::start(),
         };
         HttpServer::bind(
@@ -96,7 +96,7 @@
     }
 
     async fn append(&self, stream: Arc<str>, request: EdgeRequest) -> EdgeResponse {
-        let records: Vec<String> = match http::json(request).await {
+        let records: Vec<String> = match http::read_json(request).await {
             Ok(records) => records,
             Err(response) => return response,
         };
@@ -111,23 +111,23 @@
             is_lost
         };
         if is_lost {
-            // The caller hears nothing until it gives up.
+            // Long enough that the client times out.
             sleep_ms(60_000).await;
         }
-        json_response(200, &Appended { offset })
+        json_response(200, &AppendResponse { offset })
     }
 
     fn take_append_permit(&self) -> bool {
         let mut state = self.state.borrow_mut();
         let second = state.clock.now_ms() / 1_000;
-        if state.window.0 != second {
-            state.window = (second, 0);
+        if state.rate_window.0 != second {
+            state.rate_window = (second, 0);
         }
         let limit = state.switches.appends_per_second;
-        if limit > 0 && state.window.1 >= limit {
+        if limit > 0 && state.rate_window.1 >= limit {
             return false;
         }
-        state.window.1 += 1;
+        state.rate_window.1 += 1;
         state.appends += 1;
         true
     }
@@ -140,7 +140,7 @@
         for (at, data) in records.into_iter().enumerate() {
             stream.records.push_back(LogRecord {
                 offset: first + at as u64,
-                at_ms: wall_ms(),
+                at_ms: unix_ms(),
                 data,
             });
         }
@@ -182,7 +182,7 @@
     }
 
     async fn set_switches(&self, request: EdgeRequest) -> EdgeResponse {
-        let switches: LogSwitches = match http::json(request).await {
+        let switches: LogSwitches = match http::read_json(request).await {
             Ok(switches) => switches,
             Err(response) => return response,
         };
@@ -232,8 +232,8 @@
         match (request.method(), parts.as_slice()) {
             (&Method::POST, ["streams", stream]) => self.append((*stream).into(), request).await,
             (&Method::GET, ["streams", stream]) => {
-                let from = http::number(&request, "from").unwrap_or(0);
-                let wait_ms = http::number(&request, "wait_ms").unwrap_or(0);
+                let from = http::query_number(&request, "from").unwrap_or(0);
+                let wait_ms = http::query_number(&request, "wait_ms").unwrap_or(0);
                 self.read((*stream).into(), from, wait_ms).await
             }
             _ => http::status(404),
@@ -241,7 +241,7 @@
     }
 }
 
-fn wall_ms() -> u64 {
+fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_millis() as u64)
--- a/crates/borageshore_standins/src/plain.rs
+++ b/crates/borageshore_standins/src/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often it ran each request key, and a scorer.
+//! A fake plain service and scorer that counts the runs of each request key.
 
 use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, sync::Arc};
 
@@ -8,13 +8,13 @@
 
 use crate::http;
 
-/// Faults that can be switched on.
+/// Injected faults.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlainSwitches {
-    /// The answers to this many calls are lost after they ran.
+    /// How many of the next calls run without a response.
     pub lose_answers: u64,
-    /// This many calls are refused before they run, and say so.
+    /// How many of the next calls are refused with `x-not-run`.
     pub refuse: u64,
 }
 
@@ -24,14 +24,14 @@
     switches: PlainSwitches,
 }
 
-/// What the service ran.
+/// Counts of the calls that the service ran.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunCounts {
     /// Distinct request keys.
     pub keys: u64,
-    /// Runs in all.
+    /// Total runs.
     pub runs: u64,
-    /// The most runs of one key.
+    /// Maximum runs of a single key.
     pub most_runs: u64,
 }
 
@@ -43,14 +43,14 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Ran<'r> {
+struct RunResponse<'r> {
     request_key: &'r str,
     runs: u64,
     score: f64,
 }
 
 impl PlainStandin {
-    /// Opens a service whose calls take `latency_ms`; its replicas share one count of runs.
+    /// Creates a service whose calls take `latency_ms`; its replicas share their run counts.
     pub fn open(latency_ms: u64) -> Self {
         Self {
             state: Rc::default(),
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Those of some keys that ran.
-    fn ran(&self, keys: &[Arc<str>]) -> Vec<Arc<str>> {
+    /// The subset of `keys` that have run.
+    fn keys_that_ran(&self, keys: &[Arc<str>]) -> Vec<Arc<str>> {
         let state = self.state.borrow();
         keys.iter()
             .filter(|key| state.runs.contains_key(*key))
@@ -87,7 +87,7 @@
             .get("x-request-key")
             .and_then(|key| key.to_str().ok());
         let key: Arc<str> = key.unwrap_or("").into();
-        if self.take(|switches| &mut switches.refuse) {
+        if self.consume_fault(|switches| &mut switches.refuse) {
             let mut response = http::status(503);
             response
                 .headers_mut()
@@ -101,12 +101,12 @@
             *runs
         };
         sleep_ms(self.latency_ms).await;
-        if self.take(|switches| &mut switches.lose_answers) {
+        if self.consume_fault(|switches| &mut switches.lose_answers) {
             sleep_ms(60_000).await;
         }
         json_response(
             200,
-            &Ran {
+            &RunResponse {
                 request_key: &key,
                 runs,
                 score: 0.5,
@@ -114,14 +114,15 @@
         )
     }
 
-    fn take<Select>(&self, select: Select) -> bool
+    /// Decrements a switch's counter; returns whether the fault applies to this call.
+    fn consume_fault<Select>(&self, select: Select) -> bool
     where
         Select: FnOnce(&mut PlainSwitches) -> &mut u64,
     {
         let mut state = self.state.borrow_mut();
-        let left = select(&mut state.switches);
-        let is_on = *left > 0;
-        *left -= u64::from(is_on);
+        let remaining = select(&mut state.switches);
+        let is_on = *remaining > 0;
+        *remaining -= u64::from(is_on);
         is_on
     }
 }
@@ -130,15 +131,15 @@
     async fn handle(&self, request: EdgeRequest, _remote: SocketAddr) -> EdgeResponse {
         match request.uri().path() {
             "/counts" => json_response(200, &self.counts()),
-            "/ran" => match http::json::<Vec<Arc<str>>>(request).await {
-                Ok(keys) => json_response(200, &self.ran(&keys)),
+            "/ran" => match http::read_json::<Vec<Arc<str>>>(request).await {
+                Ok(keys) => json_response(200, &self.keys_that_ran(&keys)),
                 Err(response) => response,
             },
             "/load" => json_response(
                 200,
                 &serde_json::json!({"requests": 0, "slots": 64, "adapters": []}),
             ),
-            "/switches" => match http::json(request).await {
+            "/switches" => match http::read_json(request).await {
                 Ok(switches) => {
                     self.state.borrow_mut().switches = switches;
                     json_response(200, &switches)
--- a/crates/borageshore_standins/src/platform/engine.rs
+++ b/crates/borageshore_standins/src/platform/engine.rs
@@ -1,4 +1,4 @@
-//! An engine of the platform: resumable streams, versions of weights, orders.
+//! A fake engine of the platform with resumable streams, weight versions and load orders.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,75 +17,75 @@
 use serde_json::json;
 
 use super::{
-    SeenCaller,
-    crash::{Crashes, CrashingSend},
-    header, mixed,
+    RecordedCaller,
+    crash::{Crashes, CrashingRequest},
+    hash, header,
     store::PlatformStore,
 };
 use crate::http::{limits, status};
 
-/// The most events of a text.
-const MOST_EVENTS: u64 = 12;
+/// Maximum events of a text, except for items marked as long.
+const MAX_EVENT_COUNT: u64 = 12;
 
-/// The events of an item whose name says that its text is long.
-pub const LONG_EVENTS: u64 = 60;
+/// The number of events of an item whose name starts with `long`.
+pub const LONG_EVENT_COUNT: u64 = 60;
 
-/// How many events the text of an item has.
-pub fn events_of(item: &str) -> u64 {
+/// The number of events in the text of an item.
+pub fn event_count(item: &str) -> u64 {
     match item.starts_with("long") {
-        true => LONG_EVENTS,
-        false => 1 + mixed(item) % MOST_EVENTS,
+        true => LONG_EVENT_COUNT,
+        false => 1 + hash(item) % MAX_EVENT_COUNT,
     }
 }
 
-/// The data of an event.
+/// The data of an event; events are numbered from 1.
 pub fn event_text(item: &str, event: u64) -> String {
     format!(
         "{item} event {event} {:016x}",
-        mixed(&format!("{item}/{event}"))
+        hash(&format!("{item}/{event}"))
     )
 }
 
-/// How the engine behaves.
+/// Timing and injected faults of an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineSwitches {
-    /// Time of one event.
+    /// Time to generate one event.
     pub event_ms: u64,
-    /// Time of a load of weights.
+    /// Time to load weights.
     pub load_ms: u64,
-    /// Every so many runs are cut in the middle of an event; 0 for none.
+    /// Cuts every n-th run in the middle of an event; 0 cuts none.
     pub cut_every: u64,
-    /// Orders get no answer and are carried out this much later; 0 for at once.
-    pub late_orders_ms: u64,
-    /// It accepts connections and answers nothing.
-    pub is_dark: bool,
+    /// Applies orders after this delay, without a response; 0 applies them at once and responds.
+    pub order_delay_ms: u64,
+    /// Whether it accepts connections without responding to requests.
+    pub is_unresponsive: bool,
 }
 
-/// A run of an item, as the engine saw it.
+/// A run of an item, as recorded by the engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SeenRun {
+pub struct RecordedRun {
     /// The item.
     pub item: String,
-    /// When it reached the engine.
+    /// Arrival time.
     pub at_ms: u64,
-    /// In whose name it ran.
-    pub caller: SeenCaller,
-    /// The event after which it was asked to begin.
+    /// The identity under which it ran.
+    pub caller: RecordedCaller,
+    /// The event after which it was to resume; 0 for a run from the start.
     pub after_event: u64,
-    /// The events that it made, with the version of the weights.
+    /// The generated events, each with its weight version.
     pub events: Vec<(u64, u64)>,
 }
 
-/// An order, as the engine saw it.
+/// A load order, as recorded by the engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GivenOrder {
-    /// When it arrived.
+pub struct ReceivedOrder {
+    /// Arrival time.
     pub at_ms: u64,
-    /// Who gave it.
+    /// The holder that sent it.
     pub holder: String,
-    /// Its epoch.
+    /// The holder's fencing epoch.
     pub epoch: u64,
-    /// The version that it asks for.
+    /// The requested weight version.
     pub version: u64,
 }
 
@@ -95,7 +95,7 @@
     instance: String,
     model: String,
     version: Cell<u64>,
-    /// When it started, in ms of the run's clock; names its incarnation.
+    /// Time of the last start; identifies the incarnation.
     started_at_ms: Cell<u64>,
     is_loading: Cell<bool>,
     orders_accepted: Cell<u64>,
@@ -103,10 +103,10 @@
     running: Cell<u64>,
     slots: u64,
     switches: Cell<EngineSwitches>,
-    runs: RefCell<Vec<SeenRun>>,
-    orders: RefCell<Vec<GivenOrder>>,
+    runs: RefCell<Vec<RecordedRun>>,
+    orders: RefCell<Vec<ReceivedOrder>>,
     service: String,
-    /// Where it is listed, with its address and state there.
+    /// The store in which it is listed, with the listed address and state.
     listed: RefCell<Option<(PlatformStore, String, String)>>,
 }
 
@@ -129,7 +129,7 @@
 }
 
 impl PlatformEngine {
-    /// Binds an address and serves it with weights of a version; it is not listed yet.
+    /// Starts an engine on a free port with weights of `version`; it is not listed yet.
     pub fn bind(
         service: &str,
         instance: &str,
@@ -152,8 +152,8 @@
                 event_ms: 15,
                 load_ms: 150,
                 cut_every: 0,
-                late_orders_ms: 0,
-                is_dark: false,
+                order_delay_ms: 0,
+                is_unresponsive: false,
             }),
             runs: RefCell::default(),
             orders: RefCell::default(),
@@ -164,19 +164,20 @@
         Ok(Self { shared, server })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Lists it in the store under an address, which may be that of a proxy.
+    /// Lists it in the store under an address, which may be that of a proxy in front of it.
     pub fn list(&self, store: &PlatformStore, address: &str, state: &str) {
         let listed = (store.clone(), address.to_owned(), state.to_owned());
         self.shared.listed.replace(Some(listed));
         self.shared.write_entry();
     }
 
-    /// Starts it again under its id, with weights of a version: what it ran is cut, its counts start anew.
+    /// Restarts it under the same id with weights of `version`: running streams are cut and its order
+    /// count is reset.
     pub fn restart(&self, version: u64) {
         let shared = &self.shared;
         let started_at_ms = shared.clock.now_ms().max(shared.started_at_ms.get() + 1);
@@ -187,50 +188,50 @@
     }
 
     /// Waits until an item has crashed it.
-    pub async fn crashed(&self) {
-        self.shared.crashes.crashed().await;
+    pub async fn wait_for_crash(&self) {
+        self.shared.crashes.wait_for_crash().await;
     }
 
-    /// Starts it again after a crash, under its id and with the weights that it had.
-    pub fn start_again(&self) {
+    /// Restarts it after a crash under the same id and with the same weights.
+    pub fn restart_after_crash(&self) {
         self.restart(self.shared.version.get());
-        self.shared.crashes.start_again();
+        self.shared.crashes.restart_after_crash();
     }
 
-    /// The items that crash their engines and reached it, in order.
-    pub fn crashing_sends(&self) -> Vec<CrashingSend> {
-        self.shared.crashes.sends()
+    /// The crashing items that reached it, in order of arrival.
+    pub fn crashing_requests(&self) -> Vec<CrashingRequest> {
+        self.shared.crashes.requests()
     }
 
-    /// The instant of its last start, on the clock of [`SeenRun::at_ms`].
+    /// Time of its last start, on the clock of [`RecordedRun::at_ms`].
     pub fn started_at_ms(&self) -> u64 {
         self.shared.started_at_ms.get()
     }
 
-    /// Changes its behaviour.
+    /// Changes its timing and faults.
     pub fn set_switches(&self, switches: EngineSwitches) {
         self.shared.switches.set(switches);
     }
 
-    /// Its behaviour.
+    /// Its current timing and faults.
     pub fn switches(&self) -> EngineSwitches {
         self.shared.switches.get()
     }
 
-    /// The runs that it saw.
-    pub fn runs(&self) -> Vec<SeenRun> {
+    /// The recorded runs, in order of arrival.
+    pub fn runs(&self) -> Vec<RecordedRun> {
         self.shared.runs.borrow().clone()
     }
 
-    /// The orders that it saw.
-    pub fn orders(&self) -> Vec<GivenOrder> {
+    /// The recorded orders, in order of arrival.
+    pub fn orders(&self) -> Vec<ReceivedOrder> {
         self.shared.orders.borrow().clone()
     }
 }
 
 impl Handler for Endpoint {
     async fn handle(&self, request: EdgeRequest, _remote: SocketAddr) -> EdgeResponse {
-        if self.0.switches.get().is_dark {
+        if self.0.switches.get().is_unresponsive {
             return std::future::pending().await;
         }
         match request.uri().path() {
@@ -242,7 +243,7 @@
 }
 
 impl Shared {
-    /// Writes its entry as it is by now, with its version of the weights.
+    /// Writes its current entry to the store, if it is listed.
     fn write_entry(&self) {
         let listed = self.listed.borrow();
         let Some((store, address, state)) = &*listed else {
@@ -278,24 +279,24 @@
         let Ok(order) = serde_json::from_slice::<Order>(&body) else {
             return status(400);
         };
-        self.orders.borrow_mut().push(GivenOrder {
+        self.orders.borrow_mut().push(ReceivedOrder {
             at_ms: self.clock.now_ms(),
             holder: order.holder.clone(),
             epoch: order.fence,
             version: order.version,
         });
-        let late_ms = self.switches.get().late_orders_ms;
-        if late_ms > 0 {
+        let delay_ms = self.switches.get().order_delay_ms;
+        if delay_ms > 0 {
             monoio::spawn(async move {
-                sleep_ms(late_ms).await;
-                self.carry_out(&order);
+                sleep_ms(delay_ms).await;
+                self.apply(&order);
             });
             return std::future::pending().await;
         }
-        self.carry_out(&order)
+        self.apply(&order)
     }
 
-    fn carry_out(self: &Rc<Self>, order: &Order) -> EdgeResponse {
+    fn apply(self: &Rc<Self>, order: &Order) -> EdgeResponse {
         if self.is_loading.get() || order.expect != self.orders_accepted.get() {
             return status(409);
         }
@@ -333,22 +334,25 @@
             .to_owned();
         let after = header(headers, "last-event-id").and_then(|id| id.parse().ok());
         let after_event = after.unwrap_or(0);
-        let caller = SeenCaller::of(headers);
-        let Ok(asked) = read_body(request.into_body(), limits()).await else {
+        let caller = RecordedCaller::from_headers(headers);
+        let Ok(request_body) = read_body(request.into_body(), limits()).await else {
             return status(400);
         };
-        if Crashes::is_crashing(&asked) {
-            return self.crashes.crash(item, &asked, self.clock.now_ms()).await;
+        if Crashes::is_crashing(&request_body) {
+            return self
+                .crashes
+                .crash(item, &request_body, self.clock.now_ms())
+                .await;
         }
         let (sender, body) = stream_body();
         let mut response = Response::new(body);
-        let shown = response.headers_mut();
-        shown.insert("x-request-id", item.parse().expect("plain text"));
+        let response_headers = response.headers_mut();
+        response_headers.insert("x-request-id", item.parse().expect("plain text"));
         let load = format!("{},0,{}", self.running.get() + 1, self.slots);
-        shown.insert("x-server-load", load.parse().expect("plain text"));
-        // With nothing left to make, an engine names no version.
-        if after_event < events_of(&item) {
-            shown.insert("x-weight-versions", self.version.get().into());
+        response_headers.insert("x-server-load", load.parse().expect("plain text"));
+        // An engine reports no weight version if no event is left to generate.
+        if after_event < event_count(&item) {
+            response_headers.insert("x-weight-versions", self.version.get().into());
         }
         monoio::spawn(self.generate(item, caller, after_event, sender));
         response
@@ -357,13 +361,13 @@
     async fn generate(
         self: Rc<Self>,
         item: String,
-        caller: SeenCaller,
+        caller: RecordedCaller,
         after_event: u64,
         mut sender: http_body_util::channel::Sender<Bytes, io::Error>,
     ) {
         self.running.set(self.running.get() + 1);
-        let number = self.runs.borrow().len();
-        self.runs.borrow_mut().push(SeenRun {
+        let run_index = self.runs.borrow().len();
+        self.runs.borrow_mut().push(RecordedRun {
             item: item.clone(),
             at_ms: self.clock.now_ms(),
             caller,
@@ -371,22 +375,22 @@
             events: Vec::new(),
         });
         let cut_every = self.switches.get().cut_every;
-        let is_cut = cut_every > 0 && (number as u64 + 1).is_multiple_of(cut_every);
-        let mut shown_version = self.version.get();
+        let is_cut = cut_every > 0 && (run_index as u64 + 1).is_multiple_of(cut_every);
+        let mut announced_version = self.version.get();
         let started_at_ms = self.started_at_ms.get();
-        for event in after_event + 1..=events_of(&item) {
+        for event in after_event + 1..=event_count(&item) {
             sleep_ms(self.switches.get().event_ms).await;
             if self.started_at_ms.get() != started_at_ms {
                 sender.abort(io::Error::other("started again"));
                 break;
             }
             let version = self.version.get();
-            let change = match std::mem::replace(&mut shown_version, version) != version {
+            let version_line = match std::mem::replace(&mut announced_version, version) != version {
                 true => format!("x-weight-versions: {version}\n"),
                 false => String::new(),
             };
             let text = format!(
-                "{change}id: {event}\ndata: {}\n\n",
+                "{version_line}id: {event}\ndata: {}\n\n",
                 event_text(&item, event)
             );
             if is_cut {
@@ -396,7 +400,9 @@
                 self.running.set(self.running.get() - 1);
                 return;
             }
-            self.runs.borrow_mut()[number].events.push((event, version));
+            self.runs.borrow_mut()[run_index]
+                .events
+                .push((event, version));
             if sender.send_data(text.into()).await.is_err() {
                 break;
             }
--- a/crates/borageshore_standins/src/platform/mod.rs
+++ b/crates/borageshore_standins/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! Stand-ins that speak the protocol of the users' platform: the store, engines, plain services, and
-//! a proxy that harms connections.
+//! Stand-ins that speak the platform's protocol: the store, engines, plain services, the receiver of
+//! duty calls, and a proxy that injects network faults.
 //!
-//! They record what they see, so that a test can check the daemons' promises from the outside.
+//! They record the requests that they receive, so that tests can check the daemons from the outside.
 
 mod crash;
 mod duties;
@@ -13,27 +13,28 @@
 use hyper::HeaderMap;
 
 pub use self::{
-    crash::{CRASH_MARK, CrashingSend},
-    duties::{DutyMode, PlatformDuties, TakenReport},
+    crash::{CRASH_MARK, CrashingRequest},
+    duties::{DutyMode, PlatformDuties, ReceivedReport},
     engine::{
-        EngineSwitches, GivenOrder, LONG_EVENTS, PlatformEngine, SeenRun, event_text, events_of,
+        EngineSwitches, LONG_EVENT_COUNT, PlatformEngine, ReceivedOrder, RecordedRun, event_count,
+        event_text,
     },
     plain::{PlainSwitches, PlatformService},
     proxy::{Proxy, ProxyMode},
     store::{PlatformStore, StoreMode},
 };
 
-/// In whose name a request reached an endpoint.
+/// The identity under which a request reached an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SeenCaller {
-    /// The organisation that the endpoint was told.
+pub struct RecordedCaller {
+    /// The organisation named by the request, if any.
     pub organisation: Option<String>,
-    /// Whether the caller's key was passed on.
+    /// Whether the request carried the caller's key.
     pub has_key: bool,
 }
 
-impl SeenCaller {
-    fn of(headers: &HeaderMap) -> Self {
+impl RecordedCaller {
+    fn from_headers(headers: &HeaderMap) -> Self {
         Self {
             organisation: header(headers, "x-tenant").map(Into::into),
             has_key: headers.contains_key("authorization"),
@@ -45,12 +46,12 @@
     headers.get(name)?.to_str().ok()
 }
 
-fn query<'q>(query: &'q str, name: &str) -> Option<&'q str> {
+fn query_parameter<'q>(query: &'q str, name: &str) -> Option<&'q str> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|(key, _)| *key == name).map(|(_, value)| value)
 }
 
-/// A small hash for made-up sizes and signatures.
-fn mixed(text: &str) -> u64 {
+/// A deterministic hash for generated sizes and signatures.
+fn hash(text: &str) -> u64 {
     borageshore_base::rendezvous_weight("stand-in", text)
 }
--- a/crates/borageshore_standins/src/platform/plain.rs
+++ b/crates/borageshore_standins/src/platform/plain.rs
@@ -1,4 +1,4 @@
-//! A plain service of the platform: answers calls with a signature and counts their runs.
+//! A fake plain service of the platform that signs its responses and records the runs of calls.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,22 +16,22 @@
 use serde_json::json;
 
 use super::{
-    SeenCaller,
-    crash::{Crashes, CrashingSend},
-    header, mixed,
+    RecordedCaller,
+    crash::{Crashes, CrashingRequest},
+    hash, header,
     store::PlatformStore,
 };
 use crate::http::{limits, status};
 
-/// How the service behaves.
+/// Timing and injected faults of the service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PlainSwitches {
-    /// Time of one call.
+    /// Time to run one call.
     pub work_ms: u64,
-    /// Every so many calls run and are never answered; 0 for none.
+    /// Runs every n-th call without a response; 0 affects none.
     pub lose_every: u64,
-    /// Every so many answers bear the id of another call; 0 for none.
-    pub cross_every: u64,
+    /// Gives every n-th response the id of another call; 0 affects none.
+    pub wrong_id_every: u64,
 }
 
 #[derive(Debug)]
@@ -42,12 +42,12 @@
     switches: Cell<PlainSwitches>,
     running: Cell<u64>,
     calls: Cell<u64>,
-    /// When each call ran, by its id.
+    /// The times at which each call ran, by call id.
     runs: RefCell<BTreeMap<String, Vec<u64>>>,
-    /// In whose name each call ran, each of its runs, by its id.
-    callers: RefCell<BTreeMap<String, Vec<SeenCaller>>>,
-    /// Until when each call was said to be waited for, the latest of its runs, by its id.
-    ends: RefCell<BTreeMap<String, u64>>,
+    /// The identity of each run of each call, by call id.
+    callers: RefCell<BTreeMap<String, Vec<RecordedCaller>>>,
+    /// The latest deadline of each call's runs, by call id.
+    deadlines: RefCell<BTreeMap<String, u64>>,
 }
 
 /// A running endpoint of a plain service.
@@ -62,7 +62,7 @@
 struct Endpoint(Rc<Shared>);
 
 impl PlatformService {
-    /// Binds an address and serves it; it is not listed yet.
+    /// Starts an endpoint on a free port; it is not listed yet.
     pub fn bind(service: &str, instance: &str, clock: Clock) -> io::Result<Self> {
         let shared = Rc::new(Shared {
             clock,
@@ -71,13 +71,13 @@
             switches: Cell::new(PlainSwitches {
                 work_ms: 5,
                 lose_every: 0,
-                cross_every: 0,
+                wrong_id_every: 0,
             }),
             running: Cell::new(0),
             calls: Cell::new(0),
             runs: RefCell::default(),
             callers: RefCell::default(),
-            ends: RefCell::default(),
+            deadlines: RefCell::default(),
         });
         let server = HttpServer::bind("127.0.0.1:0", limits(), Endpoint(shared.clone()))?;
         Ok(Self {
@@ -87,12 +87,12 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Lists it in the store under an address, which may be that of a proxy.
+    /// Lists it in the store under an address, which may be that of a proxy in front of it.
     pub fn list(&self, store: &PlatformStore, address: &str, state: &str) {
         let entry = json!({
             "service": self.service, "address": address, "zone": "z1", "version": "v1",
@@ -105,30 +105,30 @@
         );
     }
 
-    /// Takes its entry out of the store.
+    /// Removes its entry from the store.
     pub fn unlist(&self, store: &PlatformStore) {
         store.put("keyed.servers", &self.shared.instance.borrow(), b"");
     }
 
-    /// How long a call that crashes it runs before it does, whether its caller still waits or not.
+    /// Sets how long a crashing call runs before the crash, even if its caller has disconnected.
     pub fn set_crash_after_ms(&self, after_ms: u64) {
         self.shared.crashes.set_after_ms(after_ms);
     }
 
     /// Waits until a call has crashed it.
-    pub async fn crashed(&self) {
-        self.shared.crashes.crashed().await;
+    pub async fn wait_for_crash(&self) {
+        self.shared.crashes.wait_for_crash().await;
     }
 
-    /// Starts again after a crash, as a new instance.
-    pub fn start_again(&self, instance: &str) {
+    /// Restarts it after a crash as a new instance.
+    pub fn restart_after_crash(&self, instance: &str) {
         self.shared.instance.replace(instance.into());
-        self.shared.crashes.start_again();
+        self.shared.crashes.restart_after_crash();
     }
 
-    /// The calls that reached it and crash their endpoints, in order.
-    pub fn crashing_sends(&self) -> Vec<CrashingSend> {
-        self.shared.crashes.sends()
+    /// The crashing calls that reached it, in order of arrival.
+    pub fn crashing_requests(&self) -> Vec<CrashingRequest> {
+        self.shared.crashes.requests()
     }
 
     /// Changes its behaviour.
@@ -136,24 +136,24 @@
         self.shared.switches.set(switches);
     }
 
-    /// When each call ran, by its id.
+    /// The times at which each call ran, by call id.
     pub fn runs(&self) -> BTreeMap<String, Vec<u64>> {
         self.shared.runs.borrow().clone()
     }
 
-    /// In whose name each call ran, each of its runs, by its id.
-    pub fn callers(&self) -> BTreeMap<String, Vec<SeenCaller>> {
+    /// The identity of each run of each call, by call id.
+    pub fn callers(&self) -> BTreeMap<String, Vec<RecordedCaller>> {
         self.shared.callers.borrow().clone()
     }
 
-    /// Until when each call was said to be waited for, the latest of its runs, by its id.
-    pub fn ends_ms(&self) -> BTreeMap<String, u64> {
-        self.shared.ends.borrow().clone()
+    /// The latest deadline of each call's runs, by call id.
+    pub fn deadlines_ms(&self) -> BTreeMap<String, u64> {
+        self.shared.deadlines.borrow().clone()
     }
 
-    /// The signature of this service under the answer to a call.
+    /// The signature of this service in the response to a call.
     pub fn stamp(id: &str) -> String {
-        format!("stamp-{:016x}", mixed(id))
+        format!("stamp-{:016x}", hash(id))
     }
 }
 
@@ -169,7 +169,7 @@
         }
         let time_left_ms =
             header(request.headers(), "x-deadline-ms").and_then(|ms| ms.parse::<u64>().ok());
-        let caller = SeenCaller::of(request.headers());
+        let caller = RecordedCaller::from_headers(request.headers());
         let Ok(body) = read_body(request.into_body(), limits()).await else {
             return status(400);
         };
@@ -194,23 +194,23 @@
             .or_default()
             .push(caller);
         if let Some(time_left_ms) = time_left_ms {
-            let mut ends = shared.ends.borrow_mut();
-            let end_ms = ends.entry(id.clone()).or_default();
-            *end_ms = now_ms.saturating_add(time_left_ms).max(*end_ms);
+            let mut deadlines = shared.deadlines.borrow_mut();
+            let deadline_ms = deadlines.entry(id.clone()).or_default();
+            *deadline_ms = now_ms.saturating_add(time_left_ms).max(*deadline_ms);
         }
         shared.running.set(shared.running.get() + 1);
-        let _running = Running(shared);
+        let _running = RunningGuard(shared);
         sleep_ms(switches.work_ms).await;
         if is_nth(count, switches.lose_every) {
             return pending().await;
         }
-        let is_crossed = is_nth(count, switches.cross_every);
-        let echoed = if is_crossed { "another" } else { &id };
+        let has_wrong_id = is_nth(count, switches.wrong_id_every);
+        let echoed_id = if has_wrong_id { "another" } else { &id };
         let mut response = Response::new(full_body(format!("answer to {id}")));
         let headers = response.headers_mut();
         let load = format!("{},0,6", shared.running.get());
         for (name, value) in [
-            ("x-request-id", echoed.to_owned()),
+            ("x-request-id", echoed_id.to_owned()),
             ("x-server-stamp", PlatformService::stamp(&id)),
             ("x-server-load", load),
         ] {
@@ -224,9 +224,9 @@
     every > 0 && count.is_multiple_of(every)
 }
 
-struct Running<'s>(&'s Shared);
+struct RunningGuard<'s>(&'s Shared);
 
-impl Drop for Running<'_> {
+impl Drop for RunningGuard<'_> {
     fn drop(&mut self) {
         self.0.running.set(self.0.running.get() - 1);
     }
--- a/crates/borageshore_standins/src/platform/proxy.rs
+++ b/crates/borageshore_standins/src/platform/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that delays, resets, silences or cuts connections.
+//! A loopback TCP proxy that delays, stalls or closes connections.
 
 use std::{cell::Cell, io, net::SocketAddr, pin::pin, rc::Rc};
 
@@ -10,28 +10,28 @@
 };
 use tokio::sync::Notify;
 
-/// The most bytes that are passed on at once.
+/// Maximum bytes that are forwarded at once.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// The pace at which a silent connection looks whether it may go on.
-const HELD_MS: u64 = 20;
+/// Interval at which a stalled connection checks whether it may continue.
+const RECHECK_INTERVAL_MS: u64 = 20;
 
-const TURNED_AWAY: &[u8] =
+const UNAVAILABLE_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\nconnection: close\r\n\r\n";
 
-/// What happens to connections.
+/// The injected fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProxyMode {
-    /// Bytes pass.
+    /// No fault: all bytes are forwarded.
     Pass,
-    /// Bytes pass after so many ms.
+    /// Delays bytes by this many ms.
     Delay(u64),
-    /// Nothing passes, either way; what is held passes later.
+    /// Holds all bytes of both directions until the mode changes.
     Silent,
-    /// Requests pass, answers are held.
+    /// Forwards requests and holds responses until the mode changes.
     AnswersHeld,
-    /// Open connections end, new ones end at once.
+    /// Closes open connections, and new ones at once.
     Reset,
-    /// Open connections end; on new ones every request is answered with 503.
+    /// Closes open connections and answers requests on new ones with 503.
     Busy,
 }
 
@@ -39,10 +39,10 @@
 struct Shared {
     address: Cell<SocketAddr>,
     target: SocketAddr,
-    /// Told when nothing listens any more.
+    /// Notified when the proxy stops listening.
     closed: Notify,
     mode: Cell<ProxyMode>,
-    /// Connections of an earlier generation stay silent for good.
+    /// Connections of earlier generations are stalled permanently.
     generation: Cell<u64>,
 }
 
@@ -53,13 +53,13 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Direction {
     Request,
     Answer,
 }
 
 impl Proxy {
-    /// Opens a proxy before a target.
+    /// Starts a proxy for `target` on a free port.
     pub fn bind(target: SocketAddr) -> io::Result<Self> {
         let listener = bind_listener("127.0.0.1:0")?;
         let shared = Rc::new(Shared {
@@ -73,13 +73,13 @@
         Ok(Self { shared })
     }
 
-    /// Ends open connections and listens no more, as a process that crashes does.
+    /// Closes open connections and stops listening, like a process that crashes.
     pub fn close(&self) {
         self.shared.mode.set(ProxyMode::Reset);
         self.shared.closed.notify_waiters();
     }
 
-    /// Listens again, at another address.
+    /// Listens again, on another free port.
     pub fn reopen(&self) -> io::Result<()> {
         let listener = bind_listener("127.0.0.1:0")?;
         self.shared.address.set(listener.local_addr()?);
@@ -88,18 +88,18 @@
         Ok(())
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.shared.address.get()
     }
 
-    /// Changes what happens to connections.
+    /// Sets the fault of all connections.
     pub fn set_mode(&self, mode: ProxyMode) {
         self.shared.mode.set(mode);
     }
 
-    /// Silences all open connections for good; new ones work.
-    pub fn forget_open_connections(&self) {
+    /// Stalls all open connections permanently; new ones work.
+    pub fn stall_open_connections(&self) {
         self.shared.generation.set(self.shared.generation.get() + 1);
     }
 }
@@ -112,51 +112,63 @@
             Either::Right(_) => return,
         };
         let Ok((caller, _)) = accepted else {
-            sleep_ms(HELD_MS).await;
+            sleep_ms(RECHECK_INTERVAL_MS).await;
             continue;
         };
         if shared.mode.get() == ProxyMode::Reset {
             continue;
         }
         if shared.mode.get() == ProxyMode::Busy {
-            monoio::spawn(turn_away(caller));
+            monoio::spawn(answer_unavailable(caller));
             continue;
         }
         let target = shared.target;
         let shared = shared.clone();
         monoio::spawn(async move {
             if let Ok(target) = TcpStream::connect_addr(target).await {
-                join(caller, target, shared).await;
+                relay(caller, target, shared).await;
             }
         });
     }
 }
 
-async fn turn_away(mut caller: TcpStream) {
+async fn answer_unavailable(mut caller: TcpStream) {
     let (read, _) = caller.read(vec![0_u8; CHUNK_BYTES]).await;
     if read.is_ok_and(|count| count > 0) {
-        let (_, _) = caller.write_all(TURNED_AWAY).await;
+        let (_, _) = caller.write_all(UNAVAILABLE_RESPONSE).await;
     }
 }
 
-async fn join(caller: TcpStream, target: TcpStream, shared: Rc<Shared>) {
+async fn relay(caller: TcpStream, target: TcpStream, shared: Rc<Shared>) {
     let _ = (caller.set_nodelay(true), target.set_nodelay(true));
     let generation = shared.generation.get();
     let (from_caller, to_caller) = caller.into_split();
     let (from_target, to_target) = target.into_split();
-    let answers = pass(
+    let answers = relay_direction(
         from_target,
         to_caller,
-        Way::Answer,
+        Direction::Answer,
         shared.clone(),
         generation,
     );
     monoio::spawn(answers);
-    pass(from_caller, to_target, Way::Request, shared, generation).await;
+    relay_direction(
+        from_caller,
+        to_target,
+        Direction::Request,
+        shared,
+        generation,
+    )
+    .await;
 }
 
-async fn pass<From, To>(mut from: From, mut to: To, way: Way, shared: Rc<Shared>, generation: u64)
-where
+async fn relay_direction<From, To>(
+    mut from: From,
+    mut to: To,
+    direction: Direction,
+    shared: Rc<Shared>,
+    generation: u64,
+) where
     From: AsyncReadRent,
     To: AsyncWriteRentExt + monoio::io::AsyncWriteRent,
 {
@@ -164,16 +176,16 @@
         let (read, buffer) = from.read(vec![0_u8; CHUNK_BYTES]).await;
         let Ok(count) = read else { break };
         loop {
-            let is_forgotten = shared.generation.get() != generation;
+            let is_stalled = shared.generation.get() != generation;
             match shared.mode.get() {
                 ProxyMode::Reset | ProxyMode::Busy => return,
-                ProxyMode::Delay(ms) if !is_forgotten => {
+                ProxyMode::Delay(ms) if !is_stalled => {
                     sleep_ms(ms).await;
                     break;
                 }
-                ProxyMode::Pass if !is_forgotten => break,
-                ProxyMode::AnswersHeld if way == Way::Request && !is_forgotten => break,
-                _ => sleep_ms(HELD_MS).await,
+                ProxyMode::Pass if !is_stalled => break,
+                ProxyMode::AnswersHeld if direction == Direction::Request && !is_stalled => break,
+                _ => sleep_ms(RECHECK_INTERVAL_MS).await,
             }
         }
         if count == 0 {
--- a/crates/borageshore_standins/src/vm_list.rs
+++ b/crates/borageshore_standins/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! The VM list, which shows each change only after a lag.
+//! A fake VM list in which each change becomes visible after a lag.
 
 use std::{cell::RefCell, io, net::SocketAddr, rc::Rc, sync::Arc};
 
@@ -17,7 +17,7 @@
     pub service: Arc<str>,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: Arc<str>,
     /// Its state.
     pub state: VmState,
@@ -29,7 +29,7 @@
 pub enum VmState {
     /// In use.
     Live,
-    /// About to go.
+    /// About to shut down.
     Leaving,
 }
 
@@ -41,13 +41,13 @@
 
 #[derive(Debug)]
 struct State {
-    /// All versions with the time from which each shows.
+    /// All versions, each with the time from which it is visible.
     versions: Vec<(u64, Listing)>,
     lag_ms: u64,
     clock: Clock,
 }
 
-/// A running list.
+/// A running VM list.
 #[derive(Debug, Clone)]
 pub struct VmListStandin {
     state: Rc<RefCell<State>>,
@@ -71,22 +71,22 @@
         )
     }
 
-    fn shown(&self) -> Listing {
+    fn visible_listing(&self) -> Listing {
         let state = self.state.borrow();
         let now_ms = state.clock.now_ms();
-        let shown = state
+        let visible = state
             .versions
             .iter()
             .rev()
-            .find(|(from_ms, _)| now_ms >= *from_ms);
-        shown
-            .expect("the first version shows from the start")
+            .find(|(visible_from_ms, _)| now_ms >= *visible_from_ms);
+        visible
+            .expect("the first version is visible from the start")
             .1
             .clone()
     }
 
     async fn replace(&self, request: EdgeRequest) -> EdgeResponse {
-        let vms: Vec<Vm> = match http::json(request).await {
+        let vms: Vec<Vm> = match http::read_json(request).await {
             Ok(vms) => vms,
             Err(response) => return response,
         };
@@ -95,8 +95,10 @@
             .versions
             .last()
             .map_or(1, |(_, listing)| listing.version + 1);
-        let from_ms = state.clock.now_ms() + state.lag_ms;
-        state.versions.push((from_ms, Listing { version, vms }));
+        let visible_from_ms = state.clock.now_ms() + state.lag_ms;
+        state
+            .versions
+            .push((visible_from_ms, Listing { version, vms }));
         json_response(200, &version)
     }
 }
@@ -106,10 +108,10 @@
         if request.method() == Method::POST {
             return self.replace(request).await;
         }
-        let shown = self.shown();
-        if http::number(&request, "known") == Some(shown.version) {
+        let visible = self.visible_listing();
+        if http::query_number(&request, "known") == Some(visible.version) {
             return http::status(304);
         }
-        json_response(200, &shown)
+        json_response(200, &visible)
     }
 }
