--- a/crates/borageshore_batch/src/lib.rs
+++ b/crates/borageshore_batch/src/lib.rs
@@ -45,7 +45,7 @@
         EngineView, PlacementRequest, RunningItem, can_take, choose_better_engine, choose_engine,
     },
     record::LedgerRecord,
-    submission::{Item, ItemResult, ItemState, NamedVersion, RewardCall, Submission},
+    submission::{Item, ItemResult, ItemState, ModelVersion, RewardCall, Submission},
     swaps::{EngineState, EngineVersions, ModelTarget, SwapLimits, SwapRound, plan_round},
     text::{Text, TextFault},
     text_pieces::{PieceBatch, PieceJoiner, TextPiece},
--- a/crates/borageshore_batch/src/submission.rs
+++ b/crates/borageshore_batch/src/submission.rs
@@ -106,7 +106,7 @@
 
 /// A version of a model's weights that its trainer has named.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NamedVersion {
+pub struct ModelVersion {
     /// The model.
     pub model: Arc<str>,
     /// The version.
--- a/crates/borageshore_batch/src/swaps.rs
+++ b/crates/borageshore_batch/src/swaps.rs
@@ -5,7 +5,7 @@
 use borageshore_base::SortedMap;
 use serde::{Deserialize, Serialize};
 
-use crate::{index_entry::Demand, submission::NamedVersion};
+use crate::{index_entry::Demand, submission::ModelVersion};
 
 /// A round of orders: one holder brings some engines to versions.
 ///
@@ -89,7 +89,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelTarget {
     /// Model and version.
-    pub named: NamedVersion,
+    pub target: ModelVersion,
     /// What its newest submission asks for.
     pub demand: Demand,
 }
@@ -98,7 +98,7 @@
 struct Lag<'p> {
     versions: u64,
     engine: &'p EngineState,
-    target: &'p NamedVersion,
+    target: &'p ModelVersion,
 }
 
 /// Chooses the orders to give now.
@@ -113,7 +113,7 @@
     versions: &EngineVersions,
     models: &[ModelTarget],
     limits: SwapLimits,
-) -> Vec<(Arc<str>, NamedVersion)> {
+) -> Vec<(Arc<str>, ModelVersion)> {
     let loading = engines.iter().filter(|engine| engine.is_loading).count();
     let parallel = (engines.len() * limits.parallel_percent / 100).max(LEAST_PARALLEL);
     let room = parallel.saturating_sub(loading);
@@ -122,7 +122,7 @@
     for (count, model) in homes(engines.len(), models).into_iter().zip(models) {
         let (homes, others) = rest.split_at(count);
         rest = others;
-        wanted.extend(behind(homes, versions, &model.named, limits.share_percent));
+        wanted.extend(behind(homes, versions, &model.target, limits.share_percent));
     }
     wanted.sort_by_key(|lag| (std::cmp::Reverse(lag.versions), lag.engine.running));
     wanted
@@ -169,7 +169,7 @@
 fn behind<'p>(
     homes: &'p [EngineState],
     versions: &EngineVersions,
-    target: &'p NamedVersion,
+    target: &'p ModelVersion,
     share_percent: usize,
 ) -> Vec<Lag<'p>> {
     let lag_of = |engine: &'p EngineState| Lag {
--- a/crates/borageshore_batch/tests/swaps.rs
+++ b/crates/borageshore_batch/tests/swaps.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use borageshore_batch::{
-    Demand, EngineState, EngineVersions, IndexEntry, ModelTarget, NamedVersion, SwapLimits,
+    Demand, EngineState, EngineVersions, IndexEntry, ModelTarget, ModelVersion, SwapLimits,
     plan_round,
 };
 
@@ -24,7 +24,7 @@
 
 fn target(model: &str, version: u64, demand_tokens: u64) -> ModelTarget {
     ModelTarget {
-        named: NamedVersion {
+        target: ModelVersion {
             model: model.into(),
             version,
         },
--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -3,7 +3,7 @@
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
-use borageshore_batch::{NamedVersion, OrderLeases, SwapRound};
+use borageshore_batch::{ModelVersion, OrderLeases, SwapRound};
 use borageshore_duty::{DutyTerms, SendWindow, holder_among};
 use borageshore_net::boot_time_ms;
 use borageshore_platform::{KeyedRecord, StoreError, Topic};
@@ -43,7 +43,7 @@
             self.endpoints.on_load_done(instance);
         }
         for (instance, model, version) in &round.orders {
-            let target = NamedVersion {
+            let target = ModelVersion {
                 model: model.clone(),
                 version: *version,
             };
--- a/crates/borageshore_gateway/src/endpoints/mod.rs
+++ b/crates/borageshore_gateway/src/endpoints/mod.rs
@@ -10,7 +10,7 @@
 };
 
 use borageshore_base::SortedMap;
-use borageshore_batch::{EngineVersions, EngineView, NamedVersion, Paces};
+use borageshore_batch::{EngineVersions, EngineView, ModelVersion, Paces};
 use borageshore_net::Clock;
 use borageshore_platform::{EndpointClient, EndpointEntry, Target};
 use borageshore_routing::{
@@ -32,7 +32,7 @@
 /// What an engine was told to load.
 #[derive(Debug, Clone)]
 struct Loading {
-    target: NamedVersion,
+    target: ModelVersion,
     /// The order is taken for lost then.
     until_ms: u64,
 }
@@ -229,7 +229,7 @@
     }
 
     /// Notes that an engine is told to load a version.
-    pub(crate) fn on_load_ordered(&self, instance: &Arc<str>, target: NamedVersion) {
+    pub(crate) fn on_load_ordered(&self, instance: &Arc<str>, target: ModelVersion) {
         let until_ms = self.clock.now_ms() + LOADING_AT_MOST_MS;
         let loading = Loading { target, until_ms };
         self.loading.borrow_mut().insert(instance.clone(), loading);
--- a/crates/borageshore_gateway/src/orderer.rs
+++ b/crates/borageshore_gateway/src/orderer.rs
@@ -4,7 +4,7 @@
 
 use borageshore_base::SortedMap;
 use borageshore_batch::{
-    EngineState, ModelTarget, NamedVersion, SwapLimits, SwapRound, plan_round,
+    EngineState, ModelTarget, ModelVersion, SwapLimits, SwapRound, plan_round,
 };
 use borageshore_net::{Clock, sleep_ms, within_ms};
 use borageshore_platform::{EndpointClient, EngineReport, OrderAnswer, Target, VersionOrder};
@@ -30,7 +30,7 @@
 
 #[derive(Debug, Clone)]
 struct UnderWay {
-    target: NamedVersion,
+    target: ModelVersion,
     since_ms: u64,
 }
 
@@ -91,7 +91,7 @@
         if planned.is_empty() && done.is_empty() {
             return !self.under_way.borrow().is_empty();
         }
-        let order = |(instance, version): (Arc<str>, NamedVersion)| {
+        let order = |(instance, version): (Arc<str>, ModelVersion)| {
             let reported = reports
                 .iter()
                 .find(|(target, _)| target.instance == instance);
@@ -112,7 +112,7 @@
         &self,
         targets: &[Target],
         reports: &[(Target, EngineReport)],
-    ) -> Vec<(Arc<str>, NamedVersion)> {
+    ) -> Vec<(Arc<str>, ModelVersion)> {
         let under_way = self.under_way.borrow();
         let state = |target: &Target| {
             let report = reports.iter().find(|(asked, _)| asked == target);
@@ -138,9 +138,9 @@
             let version = named.iter().find(|named| named.model == model);
             ModelTarget {
                 demand: self.parts.index.demand_of(&model),
-                named: version
+                target: version
                     .cloned()
-                    .unwrap_or(NamedVersion { model, version: 0 }),
+                    .unwrap_or(ModelVersion { model, version: 0 }),
             }
         };
         let models = self.parts.endpoints.models();
@@ -176,14 +176,14 @@
     async fn announce(
         &self,
         at: u64,
-        orders: Vec<(Target, NamedVersion, EngineReport)>,
+        orders: Vec<(Target, ModelVersion, EngineReport)>,
         done: Vec<(Arc<str>, Arc<str>, u64)>,
     ) {
         if orders.is_empty() && done.is_empty() {
             return;
         }
         let holder = self.parts.members.own_name();
-        let order = |(target, version, _): &(Target, NamedVersion, EngineReport)| {
+        let order = |(target, version, _): &(Target, ModelVersion, EngineReport)| {
             (
                 target.instance.clone(),
                 version.model.clone(),
@@ -215,7 +215,7 @@
     async fn give(
         &self,
         target: Target,
-        version: NamedVersion,
+        version: ModelVersion,
         order: VersionOrder,
         announced: Announced,
     ) {
@@ -283,7 +283,7 @@
     }
 }
 
-fn version_in(report: &EngineReport, target: &NamedVersion) -> u64 {
+fn version_in(report: &EngineReport, target: &ModelVersion) -> u64 {
     let model = report
         .models
         .iter()
--- a/crates/borageshore_gateway/src/routes.rs
+++ b/crates/borageshore_gateway/src/routes.rs
@@ -7,7 +7,7 @@
 };
 
 use borageshore_access::Organisations;
-use borageshore_batch::NamedVersion;
+use borageshore_batch::ModelVersion;
 use borageshore_platform::{KeyedRecord, OperatorRecord, decode_operator};
 use borageshore_routing::{Route, RouteTable};
 use tokio::sync::Notify;
@@ -24,7 +24,7 @@
     is_known: Cell<bool>,
     /// Whether the newest routes could not be read: what it changed of keys is not known.
     is_unreadable: Cell<bool>,
-    named: RefCell<Vec<NamedVersion>>,
+    named: RefCell<Vec<ModelVersion>>,
     /// Told when a version is named.
     pub(crate) version_named: Notify,
 }
@@ -72,7 +72,7 @@
     }
 
     /// The newest named version of each model.
-    pub(crate) fn named(&self) -> Vec<NamedVersion> {
+    pub(crate) fn named(&self) -> Vec<ModelVersion> {
         self.named.borrow().clone()
     }
 
@@ -88,7 +88,7 @@
         *self.table.borrow_mut() = Rc::new(table);
     }
 
-    fn on_named(&self, named: NamedVersion) {
+    fn on_named(&self, named: ModelVersion) {
         log::info!(model = &*named.model, version = named.version; "version named");
         let mut all = self.named.borrow_mut();
         match all.binary_search_by(|known| known.model.cmp(&named.model)) {
