--- /dev/null
+++ b/crates/borageshore_batch/src/event_latencies.rs
@@ -0,0 +1,75 @@
+//! How fast engines make events, as the runs there show it.
+
+use std::sync::Arc;
+
+use borageshore_base::SortedMap;
+
+/// The weight of a new measurement of pace, in percent. With 8 instead nothing that shows changed.
+const NEW_SAMPLE_WEIGHT_PERCENT: u64 = 25;
+/// A pace that was measured longer ago says nothing. Some engines are a third slower for good, and one
+/// that is slow for some seconds is tried again earlier, when the others are full.
+const MAX_AGE_MS: u64 = 15_000;
+/// The pace of an engine that was not measured.
+const MEDIAN_PERCENT: u64 = 100;
+
+#[derive(Debug, Clone, Copy)]
+struct Latency {
+    us_per_event: u64,
+    at_ms: u64,
+}
+
+/// The paces of engines by instance.
+#[derive(Debug, Default)]
+pub struct EventLatencies {
+    latencies: SortedMap<Arc<str>, Latency>,
+}
+
+impl EventLatencies {
+    /// Takes over the time between two events of a run.
+    pub fn record(&mut self, instance: &Arc<str>, interval_us: u64, now_ms: u64) {
+        let latency = self
+            .latencies
+            .get_or_insert_with(instance.clone(), || Latency {
+                us_per_event: interval_us,
+                at_ms: now_ms,
+            });
+        let kept = latency.us_per_event * (100 - NEW_SAMPLE_WEIGHT_PERCENT);
+        latency.us_per_event = (kept + interval_us * NEW_SAMPLE_WEIGHT_PERCENT) / 100;
+        latency.at_ms = now_ms;
+    }
+
+    /// The median of what was measured lately, in microseconds an event; 0 if nothing was.
+    pub fn median_us(&self, now_ms: u64) -> u64 {
+        let recent = self
+            .latencies
+            .values()
+            .filter(|latency| latency.is_recent(now_ms));
+        let mut recent: Vec<u64> = recent.map(|latency| latency.us_per_event).collect();
+        recent.sort_unstable();
+        recent.get(recent.len() / 2).copied().unwrap_or(0)
+    }
+
+    /// The pace of an engine, in percent of the usual one.
+    pub fn percent_of_median(&self, instance: &str, median_us: u64, now_ms: u64) -> u64 {
+        match self.latencies.get(instance) {
+            Some(latency) if median_us > 0 && latency.is_recent(now_ms) => {
+                (latency.us_per_event * 100 / median_us).max(1)
+            }
+            _ => MEDIAN_PERCENT,
+        }
+    }
+
+    /// Forgets engines that are gone.
+    pub fn retain<Keep>(&mut self, keep: Keep)
+    where
+        Keep: Fn(&Arc<str>) -> bool,
+    {
+        self.latencies.retain(|instance, _| keep(instance));
+    }
+}
+
+impl Latency {
+    fn is_recent(&self, now_ms: u64) -> bool {
+        now_ms < self.at_ms + MAX_AGE_MS
+    }
+}
--- a/crates/borageshore_batch/src/lib.rs
+++ b/crates/borageshore_batch/src/lib.rs
@@ -15,13 +15,14 @@
 //! assert!(ledger.get("s1").unwrap().is_ended());
 //! ```
 
+mod event_latencies;
 mod incarnation;
 mod index_entry;
 mod ledger;
 mod order;
 mod order_lease;
 mod ownership;
-mod paces;
+
 mod pieces;
 mod placed_groups;
 mod placement;
@@ -33,13 +34,13 @@
 mod view_position;
 
 pub use self::{
+    event_latencies::EventLatencies,
     incarnation::incarnation_name,
     index_entry::{Demand, IndexEntry},
     ledger::{Ledger, LedgerEntry, SubmissionState},
     order::{ItemRank, rank_items},
     order_lease::OrderLeases,
     ownership::work_key,
-    paces::Paces,
     placed_groups::PlacedGroups,
     placement::{
         EngineView, PlacementRequest, RunningItem, can_take, choose_better_engine, choose_engine,
--- a/crates/borageshore_batch/src/placement.rs
+++ b/crates/borageshore_batch/src/placement.rs
@@ -27,7 +27,7 @@
     /// Whether it is loading weights and refuses what has not started.
     pub is_loading: bool,
     /// How long it takes for an event, in percent of the service's median.
-    pub pace_percent: u64,
+    pub latency_percent: u64,
     /// Whether it is in this daemon's availability zone.
     pub is_near: bool,
     /// Whether items of the same group run there.
@@ -72,7 +72,7 @@
 /// The time for an event with the item on it, relative to an empty engine of the usual pace.
 fn cost(engine: &EngineView) -> u64 {
     let filled = (engine.load + 1) * FULL_THOUSANDTHS / engine.slots.max(1);
-    let mut cost = (1_000 + filled) * engine.pace_percent / 100;
+    let mut cost = (1_000 + filled) * engine.latency_percent / 100;
     if !engine.is_near {
         cost += OTHER_ZONE_THOUSANDTHS;
     }
@@ -86,7 +86,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunningItem {
     /// The pace of its engine, in percent of the service's median.
-    pub pace_percent: u64,
+    pub latency_percent: u64,
     /// The events that it has so far.
     pub events: u64,
 }
@@ -111,9 +111,9 @@
 ) -> Option<&'e EngineView> {
     let chosen = choose_engine(engines, request)?;
     let pays = if item.events >= LONG_TEXT_EVENTS {
-        chosen.pace_percent * (100 + LONG_TEXT_GAIN_PERCENT) < item.pace_percent * 100
+        chosen.latency_percent * (100 + LONG_TEXT_GAIN_PERCENT) < item.latency_percent * 100
     } else {
-        chosen.pace_percent * SHORT_TEXT_GAIN < item.pace_percent
+        chosen.latency_percent * SHORT_TEXT_GAIN < item.latency_percent
     };
     pays.then_some(chosen)
 }
--- a/crates/borageshore_batch/tests/placement.rs
+++ b/crates/borageshore_batch/tests/placement.rs
@@ -12,23 +12,23 @@
     avoid: &[],
 };
 
-fn engine(name: &str, pace_percent: u64, load: u64) -> EngineView {
+fn engine(name: &str, latency_percent: u64, load: u64) -> EngineView {
     EngineView {
         instance: name.into(),
         slots: 6,
         load,
         version: 1,
         is_loading: false,
-        pace_percent,
+        latency_percent,
         is_near: true,
         has_group: false,
     }
 }
 
 /// The engine to which an item moves, if any.
-fn better(engines: &[EngineView], pace_percent: u64, events: u64) -> Option<&str> {
+fn better(engines: &[EngineView], latency_percent: u64, events: u64) -> Option<&str> {
     let item = RunningItem {
-        pace_percent,
+        latency_percent,
         events,
     };
     choose_better_engine(engines, ANY, item).map(|engine| &*engine.instance)
--- a/crates/borageshore_gateway/src/endpoints/mod.rs
+++ b/crates/borageshore_gateway/src/endpoints/mod.rs
@@ -10,7 +10,7 @@
 };
 
 use borageshore_base::SortedMap;
-use borageshore_batch::{EngineVersions, EngineView, ModelVersion, Paces};
+use borageshore_batch::{EngineVersions, EngineView, EventLatencies, ModelVersion};
 use borageshore_net::Clock;
 use borageshore_platform::{EndpointClient, EndpointEntry, Target};
 use borageshore_routing::{
@@ -55,7 +55,7 @@
     targets: RefCell<SortedMap<Arc<str>, Target>>,
     versions: RefCell<EngineVersions>,
     loading: RefCell<SortedMap<Arc<str>, Loading>>,
-    paces: RefCell<Paces>,
+    paces: RefCell<EventLatencies>,
     /// Whether an entry changed since the table was brought up to date.
     is_changed: Cell<bool>,
     read_at_ms: Cell<u64>,
@@ -163,7 +163,7 @@
         let table = self.table.borrow();
         let versions = self.versions.borrow();
         let paces = self.paces.borrow();
-        let usual_us = paces.usual_us(now_ms);
+        let median_us = paces.median_us(now_ms);
         table
             .usable(service, now_ms)
             .map(|endpoint| {
@@ -174,7 +174,7 @@
                     load: endpoint.load(now_ms),
                     version: model.map_or(0, |model| versions.get(instance, model)),
                     is_loading: self.is_loading(instance),
-                    pace_percent: paces.percent(instance, usual_us, now_ms),
+                    latency_percent: paces.percent_of_median(instance, median_us, now_ms),
                     is_near: endpoint.listing.zone == self.zone,
                     has_group: false,
                 }
@@ -260,9 +260,7 @@
     pub(crate) fn on_event_gap(&self, instance: &Arc<str>, gap_us: u64) {
         if self.mechanisms.has(Mechanism::Pace) {
             let now_ms = self.clock.now_ms();
-            self.paces
-                .borrow_mut()
-                .on_event_gap(instance, gap_us, now_ms);
+            self.paces.borrow_mut().record(instance, gap_us, now_ms);
         }
     }
 
@@ -270,7 +268,7 @@
     pub(crate) fn pace_of(&self, instance: &Arc<str>) -> u64 {
         let now_ms = self.clock.now_ms();
         let paces = self.paces.borrow();
-        paces.percent(instance, paces.usual_us(now_ms), now_ms)
+        paces.percent_of_median(instance, paces.median_us(now_ms), now_ms)
     }
 }
 
--- a/crates/borageshore_gateway/src/item/stay.rs
+++ b/crates/borageshore_gateway/src/item/stay.rs
@@ -186,15 +186,15 @@
             return None;
         }
         let item = RunningItem {
-            pace_percent: self.context.endpoints.pace_of(instance),
+            latency_percent: self.context.endpoints.pace_of(instance),
             events,
         };
-        if item.pace_percent < SLOW_PERCENT {
+        if item.latency_percent < SLOW_PERCENT {
             return None;
         }
         let better = self.context.dispatch.take_better(request, item)?;
         log::info!(
-            item = &*self.item.id, instance = &**instance, pace_percent = item.pace_percent, events,
+            item = &*self.item.id, instance = &**instance, pace_percent = item.latency_percent, events,
             to = &*better.target.instance;
             "item leaves a slow engine"
         );
