--- a/crates/borageshore_batch/src/placed_groups.rs
+++ b/crates/borageshore_batch/src/group_placements.rs
@@ -5,12 +5,12 @@
 use borageshore_base::SortedMap;
 
 /// How many groups are remembered: a few steps' worth, after which an engine has dropped the prompt.
-const MOST_GROUPS: usize = 256;
+const MAX_GROUPS: usize = 256;
 
 #[derive(Debug)]
-struct Places {
+struct GroupEngines {
     /// Groups in the order in which they were first placed.
-    number: u64,
+    sequence: u64,
     engines: Vec<Arc<str>>,
 }
 
@@ -20,34 +20,36 @@
 /// slot comes free: with a list that was searched the daemon that ran three trainers took 0.17 cores in
 /// the mean, and stood still at the start of a step; now 0.05.
 #[derive(Debug, Default)]
-pub struct PlacedGroups {
-    groups: SortedMap<Arc<str>, Places>,
-    next_number: u64,
+pub struct GroupPlacements {
+    groups: SortedMap<Arc<str>, GroupEngines>,
+    next_sequence: u64,
 }
 
-impl PlacedGroups {
+impl GroupPlacements {
     /// The engines where items of a group were placed.
     pub fn engines_of(&self, group: &str) -> &[Arc<str>] {
         self.groups
             .get(group)
-            .map_or(&[], |places| places.engines.as_slice())
+            .map_or(&[], |entry| entry.engines.as_slice())
     }
 
     /// Notes that an item of a group was placed; the oldest group beyond the most is forgotten.
-    pub fn place(&mut self, group: &Arc<str>, engine: &Arc<str>) {
-        let number = self.next_number;
-        let places = self.groups.get_or_insert_with(group.clone(), || Places {
-            number,
-            engines: Vec::new(),
-        });
-        if places.number == number {
-            self.next_number += 1;
+    pub fn record(&mut self, group: &Arc<str>, engine: &Arc<str>) {
+        let sequence = self.next_sequence;
+        let entry = self
+            .groups
+            .get_or_insert_with(group.clone(), || GroupEngines {
+                sequence,
+                engines: Vec::new(),
+            });
+        if entry.sequence == sequence {
+            self.next_sequence += 1;
         }
-        if !places.engines.contains(engine) {
-            places.engines.push(engine.clone());
+        if !entry.engines.contains(engine) {
+            entry.engines.push(engine.clone());
         }
-        if self.groups.len() > MOST_GROUPS {
-            let oldest = self.groups.iter().min_by_key(|(_, places)| places.number);
+        if self.groups.len() > MAX_GROUPS {
+            let oldest = self.groups.iter().min_by_key(|(_, entry)| entry.sequence);
             if let Some(group) = oldest.map(|(group, _)| group.clone()) {
                 self.groups.remove(&group);
             }
--- a/crates/borageshore_batch/src/lib.rs
+++ b/crates/borageshore_batch/src/lib.rs
@@ -16,6 +16,7 @@
 //! ```
 
 mod event_latencies;
+mod group_placements;
 mod incarnation;
 mod index_entry;
 mod ledger;
@@ -24,7 +25,6 @@
 mod ownership;
 
 mod pieces;
-mod placed_groups;
 mod placement;
 mod record;
 mod submission;
@@ -35,13 +35,13 @@
 
 pub use self::{
     event_latencies::EventLatencies,
+    group_placements::GroupPlacements,
     incarnation::incarnation_name,
     index_entry::{Demand, IndexEntry},
     ledger::{Ledger, LedgerEntry, SubmissionState},
     order::{ItemRank, rank_items},
     order_lease::OrderLeases,
     ownership::work_key,
-    placed_groups::PlacedGroups,
     placement::{
         EngineView, PlacementRequest, RunningItem, can_take, choose_better_engine, choose_engine,
     },
--- a/crates/borageshore_batch/tests/placement.rs
+++ b/crates/borageshore_batch/tests/placement.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use borageshore_batch::{
-    EngineView, PlacedGroups, PlacementRequest, RunningItem, choose_better_engine, choose_engine,
+    EngineView, GroupPlacements, PlacementRequest, RunningItem, choose_better_engine, choose_engine,
 };
 
 const ANY: PlacementRequest<'static> = PlacementRequest {
@@ -111,13 +111,13 @@
     }
 
     the_engines_of_a_group_are_remembered_until_many_others_came => {
-        let mut groups = PlacedGroups::default();
-        groups.place(&"first".into(), &"a".into());
-        groups.place(&"first".into(), &"b".into());
-        groups.place(&"first".into(), &"a".into());
+        let mut groups = GroupPlacements::default();
+        groups.record(&"first".into(), &"a".into());
+        groups.record(&"first".into(), &"b".into());
+        groups.record(&"first".into(), &"a".into());
         assert_eq!(groups.engines_of("first"), [Arc::from("a"), Arc::from("b")]);
         for number in 0..256 {
-            groups.place(&format!("g{number}").into(), &"a".into());
+            groups.record(&format!("g{number}").into(), &"a".into());
         }
         assert!(groups.engines_of("first").is_empty());
         assert_eq!(groups.engines_of("g255").len(), 1);
--- a/crates/borageshore_gateway/src/dispatch.rs
+++ b/crates/borageshore_gateway/src/dispatch.rs
@@ -3,7 +3,7 @@
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
 use borageshore_batch::{
-    EngineView, ItemRank, PlacedGroups, PlacementRequest, RunningItem, can_take,
+    EngineView, GroupPlacements, ItemRank, PlacementRequest, RunningItem, can_take,
     choose_better_engine, choose_engine,
 };
 use borageshore_net::within_ms;
@@ -54,7 +54,7 @@
 pub(crate) struct Dispatch {
     endpoints: Rc<Endpoints>,
     waiting: RefCell<Vec<Waiter>>,
-    placed_groups: RefCell<PlacedGroups>,
+    placed_groups: RefCell<GroupPlacements>,
 }
 
 impl Dispatch {
@@ -169,7 +169,7 @@
             .iter_mut()
             .find(|engine| engine.instance == chosen)?;
         engine.load += 1;
-        placed.place(&request.group, &chosen);
+        placed.record(&request.group, &chosen);
         Some(Place { target, in_flight })
     }
 }
