--- a/crates/borageshore_batch/src/ledger.rs
+++ b/crates/borageshore_batch/src/ledger.rs
@@ -24,9 +24,9 @@
     submission: Option<Arc<Submission>>,
     results: Vec<Arc<ItemResult>>,
     /// The items with a result, sorted.
-    listed: Vec<Arc<str>>,
+    finished_items: Vec<Arc<str>>,
     is_ended: bool,
-    seen_at_ms: u64,
+    first_seen_at_ms: u64,
 }
 
 impl SubmissionState {
@@ -47,9 +47,9 @@
     }
 
     /// Says whether an item has a result.
-    pub fn is_listed(&self, item: &str) -> bool {
-        self.listed
-            .binary_search_by(|listed| (**listed).cmp(item))
+    pub fn has_result(&self, item: &str) -> bool {
+        self.finished_items
+            .binary_search_by(|known| (**known).cmp(item))
             .is_ok()
     }
 
@@ -59,19 +59,20 @@
     }
 
     /// Says whether every item has a result.
-    pub fn is_whole(&self) -> bool {
-        let is_listed = |submission: &Arc<Submission>| self.listed.len() >= submission.items.len();
-        self.submission.as_ref().is_some_and(is_listed)
+    pub fn is_complete(&self) -> bool {
+        let all_have_results =
+            |submission: &Arc<Submission>| self.finished_items.len() >= submission.items.len();
+        self.submission.as_ref().is_some_and(all_have_results)
     }
 
     /// Says whether something is left to run.
     pub fn is_open(&self) -> bool {
-        !self.is_ended && self.submission.is_some() && !self.is_whole()
+        !self.is_ended && self.submission.is_some() && !self.is_complete()
     }
 
     /// When this daemon first saw it; later than its acceptance, so nothing is given up too early.
-    pub fn seen_at_ms(&self) -> u64 {
-        self.seen_at_ms
+    pub fn first_seen_at_ms(&self) -> u64 {
+        self.first_seen_at_ms
     }
 
     /// An item by its id.
@@ -93,15 +94,15 @@
             Some(LedgerRecord::Accept(submission)) => {
                 self.submission.get_or_insert(submission);
             }
-            Some(LedgerRecord::Result { result, .. }) => self.list(result),
+            Some(LedgerRecord::Result { result, .. }) => self.add_result(result),
             Some(LedgerRecord::End { .. }) => self.is_ended = true,
             None => {}
         }
     }
 
-    fn list(&mut self, result: Arc<ItemResult>) {
-        if let Err(at) = self.listed.binary_search(&result.item) {
-            self.listed.insert(at, result.item.clone());
+    fn add_result(&mut self, result: Arc<ItemResult>) {
+        if let Err(at) = self.finished_items.binary_search(&result.item) {
+            self.finished_items.insert(at, result.item.clone());
             self.results.push(result);
         }
     }
@@ -122,10 +123,10 @@
 
 impl Ledger {
     /// Begins to keep new records of a submission, for the time until its older ones are loaded.
-    pub fn begin(&mut self, id: &Arc<str>, now_ms: u64) {
+    pub fn track(&mut self, id: &Arc<str>, now_ms: u64) {
         self.submissions
             .get_or_insert_with(id.clone(), || SubmissionState {
-                seen_at_ms: now_ms,
+                first_seen_at_ms: now_ms,
                 ..SubmissionState::default()
             });
     }
@@ -144,7 +145,7 @@
     }
 
     /// Takes over all records of a submission that the store had at `end`; `end` was taken after
-    /// [`Ledger::begin`]. Later records are left out: a read in pages may have missed others before
+    /// [`Ledger::track`]. Later records are left out: a read in pages may have missed others before
     /// them, and they come by [`Ledger::apply`].
     pub fn load(&mut self, id: &str, entries: Vec<LedgerEntry>, end: u64) {
         let state = self.submissions.get_mut(id);
@@ -162,13 +163,13 @@
         state.is_loaded = true;
     }
 
-    /// Forgets the submissions for which `is_lost` holds: their records are no longer followed, or
+    /// Forgets the submissions for which `is_removed` holds: their records are no longer followed, or
     /// some were missed.
-    pub fn forget<Lost>(&mut self, is_lost: Lost)
+    pub fn remove_if<Remove>(&mut self, is_removed: Remove)
     where
-        Lost: Fn(&str) -> bool,
+        Remove: Fn(&str) -> bool,
     {
-        self.submissions.retain(|id, _| !is_lost(id));
+        self.submissions.retain(|id, _| !is_removed(id));
     }
 
     /// A submission.
@@ -188,7 +189,7 @@
             known.is_some_and(|known| known.organisation == of.organisation)
         };
         let states = self.submissions.values().filter(is_same_caller);
-        let fits = |state: &SubmissionState| {
+        let reusable = |state: &SubmissionState| {
             let known = state.item(&item.id)?;
             let result = state.results.iter().find(|result| result.item == item.id)?;
             let is_done = result.state == ItemState::Done && known.reward == item.reward;
@@ -198,8 +199,8 @@
                 .all(|version| *version >= min_version);
             (is_done && is_new).then(|| result.clone())
         };
-        let mut listed = states.filter(|state| state.is_listed(&item.id));
-        listed.find_map(fits)
+        let mut candidates = states.filter(|state| state.has_result(&item.id));
+        candidates.find_map(reusable)
     }
 }
 
--- a/crates/borageshore_batch/src/lib.rs
+++ b/crates/borageshore_batch/src/lib.rs
@@ -10,7 +10,7 @@
 //! let mut ledger = Ledger::default();
 //! let end = LedgerRecord::End { submission: "s1".into() }.encode("vm-1.1.0");
 //! let end = end.into_iter().map(|(key, value)| (0, key, value)).collect();
-//! ledger.begin(&"s1".into(), 0);
+//! ledger.track(&"s1".into(), 0);
 //! ledger.load("s1", end, 1);
 //! assert!(ledger.get("s1").unwrap().is_ended());
 //! ```
--- a/crates/borageshore_batch/tests/ledger.rs
+++ b/crates/borageshore_batch/tests/ledger.rs
@@ -96,7 +96,7 @@
 /// A ledger that has followed the partition from its first record on.
 fn followed(partition: &Partition) -> Ledger {
     let mut ledger = Ledger::default();
-    ledger.begin(&"s1".into(), 0);
+    ledger.track(&"s1".into(), 0);
     ledger.load("s1", Vec::new(), 0);
     follow(&mut ledger, &partition.entries);
     ledger
@@ -105,7 +105,7 @@
 /// A ledger that has read what the store had at its end.
 fn loaded(partition: &Partition) -> Ledger {
     let mut ledger = Ledger::default();
-    ledger.begin(&"s1".into(), 0);
+    ledger.track(&"s1".into(), 0);
     ledger.load("s1", partition.newest(), partition.end());
     ledger
 }
@@ -167,7 +167,7 @@
         let mut torn = partition.newest();
         torn.remove(2);
         let mut ledger = Ledger::default();
-        ledger.begin(&"s1".into(), 0);
+        ledger.track(&"s1".into(), 0);
         follow(&mut ledger, &partition.entries[2..]);
         assert!(!ledger.get("s1").unwrap().is_loaded());
         ledger.load("s1", torn, end);
@@ -181,7 +181,7 @@
         partition.append(&accept(&["a", "b"]), "");
         let (newest, end) = (partition.newest(), partition.end());
         let mut ledger = Ledger::default();
-        ledger.begin(&"s1".into(), 0);
+        ledger.track(&"s1".into(), 0);
         partition.append(&result("a", "a"), "x.1");
         follow(&mut ledger, &partition.entries[1..]);
         ledger.load("s1", newest, end);
@@ -203,7 +203,7 @@
         partition.append(&accept(&["a", "b"]), "");
         let mut ledger = followed(&partition);
         partition.append(&result("a", "missed"), "x.1");
-        ledger.forget(|id| id == "s1");
+        ledger.remove_if(|id| id == "s1");
         assert!(ledger.get("s1").is_none());
         assert_eq!(outputs(&loaded(&partition)), ["missed"]);
     }
--- a/crates/borageshore_batch/tests/ledger_fuzz.rs
+++ b/crates/borageshore_batch/tests/ledger_fuzz.rs
@@ -68,7 +68,7 @@
     /// The outputs by position.
     fn positions(&self, until: usize) -> Vec<String> {
         let mut ledger = Ledger::default();
-        ledger.begin(&"s".into(), 0);
+        ledger.track(&"s".into(), 0);
         ledger.load("s", Vec::new(), 0);
         for entry in &self.log[..until] {
             ledger.apply(entry.clone());
@@ -139,7 +139,7 @@
         }),
         Step::Ask(reader) => {
             let reader = &mut readers[*reader];
-            reader.ledger.begin(&"s".into(), 0);
+            reader.ledger.track(&"s".into(), 0);
             reader.asked = Some(store.log.len() as u64);
         }
         Step::Load { reader, torn } => {
@@ -163,7 +163,7 @@
         }
         Step::Forget(reader) => {
             let reader = &mut readers[*reader];
-            reader.ledger.forget(|_| true);
+            reader.ledger.remove_if(|_| true);
             // It goes on at the end of the log.
             reader.next = store.log.len();
             reader.asked = None;
--- a/crates/borageshore_gateway/src/ledger_view.rs
+++ b/crates/borageshore_gateway/src/ledger_view.rs
@@ -181,7 +181,7 @@
     async fn load_now(&self, id: &Arc<str>) -> bool {
         let shard = self.shard_of(id);
         let now_ms = self.clock.now_ms();
-        self.ledger.borrow_mut().begin(id, now_ms);
+        self.ledger.borrow_mut().track(id, now_ms);
         let prefix = LedgerRecord::key_prefix(id);
         let newest = self
             .store
@@ -249,7 +249,7 @@
 
     fn forget(&self, shard: Shard) {
         let is_of_shard = |id: &str| self.shard_of(id) == shard;
-        self.ledger.borrow_mut().forget(is_of_shard);
+        self.ledger.borrow_mut().remove_if(is_of_shard);
         self.changed.notify_waiters();
     }
 
--- a/crates/borageshore_gateway/src/runner.rs
+++ b/crates/borageshore_gateway/src/runner.rs
@@ -168,7 +168,8 @@
         let running = self.running.borrow();
         let is_whole = |id: &Arc<str>| {
             let is_on = self.context.mechanisms.has(Mechanism::HeldUntilEnded);
-            let is_whole = |state: &SubmissionState| is_on && state.is_whole() && !state.is_ended();
+            let is_whole =
+                |state: &SubmissionState| is_on && state.is_complete() && !state.is_ended();
             self.view.with_loaded(id, is_whole).unwrap_or(false)
         };
         let ids = own.iter().map(|known| &known.id);
@@ -296,10 +297,10 @@
 
 fn opened(state: &SubmissionState) -> Option<Opened> {
     let submission = state.submission()?.clone();
-    let unlisted = |index: &usize| !state.is_listed(&submission.items[*index].id);
+    let unlisted = |index: &usize| !state.has_result(&submission.items[*index].id);
     let unlisted = (0..submission.items.len()).filter(unlisted).collect();
     Some(Opened {
-        seen_at_ms: state.seen_at_ms(),
+        seen_at_ms: state.first_seen_at_ms(),
         unlisted,
         submission,
     })
--- a/crates/borageshore_gateway/src/submissions.rs
+++ b/crates/borageshore_gateway/src/submissions.rs
@@ -176,7 +176,7 @@
     }
 
     fn is_whole(&self, id: &str) -> bool {
-        let is_whole = self.view.with_loaded(id, SubmissionState::is_whole);
+        let is_whole = self.view.with_loaded(id, SubmissionState::is_complete);
         is_whole.unwrap_or(false)
     }
 
