--- a/crates/borageshore_batch/tests/view_position.rs
+++ b/crates/borageshore_batch/tests/view_position.rs
@@ -9,12 +9,12 @@
 fn a_page_that_does_not_reach_the_end_confirms_nothing() {
     let mut position = ViewPosition::default();
     position.on_snapshot(100, 1_000);
-    assert!(position.is_whole_within(500, 1_400));
+    assert!(position.is_current_within(500, 1_400));
     assert!(!position.on_page(140, 250, 8_000));
-    assert!(!position.is_whole_within(500, 8_000));
+    assert!(!position.is_current_within(500, 8_000));
     assert!(position.on_page(250, 250, 8_050));
-    assert!(position.is_whole_within(500, 8_050));
-    assert!(!position.is_whole_within(500, 8_551));
+    assert!(position.is_current_within(500, 8_050));
+    assert!(!position.is_current_within(500, 8_551));
 }
 
 #[test]
@@ -23,7 +23,7 @@
     position.on_snapshot(100, 1_000);
     position.on_page(140, 140, 1_100);
     position.on_page(120, 120, 1_110);
-    assert_eq!(position.next(), Some(140));
+    assert_eq!(position.next_offset(), Some(140));
 }
 
 #[test]
@@ -31,7 +31,7 @@
     let mut position = ViewPosition::default();
     position.on_snapshot(100, 1_000);
     position.reset();
-    assert_eq!(position.next(), None);
+    assert_eq!(position.next_offset(), None);
 }
 
 // A trainer reads its step 20 ms after its acceptance and is told that there is no such submission.
@@ -41,10 +41,10 @@
 fn a_view_of_before_the_question_does_not_answer_it() {
     let mut position = ViewPosition::default();
     position.on_snapshot(100, 1_000);
-    assert!(position.is_whole_within(500, 1_020));
-    assert!(!position.is_whole_since(1_020));
+    assert!(position.is_current_within(500, 1_020));
+    assert!(!position.is_current_since(1_020));
     position.on_page(101, 101, 1_025);
-    assert!(position.is_whole_since(1_020));
+    assert!(position.is_current_since(1_020));
 }
 
 // A key that was taken away is served by a VM that was suspended for a minute.
@@ -52,13 +52,13 @@
 #[test]
 fn the_age_of_a_view_counts_from_its_question() {
     let mut position = ViewPosition::default();
-    assert_eq!(position.asked_at_ms(), None);
-    position.on_asked(1_000);
-    position.on_asked(900);
-    assert_eq!(position.asked_at_ms(), Some(1_000));
+    assert_eq!(position.requested_at_ms(), None);
+    position.on_response(1_000);
+    position.on_response(900);
+    assert_eq!(position.requested_at_ms(), Some(1_000));
     position.reset();
     assert_eq!(
-        position.asked_at_ms(),
+        position.requested_at_ms(),
         Some(1_000),
         "what is known is as old as before"
     );
--- a/crates/borageshore_gateway/src/follow.rs
+++ b/crates/borageshore_gateway/src/follow.rs
@@ -85,7 +85,7 @@
 
     /// The offset after the last applied record; `None` before the first read.
     pub(crate) fn next_offset(&self) -> Option<u64> {
-        self.position.borrow().next()
+        self.position.borrow().next_offset()
     }
 
     /// Makes sure that the view is no older than `age_ms`, by reads of its own if need be.
@@ -97,7 +97,7 @@
     /// Brings the view up to what the store has by now, whatever was read a moment ago.
     pub(crate) async fn confirm_now(&self) -> bool {
         let since_ms = self.spec.clock.now_ms();
-        let is_whole = || self.position.borrow().is_whole_since(since_ms);
+        let is_whole = || self.position.borrow().is_current_since(since_ms);
         self.read_until(is_whole).await
     }
 
@@ -116,12 +116,12 @@
     /// Says whether the view was whole within the last `age_ms`.
     pub(crate) fn is_whole_within(&self, age_ms: u64) -> bool {
         let position = self.position.borrow();
-        position.is_whole_within(age_ms, self.spec.clock.now_ms())
+        position.is_current_within(age_ms, self.spec.clock.now_ms())
     }
 
     /// When the newest question was asked whose answer made the view whole, on the clock that counts suspensions.
     pub(crate) fn asked_at_ms(&self) -> Option<u64> {
-        self.position.borrow().asked_at_ms()
+        self.position.borrow().requested_at_ms()
     }
 
     /// Ends the following once the present read is over.
@@ -207,7 +207,7 @@
             self.fold.apply(records);
         }
         if is_whole {
-            self.position.borrow_mut().on_asked(asked_at_ms);
+            self.position.borrow_mut().on_response(asked_at_ms);
         }
         records.len()
     }
@@ -216,7 +216,7 @@
     fn move_to(&self, after_last: u64, end: u64) -> bool {
         let now_ms = self.spec.clock.now_ms();
         let mut position = self.position.borrow_mut();
-        if position.next().is_some() {
+        if position.next_offset().is_some() {
             return position.on_page(after_last, end, now_ms);
         }
         position.on_snapshot(end, now_ms);
