--- a/crates/borageshore_batch/src/lib.rs
+++ b/crates/borageshore_batch/src/lib.rs
@@ -48,7 +48,7 @@
     record::LedgerRecord,
     submission::{Item, ItemResult, ItemState, ModelVersion, RewardCall, Submission},
     swaps::{EngineState, EngineVersions, ModelTarget, SwapLimits, SwapRound, plan_round},
-    text::{Text, TextFault},
+    text::{Text, TextError},
     text_pieces::{PieceBatch, PieceJoiner, TextPiece},
     view_position::ViewPosition,
 };
--- a/crates/borageshore_batch/src/text.rs
+++ b/crates/borageshore_batch/src/text.rs
@@ -4,7 +4,7 @@
 
 /// Why an event does not belong at the end of a text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TextFault {
+pub enum TextError {
     /// Events before it are missing.
     Gap,
     /// Nobody said which version of the weights made it.
@@ -22,14 +22,14 @@
 impl Text {
     /// Adds an event with its number and the version that made it. An event that is there already is
     /// left out: a run that goes on may repeat the one that it was cut in.
-    pub fn push(&mut self, id: u64, data: Bytes, version: Option<u64>) -> Result<(), TextFault> {
+    pub fn push(&mut self, id: u64, data: Bytes, version: Option<u64>) -> Result<(), TextError> {
         if id <= self.last_event() {
             return Ok(());
         }
         if id != self.last_event() + 1 {
-            return Err(TextFault::Gap);
+            return Err(TextError::Gap);
         }
-        let version = version.ok_or(TextFault::NoVersion)?;
+        let version = version.ok_or(TextError::NoVersion)?;
         self.events.push(data);
         if let Err(at) = self.versions.binary_search(&version) {
             self.versions.insert(at, version);
@@ -62,7 +62,7 @@
     }
 
     /// Notes that the last event was made.
-    pub fn complete(&mut self) {
+    pub fn mark_complete(&mut self) {
         self.is_complete = true;
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Says whether every event was made under `min_version` or a newer one.
-    pub fn fits(&self, min_version: u64) -> bool {
+    pub fn meets_min_version(&self, min_version: u64) -> bool {
         self.versions.iter().all(|version| *version >= min_version)
     }
 
--- a/crates/borageshore_batch/tests/text.rs
+++ b/crates/borageshore_batch/tests/text.rs
@@ -1,6 +1,6 @@
 //! Texts joined from the events of several runs.
 
-use borageshore_batch::{Text, TextFault};
+use borageshore_batch::{Text, TextError};
 
 fn text(events: &[(u64, &'static str, Option<u64>)]) -> Text {
     let mut text = Text::default();
@@ -29,14 +29,14 @@
         assert_eq!(text.versions(), [6]);
     }
 
-    a_missing_event_is_a_fault => {
+    a_missing_event_is_an_error => {
         let mut text = text(&[(1, "a", Some(6))]);
-        assert_eq!(text.push(3, "c".into(), Some(6)), Err(TextFault::Gap));
+        assert_eq!(text.push(3, "c".into(), Some(6)), Err(TextError::Gap));
     }
 
     an_event_of_an_unknown_version_is_not_taken => {
         let mut text = Text::default();
-        assert_eq!(text.push(1, "a".into(), None), Err(TextFault::NoVersion));
+        assert_eq!(text.push(1, "a".into(), None), Err(TextError::NoVersion));
         assert!(text.is_empty());
     }
 
@@ -46,14 +46,14 @@
     // fault, again and again.
     a_run_that_goes_on_after_the_last_event_needs_no_version => {
         let mut text = text(&[(1, "a", Some(6)), (2, "b", Some(6))]);
-        text.complete();
+        text.mark_complete();
         assert!(text.is_complete());
         assert_eq!(text.output(), "a\nb");
     }
 
     a_text_fits_if_no_event_is_older => {
         let text = text(&[(1, "a", Some(6)), (2, "b", Some(7))]);
-        assert!(text.fits(6));
-        assert!(!text.fits(7));
+        assert!(text.meets_min_version(6));
+        assert!(!text.meets_min_version(7));
     }
 }
--- a/crates/borageshore_gateway/src/item/stay.rs
+++ b/crates/borageshore_gateway/src/item/stay.rs
@@ -138,7 +138,7 @@
             let event = match generation.next_event(SILENCE_MS).await {
                 Ok(Some(event)) => event,
                 Ok(None) => {
-                    text.complete();
+                    text.mark_complete();
                     sent.on_success();
                     generation.release(&self.context.client);
                     place.in_flight.succeed();
--- a/crates/borageshore_gateway/src/texts.rs
+++ b/crates/borageshore_gateway/src/texts.rs
@@ -43,7 +43,7 @@
     pub(crate) fn take(self: &Rc<Self>, item: &Arc<str>, min_version: u64) -> KeptText {
         let kept = self.kept.borrow_mut().remove(item);
         let texts = kept.into_iter().flat_map(|kept| kept.texts);
-        let fitting = texts.filter(|text| text.fits(min_version));
+        let fitting = texts.filter(|text| text.meets_min_version(min_version));
         KeptText {
             texts: self.clone(),
             item: item.clone(),
