--- a/crates/borageshore_batch/src/index_entry.rs
+++ b/crates/borageshore_batch/src/index_entry.rs
@@ -34,8 +34,8 @@
 
 impl IndexEntry {
     /// Says whether its records may be removed: it is ended, and the time for which results are kept
-    /// is over. `slack_ms` covers clocks that differ between VMs.
-    pub fn is_expired(&self, kept_ms: u64, slack_ms: u64, now_ms: u64) -> bool {
-        self.is_ended && now_ms > self.entered_at_ms + kept_ms + slack_ms
+    /// is over. `clock_skew_ms` covers clocks that differ between VMs.
+    pub fn is_expired(&self, retention_ms: u64, clock_skew_ms: u64, now_ms: u64) -> bool {
+        self.is_ended && now_ms > self.entered_at_ms + retention_ms + clock_skew_ms
     }
 }
--- a/crates/borageshore_batch/src/placement.rs
+++ b/crates/borageshore_batch/src/placement.rs
@@ -29,7 +29,7 @@
     /// How long it takes for an event, in percent of the service's median.
     pub latency_percent: u64,
     /// Whether it is in this daemon's availability zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
     /// Whether items of the same group run there.
     pub has_group: bool,
 }
@@ -73,7 +73,7 @@
 fn cost(engine: &EngineView) -> u64 {
     let filled = (engine.load + 1) * FULL_THOUSANDTHS / engine.slots.max(1);
     let mut cost = (1_000 + filled) * engine.latency_percent / 100;
-    if !engine.is_near {
+    if !engine.is_same_zone {
         cost += OTHER_ZONE_THOUSANDTHS;
     }
     if engine.has_group {
--- a/crates/borageshore_batch/src/submission.rs
+++ b/crates/borageshore_batch/src/submission.rs
@@ -34,7 +34,7 @@
 
     /// The name under which what was made of an item is kept: another organisation's item of the same name is
     /// another one.
-    pub fn kept_name(&self, item: &Item) -> Arc<str> {
+    pub fn scoped_item_id(&self, item: &Item) -> Arc<str> {
         match &self.organisation {
             Some(organisation) => format!("{organisation}/{}", item.id).into(),
             None => item.id.clone(),
--- a/crates/borageshore_batch/src/swaps.rs
+++ b/crates/borageshore_batch/src/swaps.rs
@@ -33,7 +33,7 @@
 
 impl EngineVersions {
     /// Takes over what an engine, its entry or an orderer said.
-    pub fn learn(&mut self, instance: &Arc<str>, model: &Arc<str>, version: u64) {
+    pub fn observe(&mut self, instance: &Arc<str>, model: &Arc<str>, version: u64) {
         let known = self
             .versions
             .get_or_insert_with((instance.clone(), model.clone()), || version);
--- a/crates/borageshore_batch/tests/ledger.rs
+++ b/crates/borageshore_batch/tests/ledger.rs
@@ -257,6 +257,6 @@
         assert!(ledger.earlier_result(&mill, &again).is_some());
         assert!(ledger.earlier_result(&farm, &again).is_none());
         assert!(ledger.earlier_result(&submission("s2", &["a"]), &again).is_none());
-        assert_ne!(mill.kept_name(&again), farm.kept_name(&again));
+        assert_ne!(mill.scoped_item_id(&again), farm.scoped_item_id(&again));
     }
 }
--- a/crates/borageshore_batch/tests/placement.rs
+++ b/crates/borageshore_batch/tests/placement.rs
@@ -20,7 +20,7 @@
         version: 1,
         is_loading: false,
         latency_percent,
-        is_near: true,
+        is_same_zone: true,
         has_group: false,
     }
 }
--- a/crates/borageshore_batch/tests/swaps.rs
+++ b/crates/borageshore_batch/tests/swaps.rs
@@ -38,7 +38,7 @@
 fn versions(of: &[(&str, &str, u64)]) -> EngineVersions {
     let mut versions = EngineVersions::default();
     for (engine, model, version) in of {
-        versions.learn(&Arc::from(*engine), &Arc::from(*model), *version);
+        versions.observe(&Arc::from(*engine), &Arc::from(*model), *version);
     }
     versions
 }
@@ -53,7 +53,7 @@
         }
         assert!(round.len() <= 2);
         for (engine, named) in round {
-            versions.learn(&engine, &named.model, named.version);
+            versions.observe(&engine, &named.model, named.version);
             loads += 1;
         }
     }
@@ -112,7 +112,7 @@
     let mut versions = EngineVersions::default();
     for engine in &engines {
         for model in ["a", "b"] {
-            versions.learn(&engine.instance, &model.into(), 1);
+            versions.observe(&engine.instance, &model.into(), 1);
         }
     }
     let mut loads = Vec::new();
--- a/crates/borageshore_gateway/src/endpoints/listing.rs
+++ b/crates/borageshore_gateway/src/endpoints/listing.rs
@@ -41,7 +41,9 @@
         self.lapsed.borrow_mut().remove(id);
         let instance = &entry.listing.name;
         for (model, version) in &entry.models {
-            self.versions.borrow_mut().learn(instance, model, *version);
+            self.versions
+                .borrow_mut()
+                .observe(instance, model, *version);
         }
         let is_news = known.is_none_or(|known| known.listing != entry.listing);
         if is_news {
--- a/crates/borageshore_gateway/src/endpoints/mod.rs
+++ b/crates/borageshore_gateway/src/endpoints/mod.rs
@@ -175,7 +175,7 @@
                     version: model.map_or(0, |model| versions.get(instance, model)),
                     is_loading: self.is_loading(instance),
                     latency_percent: paces.percent_of_median(instance, median_us, now_ms),
-                    is_near: endpoint.listing.zone == self.zone,
+                    is_same_zone: endpoint.listing.zone == self.zone,
                     has_group: false,
                 }
             })
@@ -224,7 +224,7 @@
 
     /// Takes over the version of a model at an engine.
     pub(crate) fn on_version(&self, instance: &Arc<str>, model: &Arc<str>, version: u64) {
-        self.versions.borrow_mut().learn(instance, model, version);
+        self.versions.borrow_mut().observe(instance, model, version);
         self.changed.notify_waiters();
     }
 
--- a/crates/borageshore_gateway/src/item/mod.rs
+++ b/crates/borageshore_gateway/src/item/mod.rs
@@ -67,7 +67,7 @@
         context: &context,
         submission: &submission,
         item,
-        kept_name: submission.kept_name(item),
+        kept_name: submission.scoped_item_id(item),
         rank,
         seen_at_ms,
         timing: Timing::default(),
