--- a/crates/borageshore_batch/src/ledger.rs
+++ b/crates/borageshore_batch/src/ledger.rs
@@ -6,9 +6,9 @@
 use bytes::Bytes;
 
 use crate::{
-    pieces::{self, PieceBuffer},
     record::{self, KeyKind, LedgerRecord},
     submission::{Item, ItemResult, ItemState, Submission},
+    value_chunks::{self, ChunkBuffer},
 };
 
 /// A record of the store: offset, key, value.
@@ -81,15 +81,15 @@
         submission.items.iter().find(|item| &*item.id == id)
     }
 
-    fn apply(&mut self, pieces: &mut PieceBuffer, (_, key, value): &LedgerEntry) {
-        let Some((whole_key, number, count)) = pieces::split_key(key) else {
+    fn apply(&mut self, chunks: &mut ChunkBuffer, (_, key, value): &LedgerEntry) {
+        let Some((value_key, number, count)) = value_chunks::split_key(key) else {
             return;
         };
-        let Some((id, kind)) = record::split_key(whole_key) else {
+        let Some((id, kind)) = record::split_key(value_key) else {
             return;
         };
-        let whole = pieces.push(whole_key, number, count, value.clone());
-        let record = whole.and_then(|whole| LedgerRecord::decode(id, kind, &whole));
+        let complete = chunks.push(value_key, number, count, value.clone());
+        let record = complete.and_then(|complete| LedgerRecord::decode(id, kind, &complete));
         match record {
             Some(LedgerRecord::Accept(submission)) => {
                 self.submission.get_or_insert(submission);
@@ -118,7 +118,7 @@
 #[derive(Debug, Default)]
 pub struct Ledger {
     submissions: SortedMap<Arc<str>, SubmissionState>,
-    pieces: PieceBuffer,
+    chunks: ChunkBuffer,
 }
 
 impl Ledger {
@@ -138,7 +138,7 @@
             return;
         };
         if state.is_loaded {
-            state.apply(&mut self.pieces, &entry);
+            state.apply(&mut self.chunks, &entry);
         } else {
             state.pending.push(entry);
         }
@@ -158,7 +158,7 @@
         let mut all: Vec<LedgerEntry> = before_end.chain(after_end).collect();
         all.sort_by_key(|(offset, ..)| *offset);
         for entry in &all {
-            state.apply(&mut self.pieces, entry);
+            state.apply(&mut self.chunks, entry);
         }
         state.is_loaded = true;
     }
@@ -206,6 +206,6 @@
 
 /// The submission and the kind of record that a key of the store names.
 fn entry_key(key: &str) -> Option<(&str, KeyKind)> {
-    let (whole_key, ..) = pieces::split_key(key)?;
-    record::split_key(whole_key)
+    let (value_key, ..) = value_chunks::split_key(key)?;
+    record::split_key(value_key)
 }
--- a/crates/borageshore_batch/src/lib.rs
+++ b/crates/borageshore_batch/src/lib.rs
@@ -24,13 +24,13 @@
 mod order_lease;
 mod ownership;
 
-mod pieces;
 mod placement;
 mod record;
 mod submission;
 mod swaps;
 mod text;
 mod text_pieces;
+mod value_chunks;
 mod view_position;
 
 pub use self::{
--- a/crates/borageshore_batch/src/record.rs
+++ b/crates/borageshore_batch/src/record.rs
@@ -6,8 +6,8 @@
 use serde::{Serialize, de::DeserializeOwned};
 
 use crate::{
-    pieces,
     submission::{ItemResult, Submission},
+    value_chunks,
 };
 
 /// A change of the ledger.
@@ -64,13 +64,13 @@
         let submission = self.submission();
         match self {
             LedgerRecord::Accept(accepted) => {
-                pieces::cut(&format!("{submission}:s"), &to_json(accepted))
+                value_chunks::split(&format!("{submission}:s"), &to_json(accepted))
             }
             LedgerRecord::Result { result, .. } => {
-                pieces::cut(&format!("{submission}:r:{attempt}"), &to_json(result))
+                value_chunks::split(&format!("{submission}:r:{attempt}"), &to_json(result))
             }
             LedgerRecord::End { .. } => {
-                pieces::cut(&format!("{submission}:e"), &Bytes::from_static(b"{}"))
+                value_chunks::split(&format!("{submission}:e"), &Bytes::from_static(b"{}"))
             }
         }
     }
