--- a/crates/borageshore_batch/src/incarnation.rs
+++ b/crates/borageshore_batch/src/incarnation.rs
@@ -15,6 +15,6 @@
 }
 
 /// The id of an incarnation's endpoint.
-pub(crate) fn id_of(name: &str) -> &str {
+pub(crate) fn endpoint_id(name: &str) -> &str {
     name.rsplit_once(SEPARATOR).map_or(name, |(id, _)| id)
 }
--- a/crates/borageshore_batch/src/order.rs
+++ b/crates/borageshore_batch/src/item_rank.rs
@@ -6,7 +6,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ItemRank {
     /// The longer the text is expected to be, the earlier it starts.
-    shortness: u64,
+    inverse_length: u64,
     /// The place in the submission, which keeps the items of a group together among equals.
     index: usize,
 }
@@ -24,7 +24,7 @@
 /// minute 0.9 s sooner when they were not (40 runs, standard error 0.3 s).
 pub fn rank_items(submission: &Submission) -> Vec<ItemRank> {
     let rank = |(index, item): (usize, &Item)| ItemRank {
-        shortness: u64::MAX - item.length_hint_tokens.unwrap_or(0),
+        inverse_length: u64::MAX - item.length_hint_tokens.unwrap_or(0),
         index,
     };
     submission.items.iter().enumerate().map(rank).collect()
--- a/crates/borageshore_batch/src/lib.rs
+++ b/crates/borageshore_batch/src/lib.rs
@@ -19,8 +19,8 @@
 mod group_placements;
 mod incarnation;
 mod index_entry;
+mod item_rank;
 mod ledger;
-mod order;
 mod order_lease;
 mod ownership;
 
@@ -38,8 +38,8 @@
     group_placements::GroupPlacements,
     incarnation::incarnation_name,
     index_entry::{Demand, IndexEntry},
+    item_rank::{ItemRank, rank_items},
     ledger::{Ledger, LedgerEntry, SubmissionState},
-    order::{ItemRank, rank_items},
     order_lease::OrderLeases,
     ownership::work_key,
     placement::{
--- a/crates/borageshore_batch/src/order_lease.rs
+++ b/crates/borageshore_batch/src/order_lease.rs
@@ -4,7 +4,7 @@
 
 use borageshore_duty::DutyLeases;
 
-use crate::{incarnation::id_of, swaps::SwapRound};
+use crate::{incarnation::endpoint_id, swaps::SwapRound};
 
 /// The last orders to each engine, as the rounds in the store tell of them.
 ///
@@ -28,7 +28,7 @@
     /// Takes over a round that was read at `now_ms`.
     pub fn on_round(&mut self, round: &SwapRound, now_ms: u64) {
         let engines = round.orders.iter().map(|(engine, ..)| engine);
-        let (engines, others) = (ids_of(engines), ids_of(&round.others_ordered));
+        let (engines, others) = (endpoint_ids(engines), endpoint_ids(&round.others_ordered));
         self.duties
             .on_round(&round.holder, &engines, &others, now_ms);
     }
@@ -40,7 +40,7 @@
 
     /// Says whether `holder` may order an engine at `now_ms`.
     pub fn may_order(&self, holder: &str, engine: &str, now_ms: u64) -> bool {
-        self.duties.may_act(holder, id_of(engine), now_ms)
+        self.duties.may_act(holder, endpoint_id(engine), now_ms)
     }
 
     /// The engines that `holder` may not order at `now_ms`, for its next round.
@@ -64,12 +64,12 @@
     }
 }
 
-fn ids_of<'e, Engines>(engines: Engines) -> Vec<Arc<str>>
+fn endpoint_ids<'e, Engines>(engines: Engines) -> Vec<Arc<str>>
 where
     Engines: IntoIterator<Item = &'e Arc<str>>,
 {
     engines
         .into_iter()
-        .map(|engine| id_of(engine).into())
+        .map(|engine| endpoint_id(engine).into())
         .collect()
 }
--- a/crates/borageshore_batch/src/ownership.rs
+++ b/crates/borageshore_batch/src/ownership.rs
@@ -6,7 +6,7 @@
 
 /// The engine slots whose items one daemon runs. With 228 slots and three trainers it takes 0.05
 /// cores in the mean, a tenth of its VM's share.
-const SLOTS_OF_ONE_DAEMON: u64 = 600;
+const SLOTS_PER_DAEMON: u64 = 600;
 
 /// The key that decides which daemon runs a trainer's submissions.
 ///
@@ -17,7 +17,7 @@
 ///
 /// More engines are shared by several daemons, trainer by trainer.
 pub fn work_key(service: &str, trainer: &str, slots: u64) -> Arc<str> {
-    let daemons = slots.div_ceil(SLOTS_OF_ONE_DAEMON).max(1);
+    let daemons = slots.div_ceil(SLOTS_PER_DAEMON).max(1);
     let number = rendezvous_weight("trainers", trainer) % daemons;
     format!("{service}/{number}").into()
 }
--- a/crates/borageshore_batch/src/placement.rs
+++ b/crates/borageshore_batch/src/placement.rs
@@ -6,7 +6,7 @@
 /// engines of six and eight slots: 80. More than that spreads items over equal engines, since long
 /// texts on one engine run out of its memory and the newest is preempted; up to 380 an engine that is
 /// full still comes before an empty one that takes 1.3 times as long.
-const FULL_THOUSANDTHS: u64 = 250;
+const FULL_LOAD_THOUSANDTHS: u64 = 250;
 /// What an item of the same group at an engine makes up for: a shared prompt saves a prefill of a
 /// millisecond, no more than a tie-breaker among engines that differ by a slot.
 const SAME_GROUP_THOUSANDTHS: u64 = 31;
@@ -71,7 +71,7 @@
 
 /// The time for an event with the item on it, relative to an empty engine of the usual pace.
 fn cost(engine: &EngineView) -> u64 {
-    let filled = (engine.load + 1) * FULL_THOUSANDTHS / engine.slots.max(1);
+    let filled = (engine.load + 1) * FULL_LOAD_THOUSANDTHS / engine.slots.max(1);
     let mut cost = (1_000 + filled) * engine.latency_percent / 100;
     if !engine.is_same_zone {
         cost += OTHER_ZONE_THOUSANDTHS;
--- a/crates/borageshore_batch/src/swaps.rs
+++ b/crates/borageshore_batch/src/swaps.rs
@@ -56,7 +56,7 @@
 }
 
 /// So many engines load at once in any case.
-const LEAST_PARALLEL: usize = 2;
+const MIN_PARALLEL_LOADS: usize = 2;
 
 /// Engines that keep a model's weights fresh for each item of its newest submission, in percent: two steps are open
 /// at once, and a quarter of the engines may load or be slow. An item with an engine of its own is made a seventh
@@ -115,20 +115,25 @@
     limits: SwapLimits,
 ) -> Vec<(Arc<str>, ModelVersion)> {
     let loading = engines.iter().filter(|engine| engine.is_loading).count();
-    let parallel = (engines.len() * limits.parallel_percent / 100).max(LEAST_PARALLEL);
-    let room = parallel.saturating_sub(loading);
+    let parallel = (engines.len() * limits.parallel_percent / 100).max(MIN_PARALLEL_LOADS);
+    let free_loads = parallel.saturating_sub(loading);
     let mut wanted = Vec::new();
-    let mut rest = engines;
-    for (count, model) in homes(engines.len(), models).into_iter().zip(models) {
-        let (homes, others) = rest.split_at(count);
-        rest = others;
-        wanted.extend(behind(homes, versions, &model.target, limits.share_percent));
+    let mut unassigned = engines;
+    for (count, model) in engine_counts(engines.len(), models).into_iter().zip(models) {
+        let (assigned, others) = unassigned.split_at(count);
+        unassigned = others;
+        wanted.extend(outdated_engines(
+            assigned,
+            versions,
+            &model.target,
+            limits.share_percent,
+        ));
     }
     wanted.sort_by_key(|lag| (std::cmp::Reverse(lag.versions), lag.engine.running));
     wanted
         .into_iter()
         .filter(|lag| !lag.engine.is_loading && !lag.engine.is_leased)
-        .take(room)
+        .take(free_loads)
         .map(|lag| (lag.engine.instance.clone(), lag.target.clone()))
         .collect()
 }
@@ -137,14 +142,14 @@
 ///
 /// Guards the weight store, and what engines have cached, where there are many more engines than items: of 3,000
 /// engines half loaded each version, 2,072 loads in 35 s for 456 items a step.
-fn homes(engines: usize, models: &[ModelTarget]) -> Vec<usize> {
+fn engine_counts(engines: usize, models: &[ModelTarget]) -> Vec<usize> {
     let shares = shares(engines, models).into_iter().zip(models);
-    let of_use = |model: &ModelTarget| match model.demand.items {
+    let usable = |model: &ModelTarget| match model.demand.items {
         0 => engines,
         items => (items * ENGINES_PER_ITEM_PERCENT).div_ceil(100) as usize,
     };
     shares
-        .map(|(share, model)| share.min(of_use(model)))
+        .map(|(share, model)| share.min(usable(model)))
         .collect()
 }
 
@@ -166,8 +171,8 @@
     counts
 }
 
-fn behind<'p>(
-    homes: &'p [EngineState],
+fn outdated_engines<'p>(
+    assigned: &'p [EngineState],
     versions: &EngineVersions,
     target: &'p ModelVersion,
     share_percent: usize,
@@ -179,11 +184,12 @@
         engine,
         target,
     };
-    let lags = homes.iter().map(lag_of);
-    let (fresh, mut behind): (Vec<Lag<'p>>, Vec<Lag<'p>>) = lags.partition(|lag| lag.versions == 0);
-    behind.sort_by_key(|lag| (std::cmp::Reverse(lag.versions), lag.engine.running));
-    let urgent = behind.iter().filter(|lag| lag.versions > 1).count();
-    let share = (homes.len() * share_percent).div_ceil(100);
-    behind.truncate(urgent.max(share.saturating_sub(fresh.len())));
-    behind
+    let lags = assigned.iter().map(lag_of);
+    let (fresh, mut outdated): (Vec<Lag<'p>>, Vec<Lag<'p>>) =
+        lags.partition(|lag| lag.versions == 0);
+    outdated.sort_by_key(|lag| (std::cmp::Reverse(lag.versions), lag.engine.running));
+    let urgent = outdated.iter().filter(|lag| lag.versions > 1).count();
+    let share = (assigned.len() * share_percent).div_ceil(100);
+    outdated.truncate(urgent.max(share.saturating_sub(fresh.len())));
+    outdated
 }
