--- a/crates/borageshore_batch/src/ledger.rs
+++ b/crates/borageshore_batch/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: every submission with its results by position.
+//! The state of batch submissions, built by replaying the records of the store.
 
 use std::sync::Arc;
 
@@ -11,71 +11,71 @@
     value_chunks::{self, ChunkBuffer},
 };
 
-/// A record of the store: offset, key, value.
+/// A record of the store: offset, key and value.
 pub type LedgerEntry = (u64, Arc<str>, Bytes);
 
-/// One submission.
+/// The state of one submission.
 #[derive(Debug, Default)]
 pub struct SubmissionState {
-    /// Whether every record from the first one on was applied.
+    /// Whether all older records have been applied.
     is_loaded: bool,
-    /// Records that came before the earlier ones were loaded.
+    /// New records received before the older ones were loaded.
     pending: Vec<LedgerEntry>,
     submission: Option<Arc<Submission>>,
     results: Vec<Arc<ItemResult>>,
-    /// The items with a result, sorted.
+    /// Ids of the items with a result, sorted.
     finished_items: Vec<Arc<str>>,
     is_ended: bool,
     first_seen_at_ms: u64,
 }
 
 impl SubmissionState {
-    /// Says whether every record from the first one on was applied; if not, nothing else that is
-    /// said of it can be relied on.
+    /// Returns whether all older records have been applied. Until then the other accessors may be incomplete.
     pub fn is_loaded(&self) -> bool {
         self.is_loaded
     }
 
-    /// The submission, once its record is there.
+    /// The submission, or `None` until its record has been applied.
     pub fn submission(&self) -> Option<&Arc<Submission>> {
         self.submission.as_ref()
     }
 
-    /// The results by position.
+    /// The results in the order of the store; the index of a result is its position for readers.
     pub fn results(&self) -> &[Arc<ItemResult>] {
         &self.results
     }
 
-    /// Says whether an item has a result.
+    /// Returns whether an item has a result.
     pub fn has_result(&self, item: &str) -> bool {
         self.finished_items
             .binary_search_by(|known| (**known).cmp(item))
             .is_ok()
     }
 
-    /// Says whether it was ended.
+    /// Returns whether the submission was ended.
     pub fn is_ended(&self) -> bool {
         self.is_ended
     }
 
-    /// Says whether every item has a result.
+    /// Returns whether every item has a result.
     pub fn is_complete(&self) -> bool {
         let all_have_results =
             |submission: &Arc<Submission>| self.finished_items.len() >= submission.items.len();
         self.submission.as_ref().is_some_and(all_have_results)
     }
 
-    /// Says whether something is left to run.
+    /// Returns whether the submission still has items to run.
     pub fn is_open(&self) -> bool {
         !self.is_ended && self.submission.is_some() && !self.is_complete()
     }
 
-    /// When this daemon first saw it; later than its acceptance, so nothing is given up too early.
+    /// When this daemon first saw the submission, in ms. Never before its acceptance, so that timeouts counted from
+    /// it do not expire early.
     pub fn first_seen_at_ms(&self) -> u64 {
         self.first_seen_at_ms
     }
 
-    /// An item by its id.
+    /// Looks up an item by its id.
     pub fn item(&self, id: &str) -> Option<&Item> {
         let submission = self.submission.as_ref()?;
         submission.items.iter().find(|item| &*item.id == id)
@@ -108,13 +108,12 @@
     }
 }
 
-/// The submissions that this daemon has to do with.
+/// The submissions that this daemon runs or serves.
 ///
-/// The first result of an item counts, by the order of the store; whoever else made one, made it in
-/// vain. So it does no harm when two daemons run the same item.
+/// Only the first result of an item in the order of the store counts, so two daemons may run the same item.
 ///
-/// A daemon knows the submissions that it runs or is asked for, not all: with every record read by
-/// every daemon, the store's reads grow with their number squared.
+/// A daemon tracks only the submissions that it runs or is asked for: if every daemon read every record, reads of
+/// the store would grow with the square of the number of daemons.
 #[derive(Debug, Default)]
 pub struct Ledger {
     submissions: SortedMap<Arc<str>, SubmissionState>,
@@ -122,7 +121,7 @@
 }
 
 impl Ledger {
-    /// Begins to keep new records of a submission, for the time until its older ones are loaded.
+    /// Starts to collect new records of a submission; [`Ledger::load`] adds the older ones.
     pub fn track(&mut self, id: &Arc<str>, now_ms: u64) {
         self.submissions
             .get_or_insert_with(id.clone(), || SubmissionState {
@@ -131,7 +130,7 @@
             });
     }
 
-    /// Takes over a new record; records of one partition come in the order of their offsets.
+    /// Applies a new record of a tracked submission. Records of a partition must come in the order of their offsets.
     pub fn apply(&mut self, entry: LedgerEntry) {
         let state = entry_key(&entry.1).and_then(|(id, _)| self.submissions.get_mut(id));
         let Some(state) = state else {
@@ -144,9 +143,10 @@
         }
     }
 
-    /// Takes over all records of a submission that the store had at `end`; `end` was taken after
-    /// [`Ledger::track`]. Later records are left out: a read in pages may have missed others before
-    /// them, and they come by [`Ledger::apply`].
+    /// Applies all records of a submission below the offset `end`, which must have been read after [`Ledger::track`].
+    ///
+    /// Entries at or after `end` are ignored: a paged read is no snapshot and may lack earlier ones. They arrive
+    /// through [`Ledger::apply`].
     pub fn load(&mut self, id: &str, entries: Vec<LedgerEntry>, end: u64) {
         let state = self.submissions.get_mut(id);
         let Some(state) = state.filter(|state| !state.is_loaded) else {
@@ -163,7 +163,7 @@
         state.is_loaded = true;
     }
 
-    /// Forgets the submissions for which `is_removed` holds: their records are no longer followed, or
+    /// Removes the submissions for which `is_removed` returns true, because their records are no longer followed or
     /// some were missed.
     pub fn remove_if<Remove>(&mut self, is_removed: Remove)
     where
@@ -172,16 +172,16 @@
         self.submissions.retain(|id, _| !is_removed(id));
     }
 
-    /// A submission.
+    /// Returns the state of a tracked submission.
     pub fn get(&self, id: &str) -> Option<&SubmissionState> {
         self.submissions.get(id)
     }
 
-    /// The result of an item in another submission, made under `min_version` or newer ones and scored
-    /// by the same reward call.
+    /// Finds a finished result of the same item in any submission of the organisation, generated under versions of at
+    /// least `of.min_version` and scored by the same reward call.
     ///
-    /// Trainers send groups again that were not complete at the end of a step, under the same ids;
-    /// what was finished of them need not be made again.
+    /// Trainers resubmit groups that were incomplete at the end of a step under the same ids; their finished items
+    /// need not be generated again.
     pub fn earlier_result(&self, of: &Submission, item: &Item) -> Option<Arc<ItemResult>> {
         let min_version = of.min_version;
         let is_same_caller = |state: &&SubmissionState| {
@@ -204,7 +204,7 @@
     }
 }
 
-/// The submission and the kind of record that a key of the store names.
+/// Parses a key of the store into the submission id and the kind of record.
 fn entry_key(key: &str) -> Option<(&str, KeyKind)> {
     let (value_key, ..) = value_chunks::split_key(key)?;
     record::split_key(value_key)
--- a/crates/borageshore_batch/src/record.rs
+++ b/crates/borageshore_batch/src/record.rs
@@ -1,4 +1,4 @@
-//! The records from which every daemon folds the ledger.
+//! The records of the ledger and their encoding.
 
 use std::sync::Arc;
 
@@ -10,31 +10,30 @@
     value_chunks,
 };
 
-/// A change of the ledger.
+/// A change of the ledger, as stored.
 ///
-/// The store keeps the newest record of each key for good. Accepting and ending write the same
-/// bytes whenever they are repeated, so they have fixed keys. A result has a key of its own for
-/// each attempt to append it: its position is the place of its first record, and a second record
-/// under the same key would take that place away from readers that start later.
+/// The store compacts by key: it keeps the newest record of each. `Accept` and `End` always encode to the same bytes,
+/// so their keys are fixed. A result gets a new key for each append attempt: its position is that of its first record,
+/// which a retry under the same key would replace for readers that start later.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LedgerRecord {
-    /// A submission is accepted.
+    /// A submission was accepted.
     Accept(Arc<Submission>),
     /// An item has a result.
     Result {
-        /// The submission.
+        /// The submission's id.
         submission: Arc<str>,
         /// The result.
         result: Arc<ItemResult>,
     },
-    /// A submission is ended.
+    /// A submission was ended.
     End {
-        /// The submission.
+        /// The submission's id.
         submission: Arc<str>,
     },
 }
 
-/// What a key says of its record.
+/// The kind of a record, as encoded in its key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum KeyKind {
     Accept,
@@ -43,7 +42,7 @@
 }
 
 impl LedgerRecord {
-    /// The submission that it belongs to.
+    /// The id of the submission that the record belongs to.
     pub fn submission(&self) -> &Arc<str> {
         match self {
             LedgerRecord::Accept(submission) => &submission.id,
@@ -53,13 +52,12 @@
         }
     }
 
-    /// What all keys of a submission's records begin with, and only they.
+    /// The prefix of the keys of a submission's records; no other key starts with it.
     pub fn key_prefix(submission: &str) -> String {
         format!("{submission}:")
     }
 
-    /// Encodes it as keyed records of one append; `attempt` names this attempt to append it and no
-    /// other.
+    /// Encodes the record as keyed records of one append. `attempt` must be unique for each append attempt.
     pub fn encode(&self, attempt: &str) -> Vec<(Arc<str>, Bytes)> {
         let submission = self.submission();
         match self {
@@ -89,7 +87,7 @@
     }
 }
 
-/// Splits the key of a whole value into the submission and the kind of record.
+/// Splits a value's key into the submission id and the kind of record.
 pub(crate) fn split_key(key: &str) -> Option<(&str, KeyKind)> {
     let mut parts = key.split(':');
     let submission = parts.next()?;
--- a/crates/borageshore_batch/src/value_chunks.rs
+++ b/crates/borageshore_batch/src/value_chunks.rs
@@ -1,14 +1,14 @@
-//! Values larger than a record, in several records of one append.
+//! Splits values that exceed the store's record size into several records of one append.
 
 use std::sync::Arc;
 
 use borageshore_base::SortedMap;
 use bytes::{Bytes, BytesMut};
 
-/// Well below the store's largest record of 256 KiB, key and lengths included.
+/// Leaves room for the key and the lengths within the store's record limit of 256 KiB.
 const CHUNK_BYTES: usize = 200 * 1024;
 
-/// Cuts a value into records under `key/number/count`.
+/// Splits a value into records with the keys `key/number/count`.
 pub(crate) fn split(key: &str, value: &Bytes) -> Vec<(Arc<str>, Bytes)> {
     let count = value.len().div_ceil(CHUNK_BYTES).max(1);
     let chunk = |number: usize| {
@@ -20,7 +20,7 @@
     (0..count).map(chunk).collect()
 }
 
-/// Splits a record's key into the value's key, the chunk's number and the count of chunks.
+/// Splits a record's key into the value's key, the chunk number and the chunk count.
 pub(crate) fn split_key(key: &str) -> Option<(&str, usize, usize)> {
     let mut parts = key.rsplitn(3, '/');
     let count = parts.next()?.parse().ok()?;
@@ -29,14 +29,14 @@
     (number < count).then_some((key, number, count))
 }
 
-/// Values of which some chunks are still missing.
+/// Collects the chunks of values until each is complete.
 #[derive(Debug, Default)]
 pub(crate) struct ChunkBuffer {
     incomplete: SortedMap<Arc<str>, Vec<Option<Bytes>>>,
 }
 
 impl ChunkBuffer {
-    /// Takes a chunk; returns the value once no chunk is missing.
+    /// Adds a chunk; returns the value once all its chunks are there.
     pub(crate) fn push(
         &mut self,
         key: &str,
