--- a/crates/borageshore_batch/src/lib.rs
+++ b/crates/borageshore_batch/src/lib.rs
@@ -1,8 +1,8 @@
-//! Batch submissions: what was accepted, which results stand at which position, what runs next.
+//! Batch submissions: accepted requests, their results by position, scheduling and weight loading.
 //!
-//! Everything here is pure. Records of the store come in with their offsets and all daemons fold
-//! them alike ([`Ledger`]); which daemon runs a submission, which items come first, where an item
-//! goes and which engines load new weights are functions of what is handed in.
+//! This crate does no I/O and reads no clock. All daemons replay the records of the store into the same state
+//! ([`Ledger`]). Which daemon runs a submission, the order of its items, the engine of an item and the engines that
+//! load new weights are pure functions of their arguments.
 //!
 //! ```
 //! use borageshore_batch::{Ledger, LedgerRecord};
