--- a/crates/borageshore_batch/src/event_latencies.rs
+++ b/crates/borageshore_batch/src/event_latencies.rs
@@ -1,15 +1,14 @@
-//! How fast engines make events, as the runs there show it.
+//! Time between the events of a stream, by engine.
 
 use std::sync::Arc;
 
 use borageshore_base::SortedMap;
 
-/// The weight of a new measurement of pace, in percent. With 8 instead nothing that shows changed.
+/// Weight of a new sample in the moving average, in percent.
 const NEW_SAMPLE_WEIGHT_PERCENT: u64 = 25;
-/// A pace that was measured longer ago says nothing. Some engines are a third slower for good, and one
-/// that is slow for some seconds is tried again earlier, when the others are full.
+/// Averages without a sample for this long are ignored.
 const MAX_AGE_MS: u64 = 15_000;
-/// The pace of an engine that was not measured.
+/// Reported for an engine without a recent sample.
 const MEDIAN_PERCENT: u64 = 100;
 
 #[derive(Debug, Clone, Copy)]
@@ -18,14 +17,14 @@
     at_ms: u64,
 }
 
-/// The paces of engines by instance.
+/// Moving averages of the time between two events, by engine instance.
 #[derive(Debug, Default)]
 pub struct EventLatencies {
     latencies: SortedMap<Arc<str>, Latency>,
 }
 
 impl EventLatencies {
-    /// Takes over the time between two events of a run.
+    /// Adds a sample: the time between two events of a stream.
     pub fn record(&mut self, instance: &Arc<str>, interval_us: u64, now_ms: u64) {
         let latency = self
             .latencies
@@ -38,7 +37,7 @@
         latency.at_ms = now_ms;
     }
 
-    /// The median of what was measured lately, in microseconds an event; 0 if nothing was.
+    /// The median over engines with a recent sample, in microseconds per event; 0 if there are none.
     pub fn median_us(&self, now_ms: u64) -> u64 {
         let recent = self
             .latencies
@@ -49,7 +48,7 @@
         recent.get(recent.len() / 2).copied().unwrap_or(0)
     }
 
-    /// The pace of an engine, in percent of the usual one.
+    /// The latency of an engine in percent of `median_us`; 100 without a recent sample.
     pub fn percent_of_median(&self, instance: &str, median_us: u64, now_ms: u64) -> u64 {
         match self.latencies.get(instance) {
             Some(latency) if median_us > 0 && latency.is_recent(now_ms) => {
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Forgets engines that are gone.
+    /// Keeps only the instances for which `keep` returns true.
     pub fn retain<Keep>(&mut self, keep: Keep)
     where
         Keep: Fn(&Arc<str>) -> bool,
--- a/crates/borageshore_batch/src/group_placements.rs
+++ b/crates/borageshore_batch/src/group_placements.rs
@@ -1,24 +1,22 @@
-//! At which engines the items of a group run.
+//! The engines on which items of a group were placed.
 
 use std::sync::Arc;
 
 use borageshore_base::SortedMap;
 
-/// How many groups are remembered: a few steps' worth, after which an engine has dropped the prompt.
+/// Groups that are kept: a few steps' worth, after which engines have evicted the shared prompt.
 const MAX_GROUPS: usize = 256;
 
 #[derive(Debug)]
 struct GroupEngines {
-    /// Groups in the order in which they were first placed.
+    /// Increases with each group that is first placed; the smallest is evicted first.
     sequence: u64,
     engines: Vec<Arc<str>>,
 }
 
-/// The groups of which an item was placed lately, with the engines.
+/// The engines of recently placed groups.
 ///
-/// By name, since it is asked for each item that waits, hundreds at the start of a step, whenever a
-/// slot comes free: with a list that was searched the daemon that ran three trainers took 0.17 cores in
-/// the mean, and stood still at the start of a step; now 0.05.
+/// Keyed by group, since it is queried for every waiting item whenever a slot becomes free.
 #[derive(Debug, Default)]
 pub struct GroupPlacements {
     groups: SortedMap<Arc<str>, GroupEngines>,
@@ -26,14 +24,14 @@
 }
 
 impl GroupPlacements {
-    /// The engines where items of a group were placed.
+    /// The engines on which items of a group were placed; empty if the group is not known.
     pub fn engines_of(&self, group: &str) -> &[Arc<str>] {
         self.groups
             .get(group)
             .map_or(&[], |entry| entry.engines.as_slice())
     }
 
-    /// Notes that an item of a group was placed; the oldest group beyond the most is forgotten.
+    /// Records the placement of an item; evicts the oldest group beyond `MAX_GROUPS`.
     pub fn record(&mut self, group: &Arc<str>, engine: &Arc<str>) {
         let sequence = self.next_sequence;
         let entry = self
--- a/crates/borageshore_batch/src/placement.rs
+++ b/crates/borageshore_batch/src/placement.rs
@@ -1,52 +1,52 @@
-//! Which engine an item goes to.
+//! Placement of items on engines.
 
 use std::sync::Arc;
 
-/// How much longer an event takes at a full engine than at an empty one, in thousandths. Measured at
-/// engines of six and eight slots: 80. More than that spreads items over equal engines, since long
-/// texts on one engine run out of its memory and the newest is preempted; up to 380 an engine that is
-/// full still comes before an empty one that takes 1.3 times as long.
+/// Cost of a full engine relative to an empty one, in thousandths of an empty engine's time per event. Set above the
+/// real slowdown to spread items over equal engines, since long texts together exhaust an engine's memory and the
+/// newest is preempted; low enough that the last slot of an engine still comes before an empty engine that takes 1.3
+/// times as long.
 const FULL_LOAD_THOUSANDTHS: u64 = 250;
-/// What an item of the same group at an engine makes up for: a shared prompt saves a prefill of a
-/// millisecond, no more than a tie-breaker among engines that differ by a slot.
+/// Discount for an engine that runs an item of the same group. The shared prompt saves only a short prefill, so this
+/// decides only between engines whose load differs by about a slot.
 const SAME_GROUP_THOUSANDTHS: u64 = 31;
-/// The price of another availability zone: bytes between zones cost a little, time hardly any.
+/// Surcharge for another availability zone: traffic between zones is billed, but adds little latency.
 const OTHER_ZONE_THOUSANDTHS: u64 = 20;
 
-/// An engine as the choice sees it.
+/// The state of an engine that placement depends on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineView {
-    /// Its instance.
+    /// The name of the engine's instance.
     pub instance: Arc<str>,
-    /// Requests that it runs at once.
+    /// Requests that it can run at once.
     pub slots: u64,
-    /// Requests there by the best knowledge.
+    /// Estimated number of requests on it.
     pub load: u64,
-    /// The version of the item's model there.
+    /// The version of the item's model that it has loaded.
     pub version: u64,
-    /// Whether it is loading weights and refuses what has not started.
+    /// Whether it is loading weights, during which it refuses new requests.
     pub is_loading: bool,
-    /// How long it takes for an event, in percent of the service's median.
+    /// Its time per event in percent of the service's median.
     pub latency_percent: u64,
-    /// Whether it is in this daemon's availability zone.
+    /// Whether it is in the same availability zone as this daemon.
     pub is_same_zone: bool,
-    /// Whether items of the same group run there.
+    /// Whether items of the same group were placed on it.
     pub has_group: bool,
 }
 
-/// What the choice depends on.
+/// The requirements of an item.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementRequest<'r> {
-    /// The oldest version that may make its tokens.
+    /// The oldest version that may generate its tokens.
     pub min_version: u64,
-    /// The newest version that may: differs from the largest number where the text is to be made
-    /// under one version.
+    /// The newest version that may generate its tokens; `u64::MAX` unless all of the text must come from one
+    /// version.
     pub max_version: u64,
-    /// Engines that just refused or lost it.
+    /// Engines that have just refused or lost the item.
     pub avoid: &'r [Arc<str>],
 }
 
-/// Says whether an engine can take an item now.
+/// Returns whether an engine can take an item now.
 pub fn can_take(engine: &EngineView, request: PlacementRequest<'_>) -> bool {
     (request.min_version..=request.max_version).contains(&engine.version)
         && !engine.is_loading
@@ -54,11 +54,10 @@
         && !request.avoid.contains(&engine.instance)
 }
 
-/// Chooses the engine where the item is likely to end first, among those with a free slot; `None`
-/// if it has to wait.
+/// Chooses the engine with the lowest cost among those with a free slot; `None` if the item has to wait.
 ///
-/// An engine gets no more than its slots: what waits there would wait behind its own line, could
-/// not go to the engine that is free next, and would be refused while weights load.
+/// Engines are not overcommitted: an item queued at an engine cannot move to the next one that becomes free, and is
+/// refused when weights load.
 pub fn choose_engine<'e>(
     engines: &'e [EngineView],
     request: PlacementRequest<'_>,
@@ -69,7 +68,8 @@
         .min_by_key(|engine| cost(engine))
 }
 
-/// The time for an event with the item on it, relative to an empty engine of the usual pace.
+/// Estimated time per event with the item on the engine, in thousandths of that of an empty engine with median
+/// latency.
 fn cost(engine: &EngineView) -> u64 {
     let filled = (engine.load + 1) * FULL_LOAD_THOUSANDTHS / engine.slots.max(1);
     let mut cost = (1_000 + filled) * engine.latency_percent / 100;
@@ -82,28 +82,26 @@
     cost
 }
 
-/// An item that runs at an engine.
+/// The progress of an item on its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunningItem {
-    /// The pace of its engine, in percent of the service's median.
+    /// The engine's time per event in percent of the service's median.
     pub latency_percent: u64,
-    /// The events that it has so far.
+    /// Events received so far.
     pub events: u64,
 }
 
-/// A text with so many events is probably one of the tenth that is five times as long as the mean
-/// (10 to 20 events): what is left of it is worth a move.
+/// From this number of events on, a text is treated as long: enough of it is probably left to justify a move.
 const LONG_TEXT_EVENTS: u64 = 16;
-/// A short text leaves for an engine that is so many times as fast.
+/// A short text moves only to an engine that is more than this many times as fast.
 const SHORT_TEXT_GAIN: u64 = 2;
-/// A long text leaves for an engine that takes so much less for an event, in percent. A move costs
-/// a prefill of some ms; the paces of equal engines differ by 5 percent, those of unequal ones by 30.
+/// A long text moves only if its engine takes more than this many percent longer per event than the other. Lies above
+/// the noise between equal engines.
 const LONG_TEXT_GAIN_PERCENT: u64 = 15;
 
-/// Chooses a free engine where a running item ends so much earlier that it pays to move.
+/// Chooses a free engine on which a running item would finish enough earlier to justify a move; `None` if it stays.
 ///
-/// Short texts fill the engines for the first second of a step; after it the long ones have the choice,
-/// and at an engine that takes 1.3 times as long they would end two seconds later.
+/// Early in a step, short texts occupy the fast engines; once these finish, long texts on slow engines can move.
 pub fn choose_better_engine<'e>(
     engines: &'e [EngineView],
     request: PlacementRequest<'_>,
