--- a/crates/borageshore_batch/src/incarnation.rs
+++ b/crates/borageshore_batch/src/incarnation.rs
@@ -1,12 +1,12 @@
-//! Names of an endpoint's incarnations.
+//! Names of endpoint incarnations.
 
 use std::sync::Arc;
 
-/// Stands between the id of an endpoint and the start of its incarnation.
+/// Separates the endpoint id from the start time in an incarnation name.
 const SEPARATOR: char = '@';
 
-/// The name of an incarnation: another one for each start under the same id. What is kept under it, load,
-/// pace, weights, orders under way, does not outlive the restart.
+/// The name of an incarnation, which differs for each start under the same id, so that state kept under it (load,
+/// latency, weight versions, pending orders) does not survive a restart.
 pub fn incarnation_name(id: &str, started_at_ms: Option<u64>) -> Arc<str> {
     match started_at_ms {
         Some(started_at_ms) => format!("{id}{SEPARATOR}{started_at_ms}").into(),
@@ -14,7 +14,7 @@
     }
 }
 
-/// The id of an incarnation's endpoint.
+/// Returns the endpoint id in an incarnation name.
 pub(crate) fn endpoint_id(name: &str) -> &str {
     name.rsplit_once(SEPARATOR).map_or(name, |(id, _)| id)
 }
--- a/crates/borageshore_batch/src/swaps.rs
+++ b/crates/borageshore_batch/src/swaps.rs
@@ -1,4 +1,4 @@
-//! Which engines load new weights next.
+//! Planning of weight loads on engines.
 
 use std::sync::Arc;
 
@@ -7,32 +7,32 @@
 
 use crate::{index_entry::Demand, submission::ModelVersion};
 
-/// A round of orders: one holder brings some engines to versions.
+/// A round of orders to engines to load versions of models, announced by one holder.
 ///
-/// A round is a record that is appended only if its holder has seen all rounds before it. Its offset
-/// is the epoch of its orders.
+/// A round is appended to the store only if its holder has read all earlier rounds. Its offset is the epoch of its
+/// orders.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SwapRound {
-    /// The VM that gives the orders.
+    /// The VM that sends the orders.
     pub holder: Arc<str>,
-    /// Engine, model and version.
+    /// Engine, model and version of each order.
     pub orders: Vec<(Arc<str>, Arc<str>, u64)>,
-    /// Orders of earlier rounds that are carried out.
+    /// Orders of earlier rounds that have completed.
     pub done: Vec<(Arc<str>, Arc<str>, u64)>,
-    /// Engines that other holders ordered within the lease before this round.
+    /// Engines that other holders had ordered within the lease before this round.
     #[serde(default)]
     pub others_ordered: Vec<Arc<str>>,
 }
 
-/// The versions that engines are known to have. Versions of one instance only rise, so the newest
-/// word from any source is the largest.
+/// The known model versions of each engine instance. They only increase within an instance, so the largest reported
+/// value is the newest.
 #[derive(Debug, Default)]
 pub struct EngineVersions {
     versions: SortedMap<(Arc<str>, Arc<str>), u64>,
 }
 
 impl EngineVersions {
-    /// Takes over what an engine, its entry or an orderer said.
+    /// Merges a reported version.
     pub fn observe(&mut self, instance: &Arc<str>, model: &Arc<str>, version: u64) {
         let known = self
             .versions
@@ -40,13 +40,13 @@
         *known = version.max(*known);
     }
 
-    /// The version of a model at an engine; 0 if nothing is known.
+    /// The version of a model on an engine; 0 if unknown.
     pub fn get(&self, instance: &Arc<str>, model: &Arc<str>) -> u64 {
         let key = (instance.clone(), model.clone());
         self.versions.get(&key).copied().unwrap_or(0)
     }
 
-    /// Forgets engines that are gone.
+    /// Keeps only the instances for which `keep` returns true.
     pub fn retain<Keep>(&mut self, keep: Keep)
     where
         Keep: Fn(&Arc<str>) -> bool,
@@ -55,42 +55,41 @@
     }
 }
 
-/// So many engines load at once in any case.
+/// Lower bound on the engines that may load at once.
 const MIN_PARALLEL_LOADS: usize = 2;
 
-/// Engines that keep a model's weights fresh for each item of its newest submission, in percent: two steps are open
-/// at once, and a quarter of the engines may load or be slow. An item with an engine of its own is made a seventh
-/// faster than one that shares it with five; more engines are of no use to anyone.
+/// Engines assigned to a model per item of its newest submission, in percent. Allows an engine of its own for each item
+/// of two concurrent steps, while a quarter more engines may be loading or slow.
 const ENGINES_PER_ITEM_PERCENT: u64 = 250;
 
-/// Bounds on loading.
+/// Limits on concurrent weight loads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SwapLimits {
-    /// The share of all engines that load at once; two at least. Loads slow each other beyond it.
+    /// The share of all engines that may load at once, at least two engines. More loads slow each other down.
     pub parallel_percent: usize,
-    /// The share of a model's engines that move with each version.
+    /// The share of a model's engines that load each version.
     pub share_percent: usize,
 }
 
-/// An engine as the plan of loads sees it.
+/// The state of an engine that the plan depends on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EngineState {
-    /// The engine.
+    /// The name of the engine's instance.
     pub instance: Arc<str>,
     /// Whether it is loading weights.
     pub is_loading: bool,
     /// Whether another holder may have ordered it within the lease.
     pub is_leased: bool,
-    /// Requests that it runs.
+    /// Requests running on it.
     pub running: u64,
 }
 
-/// A model with the version that its trainer has named.
+/// The version of a model that its engines should load.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelTarget {
-    /// Model and version.
+    /// The model and its announced version.
     pub target: ModelVersion,
-    /// What its newest submission asks for.
+    /// The work requested by the model's newest submission.
     pub demand: Demand,
 }
 
@@ -101,13 +100,11 @@
     target: &'p ModelVersion,
 }
 
-/// Chooses the orders to give now.
+/// Plans the orders to send now.
 ///
-/// A step allows the version before the newest. The engines that are farthest behind come first:
-/// they are of no use to the next step. Among equals the one that runs the least comes first: for the
-/// second that a load takes it starts nothing of the model, and a free slot is then lost, a taken one
-/// is not. Several models share the engines in
-/// parts after their demand: an engine that loads for one model only is away half as often.
+/// A step accepts the newest version and the one before. The engines with the oldest versions load first, since the
+/// next step cannot use them; among equals the one with the fewest running requests. Models share the engines in
+/// proportion to demand, so that an engine loads versions of one model only.
 pub fn plan_round(
     engines: &[EngineState],
     versions: &EngineVersions,
@@ -138,10 +135,10 @@
         .collect()
 }
 
-/// How many engines keep each model's weights fresh: by demand, one at least, and no more than its items can use.
+/// The number of engines that keep each model up to date: in proportion to demand, but no more than its items can use.
 ///
-/// Guards the weight store, and what engines have cached, where there are many more engines than items: of 3,000
-/// engines half loaded each version, 2,072 loads in 35 s for 456 items a step.
+/// The bound keeps unused engines from loading every version, which would overload the weight store and clear their
+/// caches.
 fn engine_counts(engines: usize, models: &[ModelTarget]) -> Vec<usize> {
     let shares = shares(engines, models).into_iter().zip(models);
     let usable = |model: &ModelTarget| match model.demand.items {
@@ -153,7 +150,7 @@
         .collect()
 }
 
-/// The engines in parts after the models' demand, one at least, and none left over.
+/// Splits all engines among the models by demand; each model gets at least one while there are enough.
 fn shares(engines: usize, models: &[ModelTarget]) -> Vec<usize> {
     let demand = |model: &ModelTarget| model.demand.tokens.max(1) as usize;
     let mut demand_left: usize = models.iter().map(demand).sum();
