--- a/crates/borageshore_batch/src/text_pieces.rs
+++ b/crates/borageshore_batch/src/text_pieces.rs
@@ -1,4 +1,4 @@
-//! Texts under way, stored piece by piece, so that they outlive the daemon that runs them.
+//! Incremental storage of unfinished texts, so that another daemon can resume them.
 
 use std::{cmp::Reverse, sync::Arc};
 
@@ -8,60 +8,59 @@
 
 use crate::text::Text;
 
-/// Events that a run added to an item's text.
+/// Consecutive events of one run of an item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TextPiece {
-    /// The item.
+    /// The key of the item's text; see [`Submission::scoped_item_id`](crate::Submission::scoped_item_id).
     pub item: Arc<str>,
-    /// Tells the runs of one daemon apart.
+    /// The number of the run, unique within the author.
     pub run: u64,
-    /// The number of the first event; events count from 1.
+    /// The number of the first event, counted from 1.
     pub first_event: u64,
     /// The data of the events.
     pub events: Vec<String>,
-    /// The versions of the weights that made any of them.
+    /// The versions of the weights that generated any of them.
     pub versions: Vec<u64>,
 }
 
-/// The pieces of one append.
+/// The pieces written by one append.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PieceBatch {
-    /// The process that made them, named as no other ever was.
+    /// The name of the process that wrote them, unique over all processes ever started.
     pub author: Arc<str>,
-    /// Where the oldest piece lies that its texts under way still need.
+    /// The offset of the oldest piece that the author's unfinished texts still need.
     pub needed_from: u64,
     /// The pieces.
     pub pieces: Vec<TextPiece>,
 }
 
 impl PieceBatch {
-    /// Encodes it as a record.
+    /// Encodes the batch as a record.
     pub fn encode(&self) -> Bytes {
         serde_json::to_vec(self).expect("plain data").into()
     }
 
-    /// Decodes a record; `None` if it is none of ours.
+    /// Decodes a record; `None` if it is not a batch.
     pub fn decode(record: &[u8]) -> Option<Self> {
         serde_json::from_slice(record).ok()
     }
 }
 
-/// A run of an item, by item, author and number.
+/// Item, author and number of a run.
 type RunKey = (Arc<str>, Arc<str>, u64);
 
-/// Joins stored pieces to texts again.
+/// Joins stored pieces into texts.
 ///
-/// Guards against a text that no run ever made: pieces are joined only within one run of one process, each
-/// run stores its text from the first event on, and a piece after a gap ends what can be joined of its
-/// run. An append that was repeated, or carried out late, brings events that are there already. So
-/// whatever is lost, doubled or late, the text is the beginning of the run's own text, with its versions.
+/// A joined text is always a prefix of the text of one run, with its versions, whichever records are lost, duplicated
+/// or late: pieces of different runs are never mixed, each run is stored from its first event on, a piece after a gap
+/// is dropped, and events that are already there are skipped.
 #[derive(Debug, Default)]
 pub struct PieceJoiner {
     runs: SortedMap<RunKey, Text>,
 }
 
 impl PieceJoiner {
-    /// Takes over a batch; batches come in the order of the store.
+    /// Adds a batch; batches must come in the order of the store.
     pub fn push(&mut self, batch: PieceBatch) {
         for piece in batch.pieces {
             let key = (piece.item.clone(), batch.author.clone(), piece.run);
@@ -71,7 +70,7 @@
         }
     }
 
-    /// The texts of all runs by item, the longest of an item first.
+    /// The texts of all runs, sorted by item and then by length, longest first.
     pub fn texts(&self) -> Vec<(Arc<str>, Text)> {
         let runs = self.runs.iter();
         let mut texts: Vec<_> = runs
