--- a/crates/borageshore_batch/src/ownership.rs
+++ b/crates/borageshore_batch/src/ownership.rs
@@ -1,21 +1,19 @@
-//! Which submissions go to the same daemon.
+//! Assignment of submissions to daemons.
 
 use std::sync::Arc;
 
 use borageshore_base::rendezvous_weight;
 
-/// The engine slots whose items one daemon runs. With 228 slots and three trainers it takes 0.05
-/// cores in the mean, a tenth of its VM's share.
+/// Engine slots whose items one daemon can run within its share of a VM's processor time.
 const SLOTS_PER_DAEMON: u64 = 600;
 
 /// The key that decides which daemon runs a trainer's submissions.
 ///
-/// All trainers of a service go to one daemon as long as its engines are few enough: it knows every
-/// item at every engine. Daemons that place items side by side learn of each other's by reports that
-/// are a tenth of a second old; at the start of a step they sent a hundred items to engines that were
-/// full, and preempted the texts there for half a second.
+/// All trainers of a service share one daemon while its engines are few enough, because that daemon knows the exact
+/// load of each engine. Several daemons see each other's load only through delayed reports and would overload engines
+/// at the start of a step, which preempts running texts.
 ///
-/// More engines are shared by several daemons, trainer by trainer.
+/// With more slots, trainers are distributed over several daemons.
 pub fn work_key(service: &str, trainer: &str, slots: u64) -> Arc<str> {
     let daemons = slots.div_ceil(SLOTS_PER_DAEMON).max(1);
     let number = rendezvous_weight("trainers", trainer) % daemons;
--- a/crates/borageshore_batch/src/view_position.rs
+++ b/crates/borageshore_batch/src/view_position.rs
@@ -1,10 +1,10 @@
-//! How far a view of a partition reaches.
+//! How far a replayed view of a partition has advanced.
 
-/// The place of a follower in a partition, and when its view was last known to be whole.
+/// The read position of a follower in a partition, and when its view was last current, that is, had applied every
+/// record up to the end of the partition.
 ///
-/// Guards against a page that is taken for the whole: after seconds without the store a read brings only
-/// the first of many records, and a reader would be told that a result which another daemon has
-/// shown is not there. Only a page that reached the end makes a view whole.
+/// Only a page that reaches the end makes the view current: after an outage of the store one page may hold only the
+/// first of the missed records, and a reader would not see results that another daemon has already returned.
 #[derive(Debug, Default)]
 pub struct ViewPosition {
     next_offset: Option<u64>,
@@ -18,19 +18,19 @@
         self.next_offset
     }
 
-    /// Begins anew: records may have been missed.
+    /// Discards the position, because records may have been missed.
     pub fn reset(&mut self) {
         self.next_offset = None;
     }
 
-    /// Takes over a first read that brought all there was up to `end`.
+    /// Records a first read that returned every record below `end`.
     pub fn on_snapshot(&mut self, end: u64, now_ms: u64) {
         self.next_offset = Some(end);
         self.current_at_ms = Some(now_ms);
     }
 
-    /// Takes over a read from offset `from`: the offset after its last record, and the partition's end
-    /// at that moment. Says whether the view is whole now. An older read changes nothing.
+    /// Records a read: the offset after its last record, and the end of the partition at that time. Returns whether
+    /// the view is current now. A read older than the position does not move it back.
     pub fn on_page(&mut self, after_last: u64, end: u64, now_ms: u64) -> bool {
         let applied_until = self.next_offset.unwrap_or(0);
         self.next_offset = Some(applied_until.max(after_last));
@@ -41,26 +41,26 @@
         is_current
     }
 
-    /// Notes that a view was whole as of a question asked at `requested_at_ms`, on a clock that counts suspensions.
+    /// Records that the view is current as of a read request sent at `requested_at_ms`, on a clock that counts time
+    /// spent suspended.
     pub fn on_response(&mut self, requested_at_ms: u64) {
         self.requested_at_ms = self.requested_at_ms.max(Some(requested_at_ms));
     }
 
-    /// When the newest question was asked whose answer made the view whole.
+    /// When the newest read request was sent whose response made the view current.
     ///
-    /// Guards against an answer that lay in a buffer while the VM was suspended: it is read late, and says nothing
-    /// of the time since.
+    /// The time of the response would not do: it may have been buffered while the VM was suspended.
     pub fn requested_at_ms(&self) -> Option<u64> {
         self.requested_at_ms
     }
 
-    /// Says whether the view was whole at `since_ms` or later.
+    /// Returns whether the view was current at `since_ms` or later.
     pub fn is_current_since(&self, since_ms: u64) -> bool {
         self.current_at_ms
             .is_some_and(|current_at_ms| current_at_ms >= since_ms)
     }
 
-    /// Says whether the view was whole within the last `age_ms`.
+    /// Returns whether the view was current within the last `age_ms`.
     pub fn is_current_within(&self, age_ms: u64, now_ms: u64) -> bool {
         self.current_at_ms
             .is_some_and(|current_at_ms| now_ms <= current_at_ms + age_ms)
