--- a/crates/borageshore_batch/tests/event_latencies.rs
+++ b/crates/borageshore_batch/tests/event_latencies.rs
@@ -32,8 +32,7 @@
         assert_eq!(latencies.median_us(20_000), 0);
     }
 
-    // A text of seven seconds takes 25 at an engine that has turned slow.
-    // One event is enough to see that its pace is no noise.
+    // Guards against texts that stay on an engine that has become slow: one event must show it.
     an_engine_that_turns_slow_shows_with_its_next_event => {
         let mut latencies = measured(&[36_000, 36_000, 36_000]);
         latencies.record(&"e-2".into(), 126_000, 50);
--- a/crates/borageshore_batch/tests/item_rank.rs
+++ b/crates/borageshore_batch/tests/item_rank.rs
@@ -1,4 +1,4 @@
-//! The order of a step's items.
+//! The start order of a step's items.
 
 use borageshore_batch::{Item, Submission, rank_items};
 
@@ -39,7 +39,7 @@
         .collect()
 }
 
-/// When the last needed item ends, if `slots` items run at once and each takes as long as its hint.
+/// When the last needed item finishes, with `slots` concurrent items that each take as long as their hint.
 fn makespan(step: &Submission, order: &[&str], slots: usize, needed: &[&str]) -> u64 {
     let mut free_at = vec![0; slots];
     let mut last = 0;
@@ -60,9 +60,8 @@
     assert_eq!(order(&step)[..2], ["2-0", "3-0"]);
 }
 
-// A step of 6 s takes 8: its longest text waits for two short ones of earlier groups.
-// Whole groups went one after the other, longest group first, and the slots were full with the
-// short texts of the first groups when the long text of a later one was due.
+// Guards against running group by group: the longest text of a later group would wait while short texts of earlier
+// groups occupy all slots.
 #[test]
 fn long_texts_of_all_groups_start_before_short_ones() {
     let step = step(
@@ -76,9 +75,9 @@
     assert_eq!(makespan(&step, &ids, 5, &ids), 134, "group after group");
 }
 
-/// The load of a trainer: 29 groups of 4 texts a step at 72 slots, of which it waits for 26 and for all that it
-/// sends again. A tenth of the texts is five times as long as the others; hints are off by a factor of
-/// two in the mean; what was made of a text is too old for the step in which it comes again.
+/// A simulated trainer: 29 groups of 4 texts per step on 72 slots. It waits for 26 groups and for all resubmitted ones.
+/// A tenth of the texts is five times as long as the others, and hints are inaccurate. Texts of resubmitted groups are
+/// generated from the start, because their earlier events are too old.
 mod load {
     use std::cmp::Reverse;
 
@@ -90,12 +89,12 @@
     const TARGET: usize = 26;
     const SLOTS: usize = 72;
     const STEPS: usize = 200;
-    /// The longest text that a request allows.
+    /// The length limit of a text, in events.
     const LONGEST: u64 = 197;
 
     #[derive(Debug, Clone)]
     struct Group {
-        /// Events and hint of each text.
+        /// Length in events and hint of each text.
         texts: Vec<(u64, u64)>,
         came_before: bool,
     }
@@ -119,7 +118,7 @@
         }
     }
 
-    /// When each group is complete, if texts start in the order of `rank`.
+    /// When each group is complete if texts start in the order of `rank`.
     fn complete_at<Rank>(groups: &[Group], rank: Rank) -> Vec<u64>
     where
         Rank: Fn(usize, usize) -> (bool, Reverse<u64>),
@@ -137,7 +136,7 @@
         complete
     }
 
-    /// The mean time of a step, in events, where `leave` says whether groups are left for the end.
+    /// The mean duration of a step, in events; `leave` defers the groups with the longest hints.
     fn mean_step(leave: bool) -> u64 {
         let mut random = Pcg64Mcg::seed_from_u64(7);
         let mut again: Vec<Group> = Vec::new();
@@ -173,9 +172,8 @@
         total / STEPS as u64
     }
 
-    // A trainer falls behind by half a second with each step.
-    // The groups with the longest texts were left for the end; they came again with a later step, were
-    // waited for there, and had to be made from nothing.
+    // Guards against deferring the groups with the longest texts: they are resubmitted with a later step, which waits
+    // for them while they start from nothing.
     #[test]
     fn steps_are_shorter_when_no_group_is_left_for_the_end() {
         let (left, not_left) = (mean_step(true), mean_step(false));
--- a/crates/borageshore_batch/tests/ledger.rs
+++ b/crates/borageshore_batch/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: what is read of it must be the same at every daemon, whenever that began to read.
+//! The ledger must show the same results at every daemon, whenever the daemon began to read.
 
 use std::sync::Arc;
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// A partition of the store: appended records with their offsets, and the newest of each key.
+/// A partition of the store: appended records with their offsets.
 #[derive(Debug, Default)]
 struct Partition {
     entries: Vec<LedgerEntry>,
@@ -93,7 +93,7 @@
     }
 }
 
-/// A ledger that has followed the partition from its first record on.
+/// A ledger that has followed the partition from its first record.
 fn followed(partition: &Partition) -> Ledger {
     let mut ledger = Ledger::default();
     ledger.track(&"s1".into(), 0);
@@ -102,7 +102,7 @@
     ledger
 }
 
-/// A ledger that has read what the store had at its end.
+/// A ledger that has loaded the newest record of each key.
 fn loaded(partition: &Partition) -> Ledger {
     let mut ledger = Ledger::default();
     ledger.track(&"s1".into(), 0);
@@ -127,9 +127,7 @@
 }
 
 cases! {
-    // A trainer reads a result at one daemon and another one at the same position elsewhere.
-    // Two daemons ran the same item and both appended what they made.
-    // The first by the order of the store counts, for all readers.
+    // Guards against readers that see different results at one position after two daemons ran the same item.
     the_first_result_of_an_item_counts => {
         let mut partition = Partition::default();
         for (record, attempt) in [(accept(&["a", "b"]), ""), (result("a", "first"), "x.1"),
@@ -141,9 +139,8 @@
         assert_eq!(outputs(&ledger), ["first", "b"]);
     }
 
-    // A trainer reads position 0, the daemon is replaced, and position 0 holds another item.
-    // The append of a result got no answer and was repeated; under one key the repetition would
-    // have replaced the first record, and the new daemon reads only the newest of each key.
+    // Guards against results that change position when an unacknowledged append is retried: under the same key the
+    // retry would replace the first record for daemons that load the newest record of each key.
     a_repeated_append_does_not_move_a_result => {
         let mut partition = Partition::default();
         partition.append(&accept(&["a", "b"]), "");
@@ -154,9 +151,8 @@
         assert_eq!(outputs(&loaded(&partition)), ["a", "b"]);
     }
 
-    // A read in pages is no snapshot: it brought the record at offset 4 and missed the one at 3.
-    // Listed from it, item b would stand before item a here and after it everywhere else.
-    // What lies beyond the end taken before the first page comes by following, in order.
+    // Guards against a wrong order of results after a paged read that returned the record at offset 3 and missed the one
+    // at 2: records after the end taken before the first page must come from the follower.
     records_after_the_end_of_a_load_are_left_to_the_follower => {
         let mut partition = Partition::default();
         partition.append(&accept(&["a", "b", "c"]), "");
@@ -174,8 +170,7 @@
         assert_eq!(outputs(&ledger), ["c", "a", "b"]);
     }
 
-    // A trainer hears of a result that another daemon has not: that one began to follow while the
-    // records before were being read, and the follower was ahead of the read.
+    // Guards against losing a record that the follower delivers while the older ones are still being read.
     records_that_come_while_older_ones_are_read_are_kept => {
         let mut partition = Partition::default();
         partition.append(&accept(&["a", "b"]), "");
@@ -244,8 +239,7 @@
         assert!(ledger.earlier_result(&asked_under(3), &other_reward).is_none(), "its score is of another call");
     }
 
-    // A trainer is given a text that another organisation's trainer paid for.
-    // Both named an item the same; what was made earlier was looked up by the item's name alone.
+    // Guards against handing out the text of another organisation's item with the same id.
     a_text_of_another_organisation_is_never_used => {
         let mut partition = Partition::default();
         let mill = Submission { organisation: Some("mill".into()), ..submission("s1", &["a"]) };
--- a/crates/borageshore_batch/tests/ledger_fuzz.rs
+++ b/crates/borageshore_batch/tests/ledger_fuzz.rs
@@ -1,8 +1,7 @@
-//! The ledger against an oracle: whoever reads, from whenever on, sees the same positions.
+//! Fuzzes the ledger against an oracle: every reader sees the same positions, whenever it begins to read.
 //!
-//! Two writers append results, repeat appends that got no answer, and the submission is ended; readers
-//! begin at any moment, load in torn pages, and lose their view. The oracle knows the whole log: the
-//! first result of an item holds its position.
+//! Two writers append results and retry unacknowledged appends, and the submission is ended; readers begin at any
+//! time, load from incomplete paged reads, and lose their state. The oracle replays the whole log.
 
 use std::sync::Arc;
 
@@ -15,29 +14,28 @@
 const READERS: usize = 3;
 const ITERATIONS: usize = 3_000;
 
-/// One step.
 #[derive(Debug, Clone, TypeGenerator)]
 enum Step {
-    /// A writer appends a result of an item, made by its own run.
+    /// A writer appends the result of its own run of an item.
     Append {
         #[generator(0..ITEMS)]
         item: u8,
         writer: bool,
     },
-    /// The last append is repeated: its answer was lost.
+    /// The last append is retried after its response was lost.
     Repeat,
     End,
-    /// A reader asks for the store's records of the submission; the answer is under way.
+    /// A reader requests the submission's records from the store.
     Ask(#[generator(0..READERS)] usize),
-    /// The answer comes; some records beyond its end may be missing from it.
+    /// The response arrives; a record after the requested end may be missing from it.
     Load {
         #[generator(0..READERS)]
         reader: usize,
         torn: bool,
     },
-    /// A reader reads on in the log.
+    /// A reader applies the new records of the log.
     Follow(#[generator(0..READERS)] usize),
-    /// A reader's view is lost.
+    /// A reader loses its state.
     Forget(#[generator(0..READERS)] usize),
 }
 
@@ -65,7 +63,7 @@
         self.log.iter().filter(is_newest).cloned().collect()
     }
 
-    /// The outputs by position.
+    /// The expected outputs by position, from the first `until` records.
     fn positions(&self, until: usize) -> Vec<String> {
         let mut ledger = Ledger::default();
         ledger.track(&"s".into(), 0);
@@ -81,7 +79,7 @@
 struct Reader {
     ledger: Ledger,
     next: usize,
-    /// The end that the store had when it was asked.
+    /// The end of the log at the time of the pending request.
     asked: Option<u64>,
 }
 
@@ -147,7 +145,7 @@
             if let Some(end) = reader.asked.take() {
                 let mut newest = store.newest();
                 if *torn {
-                    // Of two records after the end, the earlier one is missed.
+                    // Drops the first record after the end.
                     let after_end = newest.iter().position(|entry| entry.0 >= end);
                     after_end.map(|at| newest.remove(at));
                 }
@@ -164,7 +162,7 @@
         Step::Forget(reader) => {
             let reader = &mut readers[*reader];
             reader.ledger.remove_if(|_| true);
-            // It goes on at the end of the log.
+            // Following resumes at the end of the log.
             reader.next = store.log.len();
             reader.asked = None;
         }
--- a/crates/borageshore_batch/tests/order_lease.rs
+++ b/crates/borageshore_batch/tests/order_lease.rs
@@ -1,4 +1,4 @@
-//! Orders of two holders to one engine are a lease apart.
+//! Orders of two holders to one engine must be a lease apart.
 
 use borageshore_batch::{OrderLeases, SwapRound};
 
@@ -26,8 +26,7 @@
 }
 
 cases! {
-    // Weights stand still for four seconds whenever the daemon that orders them is lost.
-    // Its successor waited out the lease for every engine, though most were not ordered lately.
+    // Guards against a successor that waits out the lease for engines without a recent order, which delays all loads.
     a_new_holder_waits_for_the_engines_just_ordered_only => {
         let mut leases = OrderLeases::open(0, WAIT_MS);
         leases.on_round(&round("vm-1", &["e0", "e1"], &[]), 10_000);
@@ -51,9 +50,8 @@
         assert!(leases.may_order("vm-1", "e0", 10_002));
     }
 
-    // Two VMs order one engine within a second.
-    // vm-1 orders e0 and is lost; vm-2 takes over with e1, is lost as well and starts again. The
-    // newest round is its own and does not order e0, so it took e0 for free.
+    // Guards against two VMs that order one engine within the lease: vm-1 orders e0 and is lost; vm-2 takes over with e1
+    // and restarts. Its own newest round does not order e0, but e0 is still leased to vm-1.
     a_holder_that_starts_again_remembers_what_others_had_ordered => {
         let mut before = OrderLeases::open(0, WAIT_MS);
         before.on_round(&round("vm-1", &["e0"], &[]), 10_000);
--- a/crates/borageshore_batch/tests/ownership.rs
+++ b/crates/borageshore_batch/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! Which submissions go to the same daemon.
+//! Assignment of trainers to daemons.
 
 use std::sync::Arc;
 
@@ -19,16 +19,14 @@
     keys
 }
 
-// The longest texts of a step come half a second late whenever another trainer's step begins.
-// Each trainer's items were placed by a daemon of its own; it saw the others' items at an engine by
-// reports that were 100 ms old, and filled engines that were full.
+// Guards against overloaded engines: daemons that share engines see each other's load only through delayed reports.
 #[test]
 fn trainers_that_share_engines_are_run_by_one_daemon() {
     assert_eq!(keys(228).len(), 1);
     assert_ne!(work_key("llm", "a", 228), work_key("other", "a", 228));
 }
 
-// One daemon of half a core cannot read the texts of 2,000 engines.
+// Guards against overloading one daemon with the streams of all engines.
 #[test]
 fn many_engines_are_shared_by_daemons_trainer_by_trainer() {
     assert!(keys(12_000).len() >= 10);
--- a/crates/borageshore_batch/tests/placement.rs
+++ b/crates/borageshore_batch/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which engine an item goes to.
+//! Placement of items on engines.
 
 use std::sync::Arc;
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// The engine to which an item moves, if any.
+/// The engine that a running item moves to, if any.
 fn better(engines: &[EngineView], latency_percent: u64, events: u64) -> Option<&str> {
     let item = RunningItem {
         latency_percent,
@@ -34,7 +34,7 @@
     choose_better_engine(engines, ANY, item).map(|engine| &*engine.instance)
 }
 
-/// Places items one after the other; returns how many each engine got.
+/// Places items one after the other; returns the load of each engine.
 fn place(engines: &mut [EngineView], items: usize) -> Vec<u64> {
     for _ in 0..items {
         let chosen: Arc<str> = match choose_engine(engines, ANY) {
@@ -54,21 +54,20 @@
 }
 
 cases! {
-    // A trainer's step ends two seconds late.
-    // Its longest texts, which are placed first, were spread over all engines, those too that take a
-    // third longer for each event; a full engine of the usual pace still ends them earlier.
+    // Guards against spreading the longest texts, which are placed first, over slow engines: even a full engine with
+    // median latency finishes them earlier.
     the_longest_texts_go_to_the_engines_of_the_usual_pace => {
         let mut engines = [engine("a", 100, 0), engine("b", 130, 0), engine("c", 100, 0)];
         assert_eq!(place(&mut engines, 12), [6, 0, 6]);
     }
 
-    // The step's short texts wait although engines are free.
+    // Guards against items that wait although slower engines have free slots.
     slower_engines_get_what_the_others_have_no_slot_for => {
         let mut engines = [engine("a", 100, 0), engine("b", 130, 0), engine("c", 400, 0)];
         assert_eq!(place(&mut engines, 14), [6, 6, 2]);
     }
 
-    // Long texts together fill an engine's memory, and one of them is preempted.
+    // Guards against several long texts on one engine, which exhaust its memory so that one is preempted.
     equal_engines_share_the_items => {
         let mut engines = [engine("a", 100, 0), engine("b", 98, 0), engine("c", 102, 0)];
         assert!(place(&mut engines, 9).iter().all(|load| (2..=4).contains(load)));
@@ -88,9 +87,8 @@
         assert_eq!(&*choose_engine(&engines, request).unwrap().instance, "b");
     }
 
-    // A step's last text comes two seconds late.
-    // Its hint said that it was short, so it was placed late, at an engine that takes a third longer; the
-    // others were free a second later, and it stayed.
+    // Guards against a long text that stays on a slow engine after faster ones have become free. Its hint may have been
+    // too short, so that it was placed late.
     a_long_text_leaves_a_somewhat_slower_engine => {
         let engines = [engine("fast", 100, 0)];
         assert_eq!(better(&engines, 130, 40), Some("fast"));
@@ -98,7 +96,7 @@
         assert_eq!(better(&engines, 350, 3), Some("fast"));
     }
 
-    // Texts that wander between engines of the same kind make nothing but prefills.
+    // Guards against texts that move back and forth between equal engines, with a prefill for each move.
     a_text_stays_where_the_gain_is_noise => {
         let engines = [engine("other", 96, 0)];
         assert_eq!(better(&engines, 108, 40), None);
--- a/crates/borageshore_batch/tests/swaps.rs
+++ b/crates/borageshore_batch/tests/swaps.rs
@@ -1,4 +1,4 @@
-//! Which engines load which weights.
+//! Planning of weight loads on engines.
 
 use std::sync::Arc;
 
@@ -43,7 +43,7 @@
     versions
 }
 
-/// Loads round after round until nothing is planned; returns the loads.
+/// Plans and applies rounds until none is planned; returns the number of loads.
 fn settle(engines: &[EngineState], versions: &mut EngineVersions, models: &[ModelTarget]) -> usize {
     let mut loads = 0;
     loop {
@@ -103,9 +103,8 @@
     assert_ne!(&*round[0].0, "e0");
 }
 
-// Nine engines, two models, a version of each in four seconds, two loads at once of a second each:
-// if every engine loads every version, the loads take nine seconds of four.
-// Each version moves a share, the oldest first, and no engine falls behind by two for long.
+// Guards against loading every version on every engine: with nine engines, two models, and two concurrent loads of a
+// second each, that takes 9 s while new versions come every 4 s.
 #[test]
 fn each_version_moves_a_share_and_no_engine_is_two_behind() {
     let engines = engines(9);
@@ -170,8 +169,8 @@
     assert_eq!(names, ["e1", "e2"]);
 }
 
-// Weights are loaded on 1,500 engines with each version, for a step of 264 items and one of 192: the weight store is
-// busy with them for longer than a step takes, and engines lose what they have cached.
+// Guards against loading each version on far more engines than there are items, which overloads the weight store and
+// clears the engines' caches.
 #[test]
 fn no_more_engines_load_than_the_items_can_use() {
     let model = |name: &str, items: u64| ModelTarget {
--- a/crates/borageshore_batch/tests/text.rs
+++ b/crates/borageshore_batch/tests/text.rs
@@ -1,4 +1,4 @@
-//! Texts joined from the events of several runs.
+//! Texts assembled from the events of several runs.
 
 use borageshore_batch::{Text, TextError};
 
@@ -40,10 +40,8 @@
         assert!(text.is_empty());
     }
 
-    // A step stands still until its trainer gives up after 12 s, though all texts are made.
-    // An engine was lost after the last event and before the end of its stream; the next one, asked
-    // to go on after that event, had nothing to make and named no version, which was taken for a
-    // fault, again and again.
+    // Guards against endless retries after an engine is lost between the last event and the end of its stream: the
+    // engine that resumes the text generates nothing and reports no version.
     a_run_that_goes_on_after_the_last_event_needs_no_version => {
         let mut text = text(&[(1, "a", Some(6)), (2, "b", Some(6))]);
         text.mark_complete();
--- a/crates/borageshore_batch/tests/text_pieces.rs
+++ b/crates/borageshore_batch/tests/text_pieces.rs
@@ -1,8 +1,7 @@
-//! Texts under way against an oracle: whatever is lost, doubled, late or foreign in the store, a text that
-//! is joined is the beginning of one that a run made, under the versions that made it.
+//! Fuzzes the joining of stored pieces: whatever is lost, duplicated, late or foreign in the store, a joined text is a
+//! prefix of the text of one run, with its versions.
 //!
-//! A trainer learns from a text that no engine wrote. Its daemon ended; the pieces that it had stored came
-//! twice, late, or with one missing between them, and were joined with those of another run.
+//! Guards against training on a text that no engine generated.
 
 use std::sync::Arc;
 
@@ -13,24 +12,24 @@
 const RUNS: usize = 4;
 const ITERATIONS: usize = 3_000;
 
-/// One step of two daemons that each run an item twice.
+/// One step of two daemons that each run the same item twice.
 #[derive(Debug, Clone, TypeGenerator)]
 enum Step {
-    /// A run makes an event under the present version.
+    /// A run generates an event with the current version.
     Make(#[generator(0..RUNS)] usize),
     /// New weights are loaded.
     Load,
-    /// A run stores what it has not stored yet.
+    /// A run appends its events that are not stored yet.
     Store {
         #[generator(0..RUNS)]
         run: usize,
         outcome: Outcome,
     },
-    /// An append whose answer was lost is carried out only now.
+    /// A delayed append reaches the store.
     CarryOut,
-    /// The store forgets its oldest record.
+    /// The store drops its oldest record.
     ForgetOldest,
-    /// Another writer appends bytes that are none of ours.
+    /// Another writer appends a record that is not a batch.
     Foreign(u8),
 }
 
@@ -122,7 +121,7 @@
         joiner.texts()
     }
 
-    /// Says whether a text is the beginning of a run's, under the versions of just these events.
+    /// Returns whether a text is a prefix of a run's text, with exactly the versions of these events.
     fn was_made(&self, text: &Text) -> bool {
         self.runs.iter().any(|run| {
             let begun = run.events.get(..text.events().len()).unwrap_or_default();
@@ -166,7 +165,7 @@
         assert_eq!(texts[0].1.last_event(), 3);
     }
 
-    // A step of 12 s: the append that began a run was lost, and all that came after it was of no use.
+    // Guards against a lost first append that makes all later pieces of the run useless.
     a_piece_that_got_no_answer_is_stored_again_with_the_next => {
         let mut world = World::default();
         world.take(&Step::Make(0));
--- a/crates/borageshore_batch/tests/view_position.rs
+++ b/crates/borageshore_batch/tests/view_position.rs
@@ -1,10 +1,9 @@
-//! How far a view of a partition reaches.
+//! When a replayed view of a partition is current.
 
 use borageshore_batch::ViewPosition;
 
-// A trainer reads 115 results of its step; a second later another daemon tells it that there are 103.
-// That daemon had been without the store for seven seconds and confirmed its view by a read; the
-// read brought a page of a megabyte, the first of several.
+// Guards against a daemon that takes the first page after an outage of the store for all missed records, and returns
+// fewer results than another daemon did.
 #[test]
 fn a_page_that_does_not_reach_the_end_confirms_nothing() {
     let mut position = ViewPosition::default();
@@ -34,9 +33,8 @@
     assert_eq!(position.next_offset(), None);
 }
 
-// A trainer reads its step 20 ms after its acceptance and is told that there is no such submission.
-// The daemon that it reads at had loaded the submission between its entry in the index and its records;
-// its view was whole a moment before the records came.
+// Guards against reporting a submission as missing from a view that was current only before the request, when the
+// submission's records were not yet written.
 #[test]
 fn a_view_of_before_the_question_does_not_answer_it() {
     let mut position = ViewPosition::default();
@@ -47,8 +45,8 @@
     assert!(position.is_current_since(1_020));
 }
 
-// A key that was taken away is served by a VM that was suspended for a minute.
-// The answer to its last question had come before and lay in a buffer; read late, it passed for new.
+// Guards against a VM that accepts a revoked key after a suspension: a response buffered before the suspension must
+// not count as new.
 #[test]
 fn the_age_of_a_view_counts_from_its_question() {
     let mut position = ViewPosition::default();
