--- a/crates/borageshore_batch/tests/item_rank.rs
+++ b/crates/borageshore_batch/tests/item_rank.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn no_group_is_left_for_the_end() {
+fn no_group_is_deferred() {
     let step = step(&[&[10, 10], &[10, 10], &[90, 10], &[20, 10]], 3);
     assert_eq!(order(&step)[..2], ["2-0", "3-0"]);
 }
@@ -96,7 +96,7 @@
     struct Group {
         /// Length in events and hint of each text.
         texts: Vec<(u64, u64)>,
-        came_before: bool,
+        is_resubmitted: bool,
     }
 
     fn text(random: &mut Pcg64Mcg) -> (u64, u64) {
@@ -114,7 +114,7 @@
     fn group(random: &mut Pcg64Mcg) -> Group {
         Group {
             texts: (0..SIZE).map(|_| text(random)).collect(),
-            came_before: false,
+            is_resubmitted: false,
         }
     }
 
@@ -124,11 +124,11 @@
         Rank: Fn(usize, usize) -> (bool, Reverse<u64>),
     {
         let pairs = |group| (0..SIZE).map(move |text| (group, text));
-        let mut line: Vec<(usize, usize)> = (0..groups.len()).flat_map(pairs).collect();
-        line.sort_by_key(|(group, text)| rank(*group, *text));
+        let mut queue: Vec<(usize, usize)> = (0..groups.len()).flat_map(pairs).collect();
+        queue.sort_by_key(|(group, text)| rank(*group, *text));
         let mut free_at = vec![0; SLOTS];
         let mut complete = vec![0; groups.len()];
-        for (group, text) in line {
+        for (group, text) in queue {
             let slot = (0..SLOTS).min_by_key(|slot| free_at[*slot]).unwrap();
             free_at[slot] += groups[group].texts[text].0;
             complete[group] = complete[group].max(free_at[slot]);
@@ -136,34 +136,37 @@
         complete
     }
 
-    /// The mean duration of a step, in events; `leave` defers the groups with the longest hints.
-    fn mean_step(leave: bool) -> u64 {
+    /// The mean duration of a step, in events; with `defer`, the groups with the longest hints start last.
+    fn mean_step(defer: bool) -> u64 {
         let mut random = Pcg64Mcg::seed_from_u64(7);
-        let mut again: Vec<Group> = Vec::new();
+        let mut resubmitted: Vec<Group> = Vec::new();
         let mut total = 0;
         for _ in 0..STEPS {
-            let mut groups = std::mem::take(&mut again);
+            let mut groups = std::mem::take(&mut resubmitted);
             while groups.len() < GROUPS {
                 groups.push(group(&mut random));
             }
             let longest = |group: &Group| group.texts.iter().map(|(_, hint)| *hint).max();
             let mut by_length: Vec<usize> = (TARGET / 2..GROUPS).collect();
             by_length.sort_by_key(|group| Reverse(longest(&groups[*group])));
-            let left = &by_length[..GROUPS - TARGET];
+            let deferred = &by_length[..GROUPS - TARGET];
             let complete = complete_at(&groups, |group, text| {
-                let is_left = leave && left.contains(&group);
-                (is_left, Reverse(groups[group].texts[text].1))
+                let is_deferred = defer && deferred.contains(&group);
+                (is_deferred, Reverse(groups[group].texts[text].1))
             });
             let mut times = complete.clone();
             times.sort_unstable();
-            let sent_again = (0..GROUPS).filter(|group| groups[*group].came_before);
-            let needed = sent_again.map(|group| complete[group]).max().unwrap_or(0);
+            let resubmitted_groups = (0..GROUPS).filter(|group| groups[*group].is_resubmitted);
+            let needed = resubmitted_groups
+                .map(|group| complete[group])
+                .max()
+                .unwrap_or(0);
             let end = needed.max(times[TARGET - 1]);
             total += end;
             for (group, at) in groups.into_iter().zip(complete) {
                 if at > end {
-                    again.push(Group {
-                        came_before: true,
+                    resubmitted.push(Group {
+                        is_resubmitted: true,
                         ..group
                     });
                 }
@@ -175,11 +178,11 @@
     // Guards against deferring the groups with the longest texts: they are resubmitted with a later step, which waits
     // for them while they start from nothing.
     #[test]
-    fn steps_are_shorter_when_no_group_is_left_for_the_end() {
-        let (left, not_left) = (mean_step(true), mean_step(false));
+    fn steps_are_shorter_when_no_group_is_deferred() {
+        let (deferred, not_deferred) = (mean_step(true), mean_step(false));
         assert!(
-            not_left * 100 < left * 97,
-            "{not_left} events a step, {left} before"
+            not_deferred * 100 < deferred * 97,
+            "{not_deferred} events a step, {deferred} before"
         );
     }
 }
--- a/crates/borageshore_batch/tests/ledger.rs
+++ b/crates/borageshore_batch/tests/ledger.rs
@@ -151,8 +151,8 @@
         assert_eq!(outputs(&loaded(&partition)), ["a", "b"]);
     }
 
-    // Guards against a wrong order of results after a paged read that returned the record at offset 3 and missed the one
-    // at 2: records after the end taken before the first page must come from the follower.
+    // Guards against a wrong order of results after a paged read that returned the record at offset 3 and missed the
+    // one at 2: records after the end taken before the first page must come from the follower.
     records_after_the_end_of_a_load_are_left_to_the_follower => {
         let mut partition = Partition::default();
         partition.append(&accept(&["a", "b", "c"]), "");
@@ -160,13 +160,13 @@
         let end = partition.end();
         partition.append(&result("a", "a"), "x.2");
         partition.append(&result("b", "b"), "y.1");
-        let mut torn = partition.newest();
-        torn.remove(2);
+        let mut incomplete = partition.newest();
+        incomplete.remove(2);
         let mut ledger = Ledger::default();
         ledger.track(&"s1".into(), 0);
         follow(&mut ledger, &partition.entries[2..]);
         assert!(!ledger.get("s1").unwrap().is_loaded());
-        ledger.load("s1", torn, end);
+        ledger.load("s1", incomplete, end);
         assert_eq!(outputs(&ledger), ["c", "a", "b"]);
     }
 
@@ -214,7 +214,7 @@
         assert_eq!(ledger.get("s1").unwrap().submission().unwrap().items.len(), 3_000);
     }
 
-    a_submission_is_open_until_all_is_listed_or_it_is_ended => {
+    a_submission_is_open_until_all_items_have_results_or_it_is_ended => {
         let mut partition = Partition::default();
         partition.append(&accept(&["a", "b"]), "");
         partition.append(&result("a", "a"), "x.1");
--- a/crates/borageshore_batch/tests/ledger_fuzz.rs
+++ b/crates/borageshore_batch/tests/ledger_fuzz.rs
@@ -26,12 +26,12 @@
     Repeat,
     End,
     /// A reader requests the submission's records from the store.
-    Ask(#[generator(0..READERS)] usize),
+    Request(#[generator(0..READERS)] usize),
     /// The response arrives; a record after the requested end may be missing from it.
     Load {
         #[generator(0..READERS)]
         reader: usize,
-        torn: bool,
+        is_incomplete: bool,
     },
     /// A reader applies the new records of the log.
     Follow(#[generator(0..READERS)] usize),
@@ -80,7 +80,7 @@
     ledger: Ledger,
     next: usize,
     /// The end of the log at the time of the pending request.
-    asked: Option<u64>,
+    requested_end: Option<u64>,
 }
 
 fn outputs(ledger: &Ledger) -> Option<Vec<String>> {
@@ -124,7 +124,7 @@
     }
 }
 
-fn play(store: &mut Store, readers: &mut [Reader], step: &Step) {
+fn apply_step(store: &mut Store, readers: &mut [Reader], step: &Step) {
     match step {
         Step::Append { item, writer } => store.append(result(*item, *writer)),
         Step::Repeat => {
@@ -135,16 +135,19 @@
         Step::End => store.append(LedgerRecord::End {
             submission: "s".into(),
         }),
-        Step::Ask(reader) => {
+        Step::Request(reader) => {
             let reader = &mut readers[*reader];
             reader.ledger.track(&"s".into(), 0);
-            reader.asked = Some(store.log.len() as u64);
+            reader.requested_end = Some(store.log.len() as u64);
         }
-        Step::Load { reader, torn } => {
+        Step::Load {
+            reader,
+            is_incomplete,
+        } => {
             let reader = &mut readers[*reader];
-            if let Some(end) = reader.asked.take() {
+            if let Some(end) = reader.requested_end.take() {
                 let mut newest = store.newest();
-                if *torn {
+                if *is_incomplete {
                     // Drops the first record after the end.
                     let after_end = newest.iter().position(|entry| entry.0 >= end);
                     after_end.map(|at| newest.remove(at));
@@ -164,7 +167,7 @@
             reader.ledger.remove_if(|_| true);
             // Following resumes at the end of the log.
             reader.next = store.log.len();
-            reader.asked = None;
+            reader.requested_end = None;
         }
     }
 }
@@ -179,11 +182,11 @@
             store.append(submission());
             let mut readers: Vec<Reader> = (0..READERS).map(|_| Reader::default()).collect();
             for step in steps {
-                play(&mut store, &mut readers, step);
-                let truth = store.positions(store.log.len());
+                apply_step(&mut store, &mut readers, step);
+                let expected = store.positions(store.log.len());
                 for reader in &readers {
                     let seen = outputs(&reader.ledger).unwrap_or_default();
-                    assert!(truth.starts_with(&seen), "{seen:?} of {truth:?}");
+                    assert!(expected.starts_with(&seen), "{seen:?} of {expected:?}");
                 }
             }
             for reader in &mut readers {
--- a/crates/borageshore_batch/tests/order_lease.rs
+++ b/crates/borageshore_batch/tests/order_lease.rs
@@ -50,8 +50,8 @@
         assert!(leases.may_order("vm-1", "e0", 10_002));
     }
 
-    // Guards against two VMs that order one engine within the lease: vm-1 orders e0 and is lost; vm-2 takes over with e1
-    // and restarts. Its own newest round does not order e0, but e0 is still leased to vm-1.
+    // Guards against two VMs that order one engine within the lease: vm-1 orders e0 and is lost; vm-2 takes over with
+    // e1 and restarts. Its own newest round does not order e0, but e0 is still leased to vm-1.
     a_holder_that_starts_again_remembers_what_others_had_ordered => {
         let mut before = OrderLeases::open(0, WAIT_MS);
         before.on_round(&round("vm-1", &["e0"], &[]), 10_000);
--- a/crates/borageshore_batch/tests/placement.rs
+++ b/crates/borageshore_batch/tests/placement.rs
@@ -56,7 +56,7 @@
 cases! {
     // Guards against spreading the longest texts, which are placed first, over slow engines: even a full engine with
     // median latency finishes them earlier.
-    the_longest_texts_go_to_the_engines_of_the_usual_pace => {
+    the_longest_texts_go_to_the_engines_with_median_latency => {
         let mut engines = [engine("a", 100, 0), engine("b", 130, 0), engine("c", 100, 0)];
         assert_eq!(place(&mut engines, 12), [6, 0, 6]);
     }
--- a/crates/borageshore_batch/tests/swaps.rs
+++ b/crates/borageshore_batch/tests/swaps.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_engine_that_loads_is_left_alone_and_takes_a_place() {
+fn a_loading_engine_gets_no_order_and_counts_as_a_load() {
     let mut engines = engines(4);
     engines[0].is_loading = true;
     let round = plan_round(
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn an_engine_that_another_holder_ordered_waits_and_takes_no_place() {
+fn an_engine_leased_to_another_holder_gets_no_order_and_counts_as_no_load() {
     let mut engines = engines(4);
     engines[0].is_leased = true;
     let models = [target("m", 2, 1)];
--- a/crates/borageshore_batch/tests/text_pieces.rs
+++ b/crates/borageshore_batch/tests/text_pieces.rs
@@ -16,9 +16,9 @@
 #[derive(Debug, Clone, TypeGenerator)]
 enum Step {
     /// A run generates an event with the current version.
-    Make(#[generator(0..RUNS)] usize),
+    Generate(#[generator(0..RUNS)] usize),
     /// New weights are loaded.
-    Load,
+    LoadWeights,
     /// A run appends its events that are not stored yet.
     Store {
         #[generator(0..RUNS)]
@@ -26,9 +26,9 @@
         outcome: Outcome,
     },
     /// A delayed append reaches the store.
-    CarryOut,
+    DeliverLate,
     /// The store drops its oldest record.
-    ForgetOldest,
+    DropOldest,
     /// Another writer appends a record that is not a batch.
     Foreign(u8),
 }
@@ -36,8 +36,8 @@
 #[derive(Debug, Clone, Copy, TypeGenerator)]
 enum Outcome {
     Done,
-    DoneWithoutAnswer,
-    LateWithoutAnswer,
+    DoneUnacknowledged,
+    LateUnacknowledged,
     Lost,
 }
 
@@ -48,14 +48,14 @@
 }
 
 #[derive(Debug, Default)]
-struct World {
+struct Simulation {
     version: u64,
     runs: [Run; RUNS],
     log: Vec<Bytes>,
     late: Vec<Bytes>,
 }
 
-impl World {
+impl Simulation {
     fn piece(&self, run: usize) -> Bytes {
         let made = &self.runs[run];
         let new = &made.events[made.stored..];
@@ -77,17 +77,17 @@
         batch.encode()
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match step {
-            Step::Make(run) => {
+            Step::Generate(run) => {
                 let event = self.runs[*run].events.len() + 1;
                 let made = (format!("event {event} of run {run}"), self.version);
                 self.runs[*run].events.push(made);
             }
-            Step::Load => self.version += 1,
+            Step::LoadWeights => self.version += 1,
             Step::Store { run, outcome } => self.store(*run, *outcome),
-            Step::CarryOut => self.log.extend(self.late.pop()),
-            Step::ForgetOldest => {
+            Step::DeliverLate => self.log.extend(self.late.pop()),
+            Step::DropOldest => {
                 if !self.log.is_empty() {
                     self.log.remove(0);
                 }
@@ -103,8 +103,8 @@
                 self.log.push(record);
                 self.runs[run].stored = self.runs[run].events.len();
             }
-            Outcome::DoneWithoutAnswer => self.log.push(record),
-            Outcome::LateWithoutAnswer => self.late.push(record),
+            Outcome::DoneUnacknowledged => self.log.push(record),
+            Outcome::LateUnacknowledged => self.late.push(record),
             Outcome::Lost => {}
         }
     }
@@ -122,11 +122,11 @@
     }
 
     /// Returns whether a text is a prefix of a run's text, with exactly the versions of these events.
-    fn was_made(&self, text: &Text) -> bool {
+    fn is_run_prefix(&self, text: &Text) -> bool {
         self.runs.iter().any(|run| {
-            let begun = run.events.get(..text.events().len()).unwrap_or_default();
-            let data = begun.iter().map(|(data, _)| data.as_bytes());
-            let mut versions: Vec<u64> = begun.iter().map(|(_, version)| *version).collect();
+            let prefix = run.events.get(..text.events().len()).unwrap_or_default();
+            let data = prefix.iter().map(|(data, _)| data.as_bytes());
+            let mut versions: Vec<u64> = prefix.iter().map(|(_, version)| *version).collect();
             versions.dedup();
             data.eq(text.events().iter().map(|event| &event[..])) && versions == text.versions()
         })
@@ -140,48 +140,48 @@
 }
 
 cases! {
-    a_joined_text_is_the_beginning_of_a_run => {
+    a_joined_text_is_a_prefix_of_a_run => {
         check!()
             .with_iterations(ITERATIONS)
             .with_generator(produce::<Vec<Step>>())
             .for_each(|steps| {
-                let mut world = World::default();
+                let mut simulation = Simulation::default();
                 for step in steps {
-                    world.take(step);
+                    simulation.apply(step);
                 }
-                for (_, text) in world.joined() {
-                    assert!(text.is_empty() || world.was_made(&text), "{text:?}\n{world:?}");
+                for (_, text) in simulation.joined() {
+                    assert!(text.is_empty() || simulation.is_run_prefix(&text), "{text:?}\n{simulation:?}");
                 }
             });
     }
 
-    what_was_stored_is_all_there => {
-        let mut world = World::default();
+    all_stored_events_are_joined => {
+        let mut simulation = Simulation::default();
         for _ in 0..3 {
-            world.take(&Step::Make(0));
-            world.take(&Step::Store { run: 0, outcome: Outcome::Done });
+            simulation.apply(&Step::Generate(0));
+            simulation.apply(&Step::Store { run: 0, outcome: Outcome::Done });
         }
-        let texts = world.joined();
+        let texts = simulation.joined();
         assert_eq!(texts[0].1.last_event(), 3);
     }
 
     // Guards against a lost first append that makes all later pieces of the run useless.
-    a_piece_that_got_no_answer_is_stored_again_with_the_next => {
-        let mut world = World::default();
-        world.take(&Step::Make(0));
-        world.take(&Step::Store { run: 0, outcome: Outcome::Lost });
-        world.take(&Step::Make(0));
-        world.take(&Step::Store { run: 0, outcome: Outcome::Done });
-        assert_eq!(world.joined()[0].1.last_event(), 2);
+    an_unacknowledged_piece_is_stored_again_with_the_next => {
+        let mut simulation = Simulation::default();
+        simulation.apply(&Step::Generate(0));
+        simulation.apply(&Step::Store { run: 0, outcome: Outcome::Lost });
+        simulation.apply(&Step::Generate(0));
+        simulation.apply(&Step::Store { run: 0, outcome: Outcome::Done });
+        assert_eq!(simulation.joined()[0].1.last_event(), 2);
     }
 
     the_longest_text_of_an_item_comes_first => {
-        let mut world = World::default();
+        let mut simulation = Simulation::default();
         for run in [0, 3, 3] {
-            world.take(&Step::Make(run));
-            world.take(&Step::Store { run, outcome: Outcome::Done });
+            simulation.apply(&Step::Generate(run));
+            simulation.apply(&Step::Store { run, outcome: Outcome::Done });
         }
-        let lengths: Vec<u64> = world.joined().iter().map(|(_, text)| text.last_event()).collect();
+        let lengths: Vec<u64> = simulation.joined().iter().map(|(_, text)| text.last_event()).collect();
         assert_eq!(lengths, [2, 1]);
     }
 }
--- a/crates/borageshore_batch/tests/view_position.rs
+++ b/crates/borageshore_batch/tests/view_position.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_read_that_was_overtaken_moves_nothing_back() {
+fn an_overtaken_read_does_not_move_the_position_back() {
     let mut position = ViewPosition::default();
     position.on_snapshot(100, 1_000);
     position.on_page(140, 140, 1_100);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn after_a_gap_the_place_is_unknown() {
+fn after_a_reset_the_position_is_unknown() {
     let mut position = ViewPosition::default();
     position.on_snapshot(100, 1_000);
     position.reset();
@@ -36,7 +36,7 @@
 // Guards against reporting a submission as missing from a view that was current only before the request, when the
 // submission's records were not yet written.
 #[test]
-fn a_view_of_before_the_question_does_not_answer_it() {
+fn a_view_from_before_the_request_does_not_answer_it() {
     let mut position = ViewPosition::default();
     position.on_snapshot(100, 1_000);
     assert!(position.is_current_within(500, 1_020));
@@ -48,7 +48,7 @@
 // Guards against a VM that accepts a revoked key after a suspension: a response buffered before the suspension must
 // not count as new.
 #[test]
-fn the_age_of_a_view_counts_from_its_question() {
+fn the_age_of_a_view_counts_from_its_request() {
     let mut position = ViewPosition::default();
     assert_eq!(position.requested_at_ms(), None);
     position.on_response(1_000);
