--- a/crates/borageshore_batch/src/swaps.rs
+++ b/crates/borageshore_batch/src/swaps.rs
@@ -95,7 +95,7 @@
 
 #[derive(Debug)]
 struct Lag<'p> {
-    versions: u64,
+    versions_behind: u64,
     engine: &'p EngineState,
     target: &'p ModelVersion,
 }
@@ -126,7 +126,7 @@
             limits.share_percent,
         ));
     }
-    wanted.sort_by_key(|lag| (std::cmp::Reverse(lag.versions), lag.engine.running));
+    wanted.sort_by_key(|lag| (std::cmp::Reverse(lag.versions_behind), lag.engine.running));
     wanted
         .into_iter()
         .filter(|lag| !lag.engine.is_loading && !lag.engine.is_leased)
@@ -168,6 +168,8 @@
     counts
 }
 
+/// The engines that should load the target now: all that are two or more versions behind, and others up to the share
+/// of engines that load each version.
 fn outdated_engines<'p>(
     assigned: &'p [EngineState],
     versions: &EngineVersions,
@@ -175,7 +177,7 @@
     share_percent: usize,
 ) -> Vec<Lag<'p>> {
     let lag_of = |engine: &'p EngineState| Lag {
-        versions: target
+        versions_behind: target
             .version
             .saturating_sub(versions.get(&engine.instance, &target.model)),
         engine,
@@ -183,9 +185,12 @@
     };
     let lags = assigned.iter().map(lag_of);
     let (fresh, mut outdated): (Vec<Lag<'p>>, Vec<Lag<'p>>) =
-        lags.partition(|lag| lag.versions == 0);
-    outdated.sort_by_key(|lag| (std::cmp::Reverse(lag.versions), lag.engine.running));
-    let urgent = outdated.iter().filter(|lag| lag.versions > 1).count();
+        lags.partition(|lag| lag.versions_behind == 0);
+    outdated.sort_by_key(|lag| (std::cmp::Reverse(lag.versions_behind), lag.engine.running));
+    let urgent = outdated
+        .iter()
+        .filter(|lag| lag.versions_behind > 1)
+        .count();
     let share = (assigned.len() * share_percent).div_ceil(100);
     outdated.truncate(urgent.max(share.saturating_sub(fresh.len())));
     outdated
