--- a/crates/borageshore_batch/src/event_latencies.rs
+++ b/crates/borageshore_batch/src/event_latencies.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Latency {
     us_per_event: u64,
-    at_ms: u64,
+    sampled_at_ms: u64,
 }
 
 /// Moving averages of the time between two events, by engine instance.
@@ -30,11 +30,11 @@
             .latencies
             .get_or_insert_with(instance.clone(), || Latency {
                 us_per_event: interval_us,
-                at_ms: now_ms,
+                sampled_at_ms: now_ms,
             });
         let kept = latency.us_per_event * (100 - NEW_SAMPLE_WEIGHT_PERCENT);
         latency.us_per_event = (kept + interval_us * NEW_SAMPLE_WEIGHT_PERCENT) / 100;
-        latency.at_ms = now_ms;
+        latency.sampled_at_ms = now_ms;
     }
 
     /// The median over engines with a recent sample, in microseconds per event; 0 if there are none.
@@ -69,6 +69,6 @@
 
 impl Latency {
     fn is_recent(&self, now_ms: u64) -> bool {
-        now_ms < self.at_ms + MAX_AGE_MS
+        now_ms < self.sampled_at_ms + MAX_AGE_MS
     }
 }
--- a/crates/borageshore_batch/src/ledger.rs
+++ b/crates/borageshore_batch/src/ledger.rs
@@ -184,20 +184,20 @@
     /// need not be generated again.
     pub fn earlier_result(&self, of: &Submission, item: &Item) -> Option<Arc<ItemResult>> {
         let min_version = of.min_version;
-        let is_same_caller = |state: &&SubmissionState| {
+        let is_same_organisation = |state: &&SubmissionState| {
             let known = state.submission.as_ref();
             known.is_some_and(|known| known.organisation == of.organisation)
         };
-        let states = self.submissions.values().filter(is_same_caller);
+        let states = self.submissions.values().filter(is_same_organisation);
         let reusable = |state: &SubmissionState| {
             let known = state.item(&item.id)?;
             let result = state.results.iter().find(|result| result.item == item.id)?;
             let is_done = result.state == ItemState::Done && known.reward == item.reward;
-            let is_new = result
+            let meets_min_version = result
                 .versions
                 .iter()
                 .all(|version| *version >= min_version);
-            (is_done && is_new).then(|| result.clone())
+            (is_done && meets_min_version).then(|| result.clone())
         };
         let mut candidates = states.filter(|state| state.has_result(&item.id));
         candidates.find_map(reusable)
