--- /dev/null
+++ b/crates/borageshore_batch/src/item_rank.rs
@@ -0,0 +1,27 @@
+//! The start order of a submission's items.
+
+use crate::submission::{Item, Submission};
+
+/// The scheduling rank of an item; smaller ranks start first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ItemRank {
+    /// Decreases with the expected length, so that long texts start first.
+    inverse_length: u64,
+    /// The index in the submission, which keeps items of a group together among equal lengths.
+    index: usize,
+}
+
+/// Ranks the items of a submission, longest expected text first; the ranks are in the order of the items.
+///
+/// A step ends when `target_groups` groups are complete, so its longest text bounds its duration. Items are ranked
+/// across groups: run group by group, a long text would wait for short texts of earlier groups.
+///
+/// No group is deferred, although the trainer may not wait for all of them: an incomplete group is resubmitted with a
+/// later step, which waits for it, and a deferred one would start there from nothing.
+pub fn rank_items(submission: &Submission) -> Vec<ItemRank> {
+    let rank = |(index, item): (usize, &Item)| ItemRank {
+        inverse_length: u64::MAX - item.length_hint_tokens.unwrap_or(0),
+        index,
+    };
+    submission.items.iter().enumerate().map(rank).collect()
+}
--- a/crates/borageshore_batch/src/ledger.rs
+++ b/crates/borageshore_batch/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger: every submission with its results by position.
+//! The state of batch submissions, built by replaying the records of the store.
 
 use std::sync::Arc;
 
@@ -6,146 +6,147 @@
 use bytes::Bytes;
 
 use crate::{
-    pieces::{self, PieceBuffer},
     record::{self, KeyKind, LedgerRecord},
     submission::{Item, ItemResult, ItemState, Submission},
+    value_chunks::{self, ChunkBuffer},
 };
 
-/// A record of the store: offset, key, value.
+/// A record of the store: offset, key and value.
 pub type LedgerEntry = (u64, Arc<str>, Bytes);
 
-/// One submission.
+/// The state of one submission.
 #[derive(Debug, Default)]
 pub struct SubmissionState {
-    /// Whether every record from the first one on was applied.
+    /// Whether all older records have been applied.
     is_loaded: bool,
-    /// Records that came before the earlier ones were loaded.
+    /// New records received before the older ones were loaded.
     pending: Vec<LedgerEntry>,
     submission: Option<Arc<Submission>>,
     results: Vec<Arc<ItemResult>>,
-    /// The items with a result, sorted.
-    listed: Vec<Arc<str>>,
+    /// Ids of the items with a result, sorted.
+    finished_items: Vec<Arc<str>>,
     is_ended: bool,
-    seen_at_ms: u64,
+    first_seen_at_ms: u64,
 }
 
 impl SubmissionState {
-    /// Says whether every record from the first one on was applied; if not, nothing else that is
-    /// said of it can be relied on.
+    /// Returns whether all older records have been applied. Until then the other accessors may be incomplete.
     pub fn is_loaded(&self) -> bool {
         self.is_loaded
     }
 
-    /// The submission, once its record is there.
+    /// The submission, or `None` until its record has been applied.
     pub fn submission(&self) -> Option<&Arc<Submission>> {
         self.submission.as_ref()
     }
 
-    /// The results by position.
+    /// The results in the order of the store; the index of a result is its position for readers.
     pub fn results(&self) -> &[Arc<ItemResult>] {
         &self.results
     }
 
-    /// Says whether an item has a result.
-    pub fn is_listed(&self, item: &str) -> bool {
-        self.listed
-            .binary_search_by(|listed| (**listed).cmp(item))
+    /// Returns whether an item has a result.
+    pub fn has_result(&self, item: &str) -> bool {
+        self.finished_items
+            .binary_search_by(|known| (**known).cmp(item))
             .is_ok()
     }
 
-    /// Says whether it was ended.
+    /// Returns whether the submission was ended.
     pub fn is_ended(&self) -> bool {
         self.is_ended
     }
 
-    /// Says whether every item has a result.
-    pub fn is_whole(&self) -> bool {
-        let is_listed = |submission: &Arc<Submission>| self.listed.len() >= submission.items.len();
-        self.submission.as_ref().is_some_and(is_listed)
+    /// Returns whether every item has a result.
+    pub fn is_complete(&self) -> bool {
+        let all_have_results =
+            |submission: &Arc<Submission>| self.finished_items.len() >= submission.items.len();
+        self.submission.as_ref().is_some_and(all_have_results)
     }
 
-    /// Says whether something is left to run.
+    /// Returns whether the submission still has items to run.
     pub fn is_open(&self) -> bool {
-        !self.is_ended && self.submission.is_some() && !self.is_whole()
+        !self.is_ended && self.submission.is_some() && !self.is_complete()
     }
 
-    /// When this daemon first saw it; later than its acceptance, so nothing is given up too early.
-    pub fn seen_at_ms(&self) -> u64 {
-        self.seen_at_ms
+    /// When this daemon first saw the submission, in ms. Never before its acceptance, so that timeouts counted from
+    /// it do not expire early.
+    pub fn first_seen_at_ms(&self) -> u64 {
+        self.first_seen_at_ms
     }
 
-    /// An item by its id.
+    /// Looks up an item by its id.
     pub fn item(&self, id: &str) -> Option<&Item> {
         let submission = self.submission.as_ref()?;
         submission.items.iter().find(|item| &*item.id == id)
     }
 
-    fn apply(&mut self, pieces: &mut PieceBuffer, (_, key, value): &LedgerEntry) {
-        let Some((whole_key, number, count)) = pieces::split_key(key) else {
+    fn apply(&mut self, chunks: &mut ChunkBuffer, (_, key, value): &LedgerEntry) {
+        let Some((value_key, number, count)) = value_chunks::split_key(key) else {
             return;
         };
-        let Some((id, kind)) = record::split_key(whole_key) else {
+        let Some((id, kind)) = record::split_key(value_key) else {
             return;
         };
-        let whole = pieces.push(whole_key, number, count, value.clone());
-        let record = whole.and_then(|whole| LedgerRecord::decode(id, kind, &whole));
+        let complete = chunks.push(value_key, number, count, value.clone());
+        let record = complete.and_then(|complete| LedgerRecord::decode(id, kind, &complete));
         match record {
             Some(LedgerRecord::Accept(submission)) => {
                 self.submission.get_or_insert(submission);
             }
-            Some(LedgerRecord::Result { result, .. }) => self.list(result),
+            Some(LedgerRecord::Result { result, .. }) => self.add_result(result),
             Some(LedgerRecord::End { .. }) => self.is_ended = true,
             None => {}
         }
     }
 
-    fn list(&mut self, result: Arc<ItemResult>) {
-        if let Err(at) = self.listed.binary_search(&result.item) {
-            self.listed.insert(at, result.item.clone());
+    fn add_result(&mut self, result: Arc<ItemResult>) {
+        if let Err(at) = self.finished_items.binary_search(&result.item) {
+            self.finished_items.insert(at, result.item.clone());
             self.results.push(result);
         }
     }
 }
 
-/// The submissions that this daemon has to do with.
+/// The submissions that this daemon runs or serves.
 ///
-/// The first result of an item counts, by the order of the store; whoever else made one, made it in
-/// vain. So it does no harm when two daemons run the same item.
+/// Only the first result of an item in the order of the store counts, so two daemons may run the same item.
 ///
-/// A daemon knows the submissions that it runs or is asked for, not all: with every record read by
-/// every daemon, the store's reads grow with their number squared.
+/// A daemon tracks only the submissions that it runs or is asked for: if every daemon read every record, reads of
+/// the store would grow with the square of the number of daemons.
 #[derive(Debug, Default)]
 pub struct Ledger {
     submissions: SortedMap<Arc<str>, SubmissionState>,
-    pieces: PieceBuffer,
+    chunks: ChunkBuffer,
 }
 
 impl Ledger {
-    /// Begins to keep new records of a submission, for the time until its older ones are loaded.
-    pub fn begin(&mut self, id: &Arc<str>, now_ms: u64) {
+    /// Starts to collect new records of a submission; [`Ledger::load`] adds the older ones.
+    pub fn track(&mut self, id: &Arc<str>, now_ms: u64) {
         self.submissions
             .get_or_insert_with(id.clone(), || SubmissionState {
-                seen_at_ms: now_ms,
+                first_seen_at_ms: now_ms,
                 ..SubmissionState::default()
             });
     }
 
-    /// Takes over a new record; records of one partition come in the order of their offsets.
+    /// Applies a new record of a tracked submission. Records of a partition must come in the order of their offsets.
     pub fn apply(&mut self, entry: LedgerEntry) {
         let state = entry_key(&entry.1).and_then(|(id, _)| self.submissions.get_mut(id));
         let Some(state) = state else {
             return;
         };
         if state.is_loaded {
-            state.apply(&mut self.pieces, &entry);
+            state.apply(&mut self.chunks, &entry);
         } else {
             state.pending.push(entry);
         }
     }
 
-    /// Takes over all records of a submission that the store had at `end`; `end` was taken after
-    /// [`Ledger::begin`]. Later records are left out: a read in pages may have missed others before
-    /// them, and they come by [`Ledger::apply`].
+    /// Applies all records of a submission below the offset `end`, which must have been read after [`Ledger::track`].
+    ///
+    /// Entries at or after `end` are ignored: a paged read is no snapshot and may lack earlier ones. They arrive
+    /// through [`Ledger::apply`].
     pub fn load(&mut self, id: &str, entries: Vec<LedgerEntry>, end: u64) {
         let state = self.submissions.get_mut(id);
         let Some(state) = state.filter(|state| !state.is_loaded) else {
@@ -157,54 +158,54 @@
         let mut all: Vec<LedgerEntry> = before_end.chain(after_end).collect();
         all.sort_by_key(|(offset, ..)| *offset);
         for entry in &all {
-            state.apply(&mut self.pieces, entry);
+            state.apply(&mut self.chunks, entry);
         }
         state.is_loaded = true;
     }
 
-    /// Forgets the submissions for which `is_lost` holds: their records are no longer followed, or
+    /// Removes the submissions for which `is_removed` returns true, because their records are no longer followed or
     /// some were missed.
-    pub fn forget<Lost>(&mut self, is_lost: Lost)
+    pub fn remove_if<Remove>(&mut self, is_removed: Remove)
     where
-        Lost: Fn(&str) -> bool,
+        Remove: Fn(&str) -> bool,
     {
-        self.submissions.retain(|id, _| !is_lost(id));
+        self.submissions.retain(|id, _| !is_removed(id));
     }
 
-    /// A submission.
+    /// Returns the state of a tracked submission.
     pub fn get(&self, id: &str) -> Option<&SubmissionState> {
         self.submissions.get(id)
     }
 
-    /// The result of an item in another submission, made under `min_version` or newer ones and scored
-    /// by the same reward call.
+    /// Finds a finished result of the same item in any submission of the organisation, generated under versions of at
+    /// least `of.min_version` and scored by the same reward call.
     ///
-    /// Trainers send groups again that were not complete at the end of a step, under the same ids;
-    /// what was finished of them need not be made again.
+    /// Trainers resubmit groups that were incomplete at the end of a step under the same ids; their finished items
+    /// need not be generated again.
     pub fn earlier_result(&self, of: &Submission, item: &Item) -> Option<Arc<ItemResult>> {
         let min_version = of.min_version;
-        let is_same_caller = |state: &&SubmissionState| {
+        let is_same_organisation = |state: &&SubmissionState| {
             let known = state.submission.as_ref();
             known.is_some_and(|known| known.organisation == of.organisation)
         };
-        let states = self.submissions.values().filter(is_same_caller);
-        let fits = |state: &SubmissionState| {
+        let states = self.submissions.values().filter(is_same_organisation);
+        let reusable = |state: &SubmissionState| {
             let known = state.item(&item.id)?;
             let result = state.results.iter().find(|result| result.item == item.id)?;
             let is_done = result.state == ItemState::Done && known.reward == item.reward;
-            let is_new = result
+            let meets_min_version = result
                 .versions
                 .iter()
                 .all(|version| *version >= min_version);
-            (is_done && is_new).then(|| result.clone())
+            (is_done && meets_min_version).then(|| result.clone())
         };
-        let mut listed = states.filter(|state| state.is_listed(&item.id));
-        listed.find_map(fits)
+        let mut candidates = states.filter(|state| state.has_result(&item.id));
+        candidates.find_map(reusable)
     }
 }
 
-/// The submission and the kind of record that a key of the store names.
+/// Parses a key of the store into the submission id and the kind of record.
 fn entry_key(key: &str) -> Option<(&str, KeyKind)> {
-    let (whole_key, ..) = pieces::split_key(key)?;
-    record::split_key(whole_key)
+    let (value_key, ..) = value_chunks::split_key(key)?;
+    record::split_key(value_key)
 }
--- a/crates/borageshore_batch/src/lib.rs
+++ b/crates/borageshore_batch/src/lib.rs
@@ -1,8 +1,8 @@
-//! Batch submissions: what was accepted, which results stand at which position, what runs next.
+//! Batch submissions: accepted requests, their results by position, scheduling and weight loading.
 //!
-//! Everything here is pure. Records of the store come in with their offsets and all daemons fold
-//! them alike ([`Ledger`]); which daemon runs a submission, which items come first, where an item
-//! goes and which engines load new weights are functions of what is handed in.
+//! This crate does no I/O and reads no clock. All daemons replay the records of the store into the same state
+//! ([`Ledger`]). Which daemon runs a submission, the order of its items, the engine of an item and the engines that
+//! load new weights are pure functions of their arguments.
 //!
 //! ```
 //! use borageshore_batch::{Ledger, LedgerRecord};
@@ -10,44 +10,45 @@
 //! let mut ledger = Ledger::default();
 //! let end = LedgerRecord::End { submission: "s1".into() }.encode("vm-1.1.0");
 //! let end = end.into_iter().map(|(key, value)| (0, key, value)).collect();
-//! ledger.begin(&"s1".into(), 0);
+//! ledger.track(&"s1".into(), 0);
 //! ledger.load("s1", end, 1);
 //! assert!(ledger.get("s1").unwrap().is_ended());
 //! ```
 
+mod event_latencies;
+mod group_placements;
 mod incarnation;
 mod index_entry;
+mod item_rank;
 mod ledger;
-mod order;
 mod order_lease;
 mod ownership;
-mod paces;
-mod pieces;
-mod placed_groups;
+
 mod placement;
 mod record;
 mod submission;
 mod swaps;
 mod text;
 mod text_pieces;
+mod value_chunks;
 mod view_position;
 
 pub use self::{
+    event_latencies::EventLatencies,
+    group_placements::GroupPlacements,
     incarnation::incarnation_name,
     index_entry::{Demand, IndexEntry},
+    item_rank::{ItemRank, rank_items},
     ledger::{Ledger, LedgerEntry, SubmissionState},
-    order::{ItemRank, rank_items},
     order_lease::OrderLeases,
     ownership::work_key,
-    paces::Paces,
-    placed_groups::PlacedGroups,
     placement::{
         EngineView, PlacementRequest, RunningItem, can_take, choose_better_engine, choose_engine,
     },
     record::LedgerRecord,
-    submission::{Item, ItemResult, ItemState, NamedVersion, RewardCall, Submission},
+    submission::{Item, ItemResult, ItemState, ModelVersion, RewardCall, Submission},
     swaps::{EngineState, EngineVersions, ModelTarget, SwapLimits, SwapRound, plan_round},
-    text::{Text, TextFault},
+    text::{Text, TextError},
     text_pieces::{PieceBatch, PieceJoiner, TextPiece},
     view_position::ViewPosition,
 };
--- a/crates/borageshore_batch/tests/order.rs
+++ b/crates/borageshore_batch/tests/item_rank.rs
@@ -1,4 +1,4 @@
-//! The order of a step's items.
+//! The start order of a step's items.
 
 use borageshore_batch::{Item, Submission, rank_items};
 
@@ -39,7 +39,7 @@
         .collect()
 }
 
-/// When the last needed item ends, if `slots` items run at once and each takes as long as its hint.
+/// When the last needed item finishes, with `slots` concurrent items that each take as long as their hint.
 fn makespan(step: &Submission, order: &[&str], slots: usize, needed: &[&str]) -> u64 {
     let mut free_at = vec![0; slots];
     let mut last = 0;
@@ -55,14 +55,13 @@
 }
 
 #[test]
-fn no_group_is_left_for_the_end() {
+fn no_group_is_deferred() {
     let step = step(&[&[10, 10], &[10, 10], &[90, 10], &[20, 10]], 3);
     assert_eq!(order(&step)[..2], ["2-0", "3-0"]);
 }
 
-// A step of 6 s takes 8: its longest text waits for two short ones of earlier groups.
-// Whole groups went one after the other, longest group first, and the slots were full with the
-// short texts of the first groups when the long text of a later one was due.
+// Guards against running group by group: the longest text of a later group would wait while short texts of earlier
+// groups occupy all slots.
 #[test]
 fn long_texts_of_all_groups_start_before_short_ones() {
     let step = step(
@@ -76,9 +75,9 @@
     assert_eq!(makespan(&step, &ids, 5, &ids), 134, "group after group");
 }
 
-/// The load of a trainer: 29 groups of 4 texts a step at 72 slots, of which it waits for 26 and for all that it
-/// sends again. A tenth of the texts is five times as long as the others; hints are off by a factor of
-/// two in the mean; what was made of a text is too old for the step in which it comes again.
+/// A simulated trainer: 29 groups of 4 texts per step on 72 slots. It waits for 26 groups and for all resubmitted ones.
+/// A tenth of the texts is five times as long as the others, and hints are inaccurate. Texts of resubmitted groups are
+/// generated from the start, because their earlier events are too old.
 mod load {
     use std::cmp::Reverse;
 
@@ -90,14 +89,14 @@
     const TARGET: usize = 26;
     const SLOTS: usize = 72;
     const STEPS: usize = 200;
-    /// The longest text that a request allows.
+    /// The length limit of a text, in events.
     const LONGEST: u64 = 197;
 
     #[derive(Debug, Clone)]
     struct Group {
-        /// Events and hint of each text.
+        /// Length in events and hint of each text.
         texts: Vec<(u64, u64)>,
-        came_before: bool,
+        is_resubmitted: bool,
     }
 
     fn text(random: &mut Pcg64Mcg) -> (u64, u64) {
@@ -115,21 +114,21 @@
     fn group(random: &mut Pcg64Mcg) -> Group {
         Group {
             texts: (0..SIZE).map(|_| text(random)).collect(),
-            came_before: false,
+            is_resubmitted: false,
         }
     }
 
-    /// When each group is complete, if texts start in the order of `rank`.
+    /// When each group is complete if texts start in the order of `rank`.
     fn complete_at<Rank>(groups: &[Group], rank: Rank) -> Vec<u64>
     where
         Rank: Fn(usize, usize) -> (bool, Reverse<u64>),
     {
         let pairs = |group| (0..SIZE).map(move |text| (group, text));
-        let mut line: Vec<(usize, usize)> = (0..groups.len()).flat_map(pairs).collect();
-        line.sort_by_key(|(group, text)| rank(*group, *text));
+        let mut queue: Vec<(usize, usize)> = (0..groups.len()).flat_map(pairs).collect();
+        queue.sort_by_key(|(group, text)| rank(*group, *text));
         let mut free_at = vec![0; SLOTS];
         let mut complete = vec![0; groups.len()];
-        for (group, text) in line {
+        for (group, text) in queue {
             let slot = (0..SLOTS).min_by_key(|slot| free_at[*slot]).unwrap();
             free_at[slot] += groups[group].texts[text].0;
             complete[group] = complete[group].max(free_at[slot]);
@@ -137,34 +136,37 @@
         complete
     }
 
-    /// The mean time of a step, in events, where `leave` says whether groups are left for the end.
-    fn mean_step(leave: bool) -> u64 {
+    /// The mean duration of a step, in events; with `defer`, the groups with the longest hints start last.
+    fn mean_step(defer: bool) -> u64 {
         let mut random = Pcg64Mcg::seed_from_u64(7);
-        let mut again: Vec<Group> = Vec::new();
+        let mut resubmitted: Vec<Group> = Vec::new();
         let mut total = 0;
         for _ in 0..STEPS {
-            let mut groups = std::mem::take(&mut again);
+            let mut groups = std::mem::take(&mut resubmitted);
             while groups.len() < GROUPS {
                 groups.push(group(&mut random));
             }
             let longest = |group: &Group| group.texts.iter().map(|(_, hint)| *hint).max();
             let mut by_length: Vec<usize> = (TARGET / 2..GROUPS).collect();
             by_length.sort_by_key(|group| Reverse(longest(&groups[*group])));
-            let left = &by_length[..GROUPS - TARGET];
+            let deferred = &by_length[..GROUPS - TARGET];
             let complete = complete_at(&groups, |group, text| {
-                let is_left = leave && left.contains(&group);
-                (is_left, Reverse(groups[group].texts[text].1))
+                let is_deferred = defer && deferred.contains(&group);
+                (is_deferred, Reverse(groups[group].texts[text].1))
             });
             let mut times = complete.clone();
             times.sort_unstable();
-            let sent_again = (0..GROUPS).filter(|group| groups[*group].came_before);
-            let needed = sent_again.map(|group| complete[group]).max().unwrap_or(0);
+            let resubmitted_groups = (0..GROUPS).filter(|group| groups[*group].is_resubmitted);
+            let needed = resubmitted_groups
+                .map(|group| complete[group])
+                .max()
+                .unwrap_or(0);
             let end = needed.max(times[TARGET - 1]);
             total += end;
             for (group, at) in groups.into_iter().zip(complete) {
                 if at > end {
-                    again.push(Group {
-                        came_before: true,
+                    resubmitted.push(Group {
+                        is_resubmitted: true,
                         ..group
                     });
                 }
@@ -173,15 +175,14 @@
         total / STEPS as u64
     }
 
-    // A trainer falls behind by half a second with each step.
-    // The groups with the longest texts were left for the end; they came again with a later step, were
-    // waited for there, and had to be made from nothing.
+    // Guards against deferring the groups with the longest texts: they are resubmitted with a later step, which waits
+    // for them while they start from nothing.
     #[test]
-    fn steps_are_shorter_when_no_group_is_left_for_the_end() {
-        let (left, not_left) = (mean_step(true), mean_step(false));
+    fn steps_are_shorter_when_no_group_is_deferred() {
+        let (deferred, not_deferred) = (mean_step(true), mean_step(false));
         assert!(
-            not_left * 100 < left * 97,
-            "{not_left} events a step, {left} before"
+            not_deferred * 100 < deferred * 97,
+            "{not_deferred} events a step, {deferred} before"
         );
     }
 }
--- a/crates/borageshore_batch/tests/ledger_fuzz.rs
+++ b/crates/borageshore_batch/tests/ledger_fuzz.rs
@@ -1,8 +1,7 @@
-//! The ledger against an oracle: whoever reads, from whenever on, sees the same positions.
+//! Fuzzes the ledger against an oracle: every reader sees the same positions, whenever it begins to read.
 //!
-//! Two writers append results, repeat appends that got no answer, and the submission is ended; readers
-//! begin at any moment, load in torn pages, and lose their view. The oracle knows the whole log: the
-//! first result of an item holds its position.
+//! Two writers append results and retry unacknowledged appends, and the submission is ended; readers begin at any
+//! time, load from incomplete paged reads, and lose their state. The oracle replays the whole log.
 
 use std::sync::Arc;
 
@@ -15,29 +14,28 @@
 const READERS: usize = 3;
 const ITERATIONS: usize = 3_000;
 
-/// One step.
 #[derive(Debug, Clone, TypeGenerator)]
 enum Step {
-    /// A writer appends a result of an item, made by its own run.
+    /// A writer appends the result of its own run of an item.
     Append {
         #[generator(0..ITEMS)]
         item: u8,
         writer: bool,
     },
-    /// The last append is repeated: its answer was lost.
+    /// The last append is retried after its response was lost.
     Repeat,
     End,
-    /// A reader asks for the store's records of the submission; the answer is under way.
-    Ask(#[generator(0..READERS)] usize),
-    /// The answer comes; some records beyond its end may be missing from it.
+    /// A reader requests the submission's records from the store.
+    Request(#[generator(0..READERS)] usize),
+    /// The response arrives; a record after the requested end may be missing from it.
     Load {
         #[generator(0..READERS)]
         reader: usize,
-        torn: bool,
+        is_incomplete: bool,
     },
-    /// A reader reads on in the log.
+    /// A reader applies the new records of the log.
     Follow(#[generator(0..READERS)] usize),
-    /// A reader's view is lost.
+    /// A reader loses its state.
     Forget(#[generator(0..READERS)] usize),
 }
 
@@ -65,10 +63,10 @@
         self.log.iter().filter(is_newest).cloned().collect()
     }
 
-    /// The outputs by position.
+    /// The expected outputs by position, from the first `until` records.
     fn positions(&self, until: usize) -> Vec<String> {
         let mut ledger = Ledger::default();
-        ledger.begin(&"s".into(), 0);
+        ledger.track(&"s".into(), 0);
         ledger.load("s", Vec::new(), 0);
         for entry in &self.log[..until] {
             ledger.apply(entry.clone());
@@ -81,8 +79,8 @@
 struct Reader {
     ledger: Ledger,
     next: usize,
-    /// The end that the store had when it was asked.
-    asked: Option<u64>,
+    /// The end of the log at the time of the pending request.
+    requested_end: Option<u64>,
 }
 
 fn outputs(ledger: &Ledger) -> Option<Vec<String>> {
@@ -126,7 +124,7 @@
     }
 }
 
-fn play(store: &mut Store, readers: &mut [Reader], step: &Step) {
+fn apply_step(store: &mut Store, readers: &mut [Reader], step: &Step) {
     match step {
         Step::Append { item, writer } => store.append(result(*item, *writer)),
         Step::Repeat => {
@@ -137,17 +135,20 @@
         Step::End => store.append(LedgerRecord::End {
             submission: "s".into(),
         }),
-        Step::Ask(reader) => {
+        Step::Request(reader) => {
             let reader = &mut readers[*reader];
-            reader.ledger.begin(&"s".into(), 0);
-            reader.asked = Some(store.log.len() as u64);
+            reader.ledger.track(&"s".into(), 0);
+            reader.requested_end = Some(store.log.len() as u64);
         }
-        Step::Load { reader, torn } => {
+        Step::Load {
+            reader,
+            is_incomplete,
+        } => {
             let reader = &mut readers[*reader];
-            if let Some(end) = reader.asked.take() {
+            if let Some(end) = reader.requested_end.take() {
                 let mut newest = store.newest();
-                if *torn {
-                    // Of two records after the end, the earlier one is missed.
+                if *is_incomplete {
+                    // Drops the first record after the end.
                     let after_end = newest.iter().position(|entry| entry.0 >= end);
                     after_end.map(|at| newest.remove(at));
                 }
@@ -163,10 +164,10 @@
         }
         Step::Forget(reader) => {
             let reader = &mut readers[*reader];
-            reader.ledger.forget(|_| true);
-            // It goes on at the end of the log.
+            reader.ledger.remove_if(|_| true);
+            // Following resumes at the end of the log.
             reader.next = store.log.len();
-            reader.asked = None;
+            reader.requested_end = None;
         }
     }
 }
@@ -181,11 +182,11 @@
             store.append(submission());
             let mut readers: Vec<Reader> = (0..READERS).map(|_| Reader::default()).collect();
             for step in steps {
-                play(&mut store, &mut readers, step);
-                let truth = store.positions(store.log.len());
+                apply_step(&mut store, &mut readers, step);
+                let expected = store.positions(store.log.len());
                 for reader in &readers {
                     let seen = outputs(&reader.ledger).unwrap_or_default();
-                    assert!(truth.starts_with(&seen), "{seen:?} of {truth:?}");
+                    assert!(expected.starts_with(&seen), "{seen:?} of {expected:?}");
                 }
             }
             for reader in &mut readers {
--- a/crates/borageshore_batch/tests/swaps.rs
+++ b/crates/borageshore_batch/tests/swaps.rs
@@ -1,9 +1,9 @@
-//! Which engines load which weights.
+//! Planning of weight loads on engines.
 
 use std::sync::Arc;
 
 use borageshore_batch::{
-    Demand, EngineState, EngineVersions, IndexEntry, ModelTarget, NamedVersion, SwapLimits,
+    Demand, EngineState, EngineVersions, IndexEntry, ModelTarget, ModelVersion, SwapLimits,
     plan_round,
 };
 
@@ -24,7 +24,7 @@
 
 fn target(model: &str, version: u64, demand_tokens: u64) -> ModelTarget {
     ModelTarget {
-        named: NamedVersion {
+        target: ModelVersion {
             model: model.into(),
             version,
         },
@@ -38,12 +38,12 @@
 fn versions(of: &[(&str, &str, u64)]) -> EngineVersions {
     let mut versions = EngineVersions::default();
     for (engine, model, version) in of {
-        versions.learn(&Arc::from(*engine), &Arc::from(*model), *version);
+        versions.observe(&Arc::from(*engine), &Arc::from(*model), *version);
     }
     versions
 }
 
-/// Loads round after round until nothing is planned; returns the loads.
+/// Plans and applies rounds until none is planned; returns the number of loads.
 fn settle(engines: &[EngineState], versions: &mut EngineVersions, models: &[ModelTarget]) -> usize {
     let mut loads = 0;
     loop {
@@ -53,7 +53,7 @@
         }
         assert!(round.len() <= 2);
         for (engine, named) in round {
-            versions.learn(&engine, &named.model, named.version);
+            versions.observe(&engine, &named.model, named.version);
             loads += 1;
         }
     }
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_engine_that_loads_is_left_alone_and_takes_a_place() {
+fn a_loading_engine_gets_no_order_and_counts_as_a_load() {
     let mut engines = engines(4);
     engines[0].is_loading = true;
     let round = plan_round(
@@ -103,16 +103,15 @@
     assert_ne!(&*round[0].0, "e0");
 }
 
-// Nine engines, two models, a version of each in four seconds, two loads at once of a second each:
-// if every engine loads every version, the loads take nine seconds of four.
-// Each version moves a share, the oldest first, and no engine falls behind by two for long.
+// Guards against loading every version on every engine: with nine engines, two models, and two concurrent loads of a
+// second each, that takes 9 s while new versions come every 4 s.
 #[test]
 fn each_version_moves_a_share_and_no_engine_is_two_behind() {
     let engines = engines(9);
     let mut versions = EngineVersions::default();
     for engine in &engines {
         for model in ["a", "b"] {
-            versions.learn(&engine.instance, &model.into(), 1);
+            versions.observe(&engine.instance, &model.into(), 1);
         }
     }
     let mut loads = Vec::new();
@@ -161,7 +160,7 @@
 }
 
 #[test]
-fn an_engine_that_another_holder_ordered_waits_and_takes_no_place() {
+fn an_engine_leased_to_another_holder_gets_no_order_and_counts_as_no_load() {
     let mut engines = engines(4);
     engines[0].is_leased = true;
     let models = [target("m", 2, 1)];
@@ -170,8 +169,8 @@
     assert_eq!(names, ["e1", "e2"]);
 }
 
-// Weights are loaded on 1,500 engines with each version, for a step of 264 items and one of 192: the weight store is
-// busy with them for longer than a step takes, and engines lose what they have cached.
+// Guards against loading each version on far more engines than there are items, which overloads the weight store and
+// clears the engines' caches.
 #[test]
 fn no_more_engines_load_than_the_items_can_use() {
     let model = |name: &str, items: u64| ModelTarget {
--- a/crates/borageshore_batch/tests/text.rs
+++ b/crates/borageshore_batch/tests/text.rs
@@ -1,6 +1,6 @@
-//! Texts joined from the events of several runs.
+//! Texts assembled from the events of several runs.
 
-use borageshore_batch::{Text, TextFault};
+use borageshore_batch::{Text, TextError};
 
 fn text(events: &[(u64, &'static str, Option<u64>)]) -> Text {
     let mut text = Text::default();
@@ -29,31 +29,29 @@
         assert_eq!(text.versions(), [6]);
     }
 
-    a_missing_event_is_a_fault => {
+    a_missing_event_is_an_error => {
         let mut text = text(&[(1, "a", Some(6))]);
-        assert_eq!(text.push(3, "c".into(), Some(6)), Err(TextFault::Gap));
+        assert_eq!(text.push(3, "c".into(), Some(6)), Err(TextError::Gap));
     }
 
     an_event_of_an_unknown_version_is_not_taken => {
         let mut text = Text::default();
-        assert_eq!(text.push(1, "a".into(), None), Err(TextFault::NoVersion));
+        assert_eq!(text.push(1, "a".into(), None), Err(TextError::NoVersion));
         assert!(text.is_empty());
     }
 
-    // A step stands still until its trainer gives up after 12 s, though all texts are made.
-    // An engine was lost after the last event and before the end of its stream; the next one, asked
-    // to go on after that event, had nothing to make and named no version, which was taken for a
-    // fault, again and again.
+    // Guards against endless retries after an engine is lost between the last event and the end of its stream: the
+    // engine that resumes the text generates nothing and reports no version.
     a_run_that_goes_on_after_the_last_event_needs_no_version => {
         let mut text = text(&[(1, "a", Some(6)), (2, "b", Some(6))]);
-        text.complete();
+        text.mark_complete();
         assert!(text.is_complete());
         assert_eq!(text.output(), "a\nb");
     }
 
     a_text_fits_if_no_event_is_older => {
         let text = text(&[(1, "a", Some(6)), (2, "b", Some(7))]);
-        assert!(text.fits(6));
-        assert!(!text.fits(7));
+        assert!(text.meets_min_version(6));
+        assert!(!text.meets_min_version(7));
     }
 }
--- a/crates/borageshore_batch/tests/text_pieces.rs
+++ b/crates/borageshore_batch/tests/text_pieces.rs
@@ -1,8 +1,7 @@
-//! Texts under way against an oracle: whatever is lost, doubled, late or foreign in the store, a text that
-//! is joined is the beginning of one that a run made, under the versions that made it.
+//! Fuzzes the joining of stored pieces: whatever is lost, duplicated, late or foreign in the store, a joined text is a
+//! prefix of the text of one run, with its versions.
 //!
-//! A trainer learns from a text that no engine wrote. Its daemon ended; the pieces that it had stored came
-//! twice, late, or with one missing between them, and were joined with those of another run.
+//! Guards against training on a text that no engine generated.
 
 use std::sync::Arc;
 
@@ -13,32 +12,32 @@
 const RUNS: usize = 4;
 const ITERATIONS: usize = 3_000;
 
-/// One step of two daemons that each run an item twice.
+/// One step of two daemons that each run the same item twice.
 #[derive(Debug, Clone, TypeGenerator)]
 enum Step {
-    /// A run makes an event under the present version.
-    Make(#[generator(0..RUNS)] usize),
+    /// A run generates an event with the current version.
+    Generate(#[generator(0..RUNS)] usize),
     /// New weights are loaded.
-    Load,
-    /// A run stores what it has not stored yet.
+    LoadWeights,
+    /// A run appends its events that are not stored yet.
     Store {
         #[generator(0..RUNS)]
         run: usize,
         outcome: Outcome,
     },
-    /// An append whose answer was lost is carried out only now.
-    CarryOut,
-    /// The store forgets its oldest record.
-    ForgetOldest,
-    /// Another writer appends bytes that are none of ours.
+    /// A delayed append reaches the store.
+    DeliverLate,
+    /// The store drops its oldest record.
+    DropOldest,
+    /// Another writer appends a record that is not a batch.
     Foreign(u8),
 }
 
 #[derive(Debug, Clone, Copy, TypeGenerator)]
 enum Outcome {
     Done,
-    DoneWithoutAnswer,
-    LateWithoutAnswer,
+    DoneUnacknowledged,
+    LateUnacknowledged,
     Lost,
 }
 
@@ -49,14 +48,14 @@
 }
 
 #[derive(Debug, Default)]
-struct World {
+struct Simulation {
     version: u64,
     runs: [Run; RUNS],
     log: Vec<Bytes>,
     late: Vec<Bytes>,
 }
 
-impl World {
+impl Simulation {
     fn piece(&self, run: usize) -> Bytes {
         let made = &self.runs[run];
         let new = &made.events[made.stored..];
@@ -78,17 +77,17 @@
         batch.encode()
     }
 
-    fn take(&mut self, step: &Step) {
+    fn apply(&mut self, step: &Step) {
         match step {
-            Step::Make(run) => {
+            Step::Generate(run) => {
                 let event = self.runs[*run].events.len() + 1;
                 let made = (format!("event {event} of run {run}"), self.version);
                 self.runs[*run].events.push(made);
             }
-            Step::Load => self.version += 1,
+            Step::LoadWeights => self.version += 1,
             Step::Store { run, outcome } => self.store(*run, *outcome),
-            Step::CarryOut => self.log.extend(self.late.pop()),
-            Step::ForgetOldest => {
+            Step::DeliverLate => self.log.extend(self.late.pop()),
+            Step::DropOldest => {
                 if !self.log.is_empty() {
                     self.log.remove(0);
                 }
@@ -104,8 +103,8 @@
                 self.log.push(record);
                 self.runs[run].stored = self.runs[run].events.len();
             }
-            Outcome::DoneWithoutAnswer => self.log.push(record),
-            Outcome::LateWithoutAnswer => self.late.push(record),
+            Outcome::DoneUnacknowledged => self.log.push(record),
+            Outcome::LateUnacknowledged => self.late.push(record),
             Outcome::Lost => {}
         }
     }
@@ -122,12 +121,12 @@
         joiner.texts()
     }
 
-    /// Says whether a text is the beginning of a run's, under the versions of just these events.
-    fn was_made(&self, text: &Text) -> bool {
+    /// Returns whether a text is a prefix of a run's text, with exactly the versions of these events.
+    fn is_run_prefix(&self, text: &Text) -> bool {
         self.runs.iter().any(|run| {
-            let begun = run.events.get(..text.events().len()).unwrap_or_default();
-            let data = begun.iter().map(|(data, _)| data.as_bytes());
-            let mut versions: Vec<u64> = begun.iter().map(|(_, version)| *version).collect();
+            let prefix = run.events.get(..text.events().len()).unwrap_or_default();
+            let data = prefix.iter().map(|(data, _)| data.as_bytes());
+            let mut versions: Vec<u64> = prefix.iter().map(|(_, version)| *version).collect();
             versions.dedup();
             data.eq(text.events().iter().map(|event| &event[..])) && versions == text.versions()
         })
@@ -141,48 +140,48 @@
 }
 
 cases! {
-    a_joined_text_is_the_beginning_of_a_run => {
+    a_joined_text_is_a_prefix_of_a_run => {
         check!()
             .with_iterations(ITERATIONS)
             .with_generator(produce::<Vec<Step>>())
             .for_each(|steps| {
-                let mut world = World::default();
+                let mut simulation = Simulation::default();
                 for step in steps {
-                    world.take(step);
+                    simulation.apply(step);
                 }
-                for (_, text) in world.joined() {
-                    assert!(text.is_empty() || world.was_made(&text), "{text:?}\n{world:?}");
+                for (_, text) in simulation.joined() {
+                    assert!(text.is_empty() || simulation.is_run_prefix(&text), "{text:?}\n{simulation:?}");
                 }
             });
     }
 
-    what_was_stored_is_all_there => {
-        let mut world = World::default();
+    all_stored_events_are_joined => {
+        let mut simulation = Simulation::default();
         for _ in 0..3 {
-            world.take(&Step::Make(0));
-            world.take(&Step::Store { run: 0, outcome: Outcome::Done });
+            simulation.apply(&Step::Generate(0));
+            simulation.apply(&Step::Store { run: 0, outcome: Outcome::Done });
         }
-        let texts = world.joined();
+        let texts = simulation.joined();
         assert_eq!(texts[0].1.last_event(), 3);
     }
 
-    // A step of 12 s: the append that began a run was lost, and all that came after it was of no use.
-    a_piece_that_got_no_answer_is_stored_again_with_the_next => {
-        let mut world = World::default();
-        world.take(&Step::Make(0));
-        world.take(&Step::Store { run: 0, outcome: Outcome::Lost });
-        world.take(&Step::Make(0));
-        world.take(&Step::Store { run: 0, outcome: Outcome::Done });
-        assert_eq!(world.joined()[0].1.last_event(), 2);
+    // Guards against a lost first append that makes all later pieces of the run useless.
+    an_unacknowledged_piece_is_stored_again_with_the_next => {
+        let mut simulation = Simulation::default();
+        simulation.apply(&Step::Generate(0));
+        simulation.apply(&Step::Store { run: 0, outcome: Outcome::Lost });
+        simulation.apply(&Step::Generate(0));
+        simulation.apply(&Step::Store { run: 0, outcome: Outcome::Done });
+        assert_eq!(simulation.joined()[0].1.last_event(), 2);
     }
 
     the_longest_text_of_an_item_comes_first => {
-        let mut world = World::default();
+        let mut simulation = Simulation::default();
         for run in [0, 3, 3] {
-            world.take(&Step::Make(run));
-            world.take(&Step::Store { run, outcome: Outcome::Done });
+            simulation.apply(&Step::Generate(run));
+            simulation.apply(&Step::Store { run, outcome: Outcome::Done });
         }
-        let lengths: Vec<u64> = world.joined().iter().map(|(_, text)| text.last_event()).collect();
+        let lengths: Vec<u64> = simulation.joined().iter().map(|(_, text)| text.last_event()).collect();
         assert_eq!(lengths, [2, 1]);
     }
 }
--- a/crates/borageshore_gateway/src/endpoints/mod.rs
+++ b/crates/borageshore_gateway/src/endpoints/mod.rs
@@ -10,7 +10,7 @@
 };
 
 use borageshore_base::SortedMap;
-use borageshore_batch::{EngineVersions, EngineView, NamedVersion, Paces};
+use borageshore_batch::{EngineVersions, EngineView, EventLatencies, ModelVersion};
 use borageshore_net::Clock;
 use borageshore_platform::{EndpointClient, EndpointEntry, EndpointTarget};
 use borageshore_routing::{
@@ -32,7 +32,7 @@
 /// What an engine was told to load.
 #[derive(Debug, Clone)]
 struct Loading {
-    target: NamedVersion,
+    target: ModelVersion,
     /// The order is taken for lost then.
     until_ms: u64,
 }
@@ -55,7 +55,7 @@
     targets: RefCell<SortedMap<Arc<str>, EndpointTarget>>,
     versions: RefCell<EngineVersions>,
     loading: RefCell<SortedMap<Arc<str>, Loading>>,
-    paces: RefCell<Paces>,
+    paces: RefCell<EventLatencies>,
     /// Whether an entry changed since the table was brought up to date.
     is_changed: Cell<bool>,
     read_at_ms: Cell<u64>,
@@ -166,7 +166,7 @@
         let table = self.table.borrow();
         let versions = self.versions.borrow();
         let paces = self.paces.borrow();
-        let usual_us = paces.usual_us(now_ms);
+        let median_us = paces.median_us(now_ms);
         table
             .usable(service, now_ms)
             .map(|endpoint| {
@@ -177,8 +177,8 @@
                     load: endpoint.load(now_ms),
                     version: model.map_or(0, |model| versions.get(instance, model)),
                     is_loading: self.is_loading(instance),
-                    pace_percent: paces.percent(instance, usual_us, now_ms),
-                    is_near: endpoint.listing.zone == self.zone,
+                    latency_percent: paces.percent_of_median(instance, median_us, now_ms),
+                    is_same_zone: endpoint.listing.zone == self.zone,
                     has_group: false,
                 }
             })
@@ -227,12 +227,12 @@
 
     /// Takes over the version of a model at an engine.
     pub(crate) fn on_version(&self, instance: &Arc<str>, model: &Arc<str>, version: u64) {
-        self.versions.borrow_mut().learn(instance, model, version);
+        self.versions.borrow_mut().observe(instance, model, version);
         self.changed.notify_waiters();
     }
 
     /// Notes that an engine is told to load a version.
-    pub(crate) fn on_load_ordered(&self, instance: &Arc<str>, target: NamedVersion) {
+    pub(crate) fn on_load_ordered(&self, instance: &Arc<str>, target: ModelVersion) {
         let until_ms = self.clock.now_ms() + LOADING_AT_MOST_MS;
         let loading = Loading { target, until_ms };
         self.loading.borrow_mut().insert(instance.clone(), loading);
@@ -263,9 +263,7 @@
     pub(crate) fn on_event_gap(&self, instance: &Arc<str>, gap_us: u64) {
         if self.mechanisms.has(Mechanism::Pace) {
             let now_ms = self.clock.now_ms();
-            self.paces
-                .borrow_mut()
-                .on_event_gap(instance, gap_us, now_ms);
+            self.paces.borrow_mut().record(instance, gap_us, now_ms);
         }
     }
 
@@ -273,7 +271,7 @@
     pub(crate) fn pace_of(&self, instance: &Arc<str>) -> u64 {
         let now_ms = self.clock.now_ms();
         let paces = self.paces.borrow();
-        paces.percent(instance, paces.usual_us(now_ms), now_ms)
+        paces.percent_of_median(instance, paces.median_us(now_ms), now_ms)
     }
 }
 
