--- a/crates/borageshore_settings/src/file.rs
+++ b/crates/borageshore_settings/src/file.rs
@@ -126,7 +126,7 @@
 }
 
 fn check_as_tree(file: &str, settings: &[FileSetting]) -> Option<FileFault> {
-    let edits = edits_against(&SettingsTree::default(), settings);
+    let edits = edits_to_apply(&SettingsTree::default(), settings);
     let change = SettingsChange {
         actor: "check".into(),
         reason: "check".into(),
@@ -147,7 +147,7 @@
 }
 
 /// The edits that bring a tree to what a file says; keys that the file leaves out stay as they are.
-pub fn edits_against(tree: &SettingsTree, settings: &[FileSetting]) -> Vec<Edit> {
+pub fn edits_to_apply(tree: &SettingsTree, settings: &[FileSetting]) -> Vec<Edit> {
     let differs =
         |setting: &&FileSetting| tree.own(&setting.node, &setting.key) != Some(&setting.value);
     let to_edit = |setting: &FileSetting| Edit {
--- a/examples/explain_settings.rs
+++ b/examples/explain_settings.rs
@@ -6,7 +6,7 @@
     log::{Envelope, Fold},
     settings::{
         SCHEMA, SettingsChange, SettingsFold, SettingsRecord, SettingsTree, check_settings_file,
-        edits_against,
+        edits_to_apply,
     },
 };
 
@@ -16,7 +16,7 @@
     let change = SettingsChange {
         actor: "example".into(),
         reason: "show inheritance".into(),
-        edits: edits_against(&SettingsTree::default(), &settings),
+        edits: edits_to_apply(&SettingsTree::default(), &settings),
     };
     let mut fold = SettingsFold::default();
     let body = SettingsRecord::Change(change);
