--- a/crates/borageshore_daemon/src/config.rs
+++ b/crates/borageshore_daemon/src/config.rs
@@ -3,7 +3,7 @@
 use std::{fmt, sync::Arc};
 
 use borageshore_base::{Fault, ResultCode};
-use borageshore_settings::{FileFault, malformed};
+use borageshore_settings::{FileFault, malformed_file};
 use serde::Deserialize;
 use subtle::ConstantTimeEq;
 
@@ -77,7 +77,7 @@
     /// Reads and checks the text of a file; a fault names the file, the line and the field.
     pub fn parse(file: &str, text: &str) -> Result<Self, FileFault> {
         let config: Config =
-            serde_saphyr::from_str(text).map_err(|error| malformed(file, &error))?;
+            serde_saphyr::from_str(text).map_err(|error| malformed_file(file, &error))?;
         config.check().map_err(|fault| FileFault {
             file: file.into(),
             line: None,
--- a/crates/borageshore_gateway/src/config.rs
+++ b/crates/borageshore_gateway/src/config.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use borageshore_base::{Fault, ResultCode};
-use borageshore_settings::{FileFault, malformed};
+use borageshore_settings::{FileFault, malformed_file};
 use borageshore_usage::UsageTimes;
 use serde::Deserialize;
 
@@ -90,7 +90,8 @@
 impl GatewayConfig {
     /// Reads the text of a file; a fault names the file, the line and the field.
     pub fn parse(file: &str, text: &str) -> Result<Self, FileFault> {
-        let config: Self = serde_saphyr::from_str(text).map_err(|error| malformed(file, &error))?;
+        let config: Self =
+            serde_saphyr::from_str(text).map_err(|error| malformed_file(file, &error))?;
         let checked = config.duties.as_ref().map_or(Ok(()), DutyConfig::check);
         checked.map_err(|reason| FileFault {
             file: file.into(),
--- a/crates/borageshore_settings/src/file.rs
+++ b/crates/borageshore_settings/src/file.rs
@@ -65,7 +65,7 @@
 /// Reads a settings file and checks each key by itself; returns every fault found.
 pub fn parse_settings_file(file: &str, text: &str) -> Result<Vec<FileSetting>, Vec<FileFault>> {
     let parsed: SettingsFile =
-        serde_saphyr::from_str(text).map_err(|error| vec![malformed(file, &error)])?;
+        serde_saphyr::from_str(text).map_err(|error| vec![malformed_file(file, &error)])?;
     let settings = flatten(parsed);
     let mut faults: Vec<FileFault> = Vec::new();
     for setting in &settings {
@@ -96,7 +96,7 @@
 }
 
 /// The fault of a file that is no YAML or has not the expected shape.
-pub fn malformed(file: &str, error: &serde_saphyr::Error) -> FileFault {
+pub fn malformed_file(file: &str, error: &serde_saphyr::Error) -> FileFault {
     let line = error.location().map(|location| location.line());
     let whole = error.to_string();
     // The rest is an excerpt of the file.
--- a/crates/borageshore_settings/src/lib.rs
+++ b/crates/borageshore_settings/src/lib.rs
@@ -25,7 +25,8 @@
     audit::{AuditEntry, AuditedEdit, Verdict},
     change::{Edit, SettingsChange, SettingsRecord},
     file::{
-        FileFault, FileSetting, check_settings_file, edits_to_apply, malformed, parse_settings_file,
+        FileFault, FileSetting, check_settings_file, edits_to_apply, malformed_file,
+        parse_settings_file,
     },
     fold::{SettingsFold, SettingsSnapshot},
     schema::{Inheritance, KeySpec, NodeKind, SCHEMA, ValueSpec, key_spec},
