--- a/crates/borageshore_settings/src/schema.rs
+++ b/crates/borageshore_settings/src/schema.rs
@@ -35,16 +35,16 @@
     /// A whole number within bounds, both inclusive.
     Integer {
         /// The smallest value.
-        least: u64,
+        minimum: u64,
         /// The largest value.
-        most: u64,
+        maximum: u64,
     },
     /// One of some words.
     Choice(&'static [&'static str]),
     /// Free text up to a length in bytes.
     Text {
         /// The longest text.
-        most_bytes: usize,
+        max_bytes: usize,
     },
     /// The name of any node.
     NodeName,
@@ -94,8 +94,8 @@
     }
 }
 
-const fn range(least: u64, most: u64) -> ValueSpec {
-    ValueSpec::Integer { least, most }
+const fn range(minimum: u64, maximum: u64) -> ValueSpec {
+    ValueSpec::Integer { minimum, maximum }
 }
 
 use Inheritance::{Inherited, Own, RootOnly};
@@ -127,7 +127,7 @@
     ),
     key(
         "description",
-        ValueSpec::Text { most_bytes: 512 },
+        ValueSpec::Text { max_bytes: 512 },
         Own,
         None,
         "A note for operators.",
@@ -204,7 +204,7 @@
     ),
     key(
         "prompt",
-        ValueSpec::Text { most_bytes: 4_096 },
+        ValueSpec::Text { max_bytes: 4_096 },
         Inherited,
         None,
         "The prompt of a job's groups; {job} and {group} are replaced.",
--- a/crates/borageshore_settings/src/validate.rs
+++ b/crates/borageshore_settings/src/validate.rs
@@ -35,11 +35,11 @@
 
 fn check_against(spec: &KeySpec, value: &SettingValue) -> Result<(), Fault> {
     match (spec.values, value) {
-        (ValueSpec::Integer { least, most }, SettingValue::Integer(number)) => {
-            if (least..=most).contains(number) {
+        (ValueSpec::Integer { minimum, maximum }, SettingValue::Integer(number)) => {
+            if (minimum..=maximum).contains(number) {
                 return Ok(());
             }
-            let detail = format!("{number} is not within {least} to {most}");
+            let detail = format!("{number} is not within {minimum} to {maximum}");
             Err(Fault::new(ResultCode::OutOfRange, detail))
         }
         (ValueSpec::Integer { .. }, other) => {
@@ -51,8 +51,8 @@
             let detail = format!("'{other}' is not one of {}", words.join(", "));
             Err(Fault::new(ResultCode::OutOfRange, detail))
         }
-        (ValueSpec::Text { most_bytes }, SettingValue::Text(text)) if text.len() > most_bytes => {
-            let detail = format!("{} bytes are more than {most_bytes}", text.len());
+        (ValueSpec::Text { max_bytes }, SettingValue::Text(text)) if text.len() > max_bytes => {
+            let detail = format!("{} bytes are more than {max_bytes}", text.len());
             Err(Fault::new(ResultCode::OutOfRange, detail))
         }
         (_, SettingValue::Text(_)) => Ok(()),
--- a/examples/reference_tables.rs
+++ b/examples/reference_tables.rs
@@ -27,12 +27,12 @@
     for spec in SCHEMA {
         let values = match spec.values {
             ValueSpec::Integer {
-                least,
-                most: u64::MAX,
-            } => format!("{least} or more"),
-            ValueSpec::Integer { least, most } => format!("{least} to {most}"),
+                minimum,
+                maximum: u64::MAX,
+            } => format!("{minimum} or more"),
+            ValueSpec::Integer { minimum, maximum } => format!("{minimum} to {maximum}"),
             ValueSpec::Choice(words) => words.join(", "),
-            ValueSpec::Text { most_bytes } => format!("text, up to {most_bytes} bytes"),
+            ValueSpec::Text { max_bytes } => format!("text, up to {max_bytes} bytes"),
             ValueSpec::NodeName => "a node".into(),
             ValueSpec::ServiceName => "a service node".into(),
         };
