--- a/crates/borageshore_settings/src/schema.rs
+++ b/crates/borageshore_settings/src/schema.rs
@@ -58,7 +58,7 @@
     /// Children inherit unless they override.
     Inherited,
     /// The key speaks of its own node only.
-    Own,
+    NodeOnly,
     /// The key speaks of all daemons and is set at the root only.
     RootOnly,
 }
@@ -98,7 +98,7 @@
     ValueSpec::Integer { minimum, maximum }
 }
 
-use Inheritance::{Inherited, Own, RootOnly};
+use Inheritance::{Inherited, NodeOnly, RootOnly};
 
 const MAX_MS: u64 = 86_400_000;
 
@@ -128,7 +128,7 @@
     key(
         "description",
         ValueSpec::Text { max_bytes: 512 },
-        Own,
+        NodeOnly,
         None,
         "A note for operators.",
     ),
@@ -163,7 +163,7 @@
     key(
         "kind",
         ValueSpec::Choice(NodeKind::NAMES),
-        Own,
+        NodeOnly,
         Some("folder"),
         "What the node stands for.",
     ),
@@ -198,7 +198,7 @@
     key(
         "parent",
         ValueSpec::NodeName,
-        Own,
+        NodeOnly,
         None,
         "The node that this node inherits from; a node exists while it has one.",
     ),
@@ -212,7 +212,7 @@
     key(
         "protocol",
         ValueSpec::Choice(&["engine", "plain"]),
-        Own,
+        NodeOnly,
         Some("engine"),
         "How the service's endpoints are spoken to.",
     ),
@@ -310,7 +310,7 @@
     key(
         "weights_version",
         range(0, u64::MAX),
-        Own,
+        NodeOnly,
         Some("0"),
         "The newest weight version that a job's trainer published.",
     ),
--- a/crates/borageshore_settings/src/tree.rs
+++ b/crates/borageshore_settings/src/tree.rs
@@ -126,7 +126,7 @@
                     revision: *revision,
                 });
             }
-            if spec.inheritance == Inheritance::Own {
+            if spec.inheritance == Inheritance::NodeOnly {
                 break;
             }
             match self.parent(at) {
--- a/examples/reference_tables.rs
+++ b/examples/reference_tables.rs
@@ -38,7 +38,7 @@
         };
         let place = match spec.inheritance {
             Inheritance::Inherited => "any node, inherited",
-            Inheritance::Own => "its own node",
+            Inheritance::NodeOnly => "its own node",
             Inheritance::RootOnly => "root only",
         };
         println!(
