--- a/crates/borageshore_daemon/src/generation.rs
+++ b/crates/borageshore_daemon/src/generation.rs
@@ -257,7 +257,7 @@
     loop {
         match chunks.next_chunk(chunk_timeout_ms).await {
             Err(error) => {
-                daemon.http.distrust(&address);
+                daemon.http.discard_idle(&address);
                 return AttemptEnd::Failed(error);
             }
             Ok(None) => {
--- a/crates/borageshore_net/src/client.rs
+++ b/crates/borageshore_net/src/client.rs
@@ -71,7 +71,7 @@
 /// A client with a pool of idle connections by address.
 ///
 /// Guards against connections that went silent for good: after a time-out all idle connections to
-/// that address are dropped ([`HttpClient::distrust`]), so the next request opens a new one.
+/// that address are dropped ([`HttpClient::discard_idle`]), so the next request opens a new one.
 #[derive(Debug, Clone, Default)]
 pub struct HttpClient {
     idle: Rc<RefCell<SortedMap<Arc<str>, Vec<Connection>>>>,
@@ -84,7 +84,7 @@
     }
 
     /// Drops the idle connections to an address.
-    pub fn distrust(&self, address: &str) {
+    pub fn discard_idle(&self, address: &str) {
         self.idle.borrow_mut().remove(address);
     }
 
@@ -190,7 +190,7 @@
             .await
             .inspect_err(|error| {
                 if !matches!(error, CallError::NotSent(_)) {
-                    self.distrust(address);
+                    self.discard_idle(address);
                 }
             })?;
         let status = response.status();
