--- a/crates/borageshore_daemon/src/platform/engine.rs
+++ b/crates/borageshore_daemon/src/platform/engine.rs
@@ -254,7 +254,7 @@
     fn release(mut self) {
         monoio::spawn(async move {
             if let Some(None) = within_ms(RELEASE_MS, self.body.frame()).await {
-                self.http.keep(&self.address, self.sender);
+                self.http.return_to_pool(&self.address, self.sender);
             }
         });
     }
--- a/crates/borageshore_daemon/src/platform/plain.rs
+++ b/crates/borageshore_daemon/src/platform/plain.rs
@@ -83,7 +83,7 @@
         Some(Err(error)) => return Err(CallError::NoAnswer(error.to_string())),
         None => return Err(CallError::NoAnswer("the body took too long".into())),
     };
-    http.keep(address, sender);
+    http.return_to_pool(address, sender);
     if is_refusal {
         // The endpoint's own word that nothing ran: a new attempt, refused before hand-over.
         *attempt = Attempt::open();
--- a/crates/borageshore_net/src/client.rs
+++ b/crates/borageshore_net/src/client.rs
@@ -167,7 +167,7 @@
     }
 
     /// Keeps a connection whose answer was read to the end.
-    pub fn keep(&self, address: &str, connection: Connection) {
+    pub fn return_to_pool(&self, address: &str, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_or_insert_with(address.into(), Vec::new);
         connections.retain(|connection| !connection.sender.is_closed());
@@ -195,7 +195,7 @@
             })?;
         let status = response.status();
         let body = collect(response.into_body(), timeouts.first_byte_ms).await?;
-        self.keep(address, connection);
+        self.return_to_pool(address, connection);
         Ok((status, body))
     }
 
--- a/crates/borageshore_soak/src/traffic.rs
+++ b/crates/borageshore_soak/src/traffic.rs
@@ -189,7 +189,7 @@
         }
         match body {
             Some(Ok(body)) => {
-                client.keep(&address, connection);
+                client.return_to_pool(&address, connection);
                 Ok((head.status, body.to_bytes()))
             }
             Some(Err(error)) => Err(body_error(&error)),
--- a/crates/borageshore_standins/src/callers.rs
+++ b/crates/borageshore_standins/src/callers.rs
@@ -236,7 +236,7 @@
                 Ok((sender, response)) if response.status() == StatusCode::OK => {
                     let end = read_stream(response, &prompt, max_tokens).await;
                     self.on_stream_end(end, began_ms);
-                    self.shared.http.keep(&address, sender);
+                    self.shared.http.return_to_pool(&address, sender);
                     return;
                 }
                 Ok((_, response)) => {
@@ -344,7 +344,7 @@
             .ok()?;
         let ran = header(&response, "x-ran");
         response.into_body().collect().await.ok()?;
-        self.shared.http.keep(address, sender);
+        self.shared.http.return_to_pool(address, sender);
         ran
     }
 }
