--- a/crates/borageshore_daemon/src/platform/log_service.rs
+++ b/crates/borageshore_daemon/src/platform/log_service.rs
@@ -52,7 +52,7 @@
         let answer = self.http.call(&self.address, request, timeouts).await;
         answer.map_err(|error| match error {
             CallError::NotSent(why) => LogError::Refused(why),
-            CallError::NoAnswer(why) | CallError::Broken(why) => LogError::Unknown(why),
+            CallError::NoAnswer(why) | CallError::Disconnected(why) => LogError::Unknown(why),
         })
     }
 }
--- a/crates/borageshore_gateway/src/peers.rs
+++ b/crates/borageshore_gateway/src/peers.rs
@@ -83,7 +83,7 @@
                 // The peer says the same as this daemon: nothing of it runs.
                 Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::UNAUTHORIZED, _))
                 | Err(CallError::NotSent(_)) => {}
-                Ok(_) | Err(CallError::NoAnswer(_) | CallError::Broken(_)) => {
+                Ok(_) | Err(CallError::NoAnswer(_) | CallError::Disconnected(_)) => {
                     return HandedOn::Unknown;
                 }
             }
--- a/crates/borageshore_gateway/src/store_path.rs
+++ b/crates/borageshore_gateway/src/store_path.rs
@@ -158,7 +158,7 @@
             let way = self.inner.way.borrow();
             way.is_closed() || way.may_ask_peers(self.inner.clock.now_ms())
         };
-        let is_cut = call.is_append() && matches!(answer, Err(CallError::Broken(_)));
+        let is_cut = call.is_append() && matches!(answer, Err(CallError::Disconnected(_)));
         let may_ask = has_peers && (is_in_doubt || is_cut);
         if !may_ask || !end_of(&answer).may_go_on(call.is_idempotent) {
             return answer;
@@ -213,7 +213,7 @@
             CallEnd::Refused
         }
         Err(CallError::NotSent(_)) => CallEnd::Refused,
-        Ok(_) | Err(CallError::NoAnswer(_) | CallError::Broken(_)) => CallEnd::Lost,
+        Ok(_) | Err(CallError::NoAnswer(_) | CallError::Disconnected(_)) => CallEnd::Lost,
     }
 }
 
@@ -268,7 +268,7 @@
                 response
             }
             Err(CallError::NotSent(_)) => status(StatusCode::SERVICE_UNAVAILABLE),
-            Err(CallError::NoAnswer(_) | CallError::Broken(_)) => {
+            Err(CallError::NoAnswer(_) | CallError::Disconnected(_)) => {
                 status(StatusCode::GATEWAY_TIMEOUT)
             }
         }
--- a/crates/borageshore_net/src/client.rs
+++ b/crates/borageshore_net/src/client.rs
@@ -33,7 +33,7 @@
     NoAnswer(String),
     /// The request was handed over and its connection ended before the whole answer: the other side
     /// has ended, or something between the two has.
-    Broken(String),
+    Disconnected(String),
 }
 
 impl fmt::Display for CallError {
@@ -41,7 +41,7 @@
         match self {
             CallError::NotSent(why) => write!(f, "not sent: {why}"),
             CallError::NoAnswer(why) => write!(f, "no answer: {why}"),
-            CallError::Broken(why) => write!(f, "broken off: {why}"),
+            CallError::Disconnected(why) => write!(f, "broken off: {why}"),
         }
     }
 }
@@ -262,6 +262,6 @@
 pub fn no_whole_answer(error: &hyper::Error) -> CallError {
     match error.is_parse() {
         true => CallError::NoAnswer(error.to_string()),
-        false => CallError::Broken(error.to_string()),
+        false => CallError::Disconnected(error.to_string()),
     }
 }
--- a/crates/borageshore_standins/src/callers.rs
+++ b/crates/borageshore_standins/src/callers.rs
@@ -244,7 +244,7 @@
                     return;
                 }
                 Err(CallError::NotSent(_)) => self.shared.summary.borrow_mut().unreachable += 1,
-                Err(CallError::NoAnswer(_) | CallError::Broken(_)) => {
+                Err(CallError::NoAnswer(_) | CallError::Disconnected(_)) => {
                     self.shared.summary.borrow_mut().streams_cut += 1;
                     return;
                 }
