--- a/crates/borageshore_net/src/client.rs
+++ b/crates/borageshore_net/src/client.rs
@@ -159,7 +159,7 @@
                 // Hyper gives the request back only when no byte of it was written.
                 match error.take_message() {
                     Some(_) => Err(CallError::NotSent(error.into_error().to_string())),
-                    None => Err(no_whole_answer(&error.into_error())),
+                    None => Err(response_error(&error.into_error())),
                 }
             }
             None => Err(CallError::NoAnswer("no first byte in time".into())),
@@ -253,13 +253,13 @@
 /// Why a body could not be collected: its connection ended, or its bytes make no body.
 pub fn body_error(error: &(dyn std::error::Error + 'static)) -> CallError {
     match error.downcast_ref::<hyper::Error>() {
-        Some(error) => no_whole_answer(error),
+        Some(error) => response_error(error),
         None => CallError::NoAnswer(error.to_string()),
     }
 }
 
 /// Tells bytes that make no answer, of a side that lives, from the end of the connection.
-pub fn no_whole_answer(error: &hyper::Error) -> CallError {
+pub fn response_error(error: &hyper::Error) -> CallError {
     match error.is_parse() {
         true => CallError::NoAnswer(error.to_string()),
         false => CallError::Disconnected(error.to_string()),
