--- a/crates/borageshore_net/src/client.rs
+++ b/crates/borageshore_net/src/client.rs
@@ -245,13 +245,13 @@
     let collecting = Limited::new(body, COLLECTED_BODY_BYTES).collect();
     match within_ms(timeout_ms, collecting).await {
         Some(Ok(collected)) => Ok(collected.to_bytes()),
-        Some(Err(error)) => Err(body_error(&*error)),
+        Some(Err(error)) => Err(response_body_error(&*error)),
         None => Err(CallError::NoAnswer("the body took too long".into())),
     }
 }
 
 /// Why a body could not be collected: its connection ended, or its bytes make no body.
-pub fn body_error(error: &(dyn std::error::Error + 'static)) -> CallError {
+pub fn response_body_error(error: &(dyn std::error::Error + 'static)) -> CallError {
     match error.downcast_ref::<hyper::Error>() {
         Some(error) => response_error(error),
         None => CallError::NoAnswer(error.to_string()),
--- a/crates/borageshore_net/src/lib.rs
+++ b/crates/borageshore_net/src/lib.rs
@@ -11,7 +11,7 @@
 mod server;
 
 pub use self::{
-    client::{CallError, Connection, HttpClient, Timeouts, body_error, response_error},
+    client::{CallError, Connection, HttpClient, Timeouts, response_body_error, response_error},
     event_loop::{Clock, Deadline, boot_time_ms, run_event_loop, sleep_ms, within_ms},
     frame::{FrameError, read_frame, write_frame},
     server::{
--- a/crates/borageshore_soak/src/traffic.rs
+++ b/crates/borageshore_soak/src/traffic.rs
@@ -7,7 +7,9 @@
 };
 
 use base64::{Engine as _, prelude::BASE64_STANDARD};
-use borageshore_net::{CallError, Clock, HttpClient, Timeouts, body_error, sleep_ms, within_ms};
+use borageshore_net::{
+    CallError, Clock, HttpClient, Timeouts, response_body_error, sleep_ms, within_ms,
+};
 use borageshore_standins::platform::{CRASH_MARK, PlatformService, PlatformStore};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -192,7 +194,7 @@
                 client.return_to_pool(&address, connection);
                 Ok((head.status, body.to_bytes()))
             }
-            Some(Err(error)) => Err(body_error(&error)),
+            Some(Err(error)) => Err(response_body_error(&error)),
             None => Err(CallError::NoAnswer("the body took too long".into())),
         }
     }
