--- a/crates/borageshore_daemon/src/edge/generate.rs
+++ b/crates/borageshore_daemon/src/edge/generate.rs
@@ -154,7 +154,7 @@
 }
 
 struct StreamSink {
-    sender: http_body_util::channel::Sender<Bytes, borageshore_net::BodyError>,
+    sender: http_body_util::channel::Sender<Bytes, borageshore_net::StreamBodyError>,
     first: Option<oneshot::Sender<Result<(), GenerationFailure>>>,
     token_count: u64,
 }
--- a/crates/borageshore_net/src/server.rs
+++ b/crates/borageshore_net/src/server.rs
@@ -36,9 +36,9 @@
 const STREAM_BUFFER_CHUNKS: usize = 16;
 
 /// Why a streamed body was cut.
-pub type BodyError = io::Error;
+pub type StreamBodyError = io::Error;
 /// A body as the edge sends it: whole, or a stream with back-pressure.
-pub type EdgeBody = Either<Full<Bytes>, Channel<Bytes, BodyError>>;
+pub type EdgeBody = Either<Full<Bytes>, Channel<Bytes, StreamBodyError>>;
 /// A request as the edge receives it.
 pub type EdgeRequest = Request<Incoming>;
 /// A response as the edge sends it.
@@ -257,7 +257,7 @@
 }
 
 /// A streamed body and the end to write it with.
-pub fn stream_body() -> (Sender<Bytes, BodyError>, EdgeBody) {
+pub fn stream_body() -> (Sender<Bytes, StreamBodyError>, EdgeBody) {
     let (sender, channel) = Channel::new(STREAM_BUFFER_CHUNKS);
     (sender, Either::Right(channel))
 }
--- a/crates/borageshore_standins/src/engine.rs
+++ b/crates/borageshore_standins/src/engine.rs
@@ -7,8 +7,8 @@
     AdapterReport, EngineChunk, EngineOrder, EngineReport, EngineRequest,
 };
 use borageshore_net::{
-    BodyError, EdgeRequest, EdgeResponse, Handler, HttpClient, HttpServer, Timeouts, json_response,
-    sleep_ms, stream_body,
+    EdgeRequest, EdgeResponse, Handler, HttpClient, HttpServer, StreamBodyError, Timeouts,
+    json_response, sleep_ms, stream_body,
 };
 use bytes::Bytes;
 use http_body_util::channel::Sender;
@@ -347,7 +347,7 @@
 
 async fn write_chunks(
     mut received: mpsc::Receiver<EngineChunk>,
-    mut sender: Sender<Bytes, BodyError>,
+    mut sender: Sender<Bytes, StreamBodyError>,
 ) {
     while let Some(chunk) = received.recv().await {
         let is_last = chunk.token.is_none() && &*chunk.request_id != "another-request";
