--- a/crates/borageshore_daemon/src/edge/answer.rs
+++ b/crates/borageshore_daemon/src/edge/answer.rs
@@ -4,7 +4,7 @@
 
 use borageshore_api::FaultBody;
 use borageshore_base::{Fault, ResultCode};
-use borageshore_net::{BodyFault, EdgeRequest, EdgeResponse, ServerLimits, full_body, read_body};
+use borageshore_net::{BodyError, EdgeRequest, EdgeResponse, ServerLimits, full_body, read_body};
 use borageshore_routing::Outcome;
 use borageshore_settings::NodeKind;
 use bytes::Bytes;
@@ -149,12 +149,12 @@
 pub(crate) async fn body_of(request: EdgeRequest) -> Result<Bytes, Answer> {
     let read = read_body(request.into_body(), ServerLimits::default()).await;
     read.map_err(|fault| match fault {
-        BodyFault::TooLarge => Answer::refused(ResultCode::BodyTooLarge, "body"),
-        BodyFault::TooSlow => Answer::refused(
+        BodyError::TooLarge => Answer::refused(ResultCode::BodyTooLarge, "body"),
+        BodyError::TooSlow => Answer::refused(
             ResultCode::MalformedRequest,
             "the body was not whole in time",
         ),
-        BodyFault::Malformed(why) => Answer::refused(ResultCode::MalformedRequest, why),
+        BodyError::Malformed(why) => Answer::refused(ResultCode::MalformedRequest, why),
     })
 }
 
--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -8,7 +8,7 @@
 use borageshore_diagnostics::Instruments;
 use borageshore_membership::PresenceState;
 use borageshore_net::{
-    BodyFault, EdgeRequest, EdgeResponse, Handler, ServerLimits, full_body, read_body,
+    BodyError, EdgeRequest, EdgeResponse, Handler, ServerLimits, full_body, read_body,
 };
 use borageshore_platform::{
     CallHead, CallerRequest, SubmissionRequest, addresses, caller_host, caller_key, decode_caller,
@@ -262,10 +262,10 @@
     refusal(&fault, Some(NOT_READY_AGAIN_MS))
 }
 
-fn body_fault(fault: BodyFault) -> Fault {
+fn body_fault(fault: BodyError) -> Fault {
     match fault {
-        BodyFault::TooLarge => Fault::new(ResultCode::BodyTooLarge, ""),
-        BodyFault::TooSlow => Fault::new(ResultCode::MalformedRequest, "the body took too long"),
-        BodyFault::Malformed(why) => Fault::new(ResultCode::MalformedRequest, why),
+        BodyError::TooLarge => Fault::new(ResultCode::BodyTooLarge, ""),
+        BodyError::TooSlow => Fault::new(ResultCode::MalformedRequest, "the body took too long"),
+        BodyError::Malformed(why) => Fault::new(ResultCode::MalformedRequest, why),
     }
 }
--- a/crates/borageshore_net/src/lib.rs
+++ b/crates/borageshore_net/src/lib.rs
@@ -15,7 +15,7 @@
     event_loop::{Clock, Deadline, boot_time_ms, run_event_loop, sleep_ms, within_ms},
     frame::{FrameError, read_frame, write_frame},
     server::{
-        BodyFault, EdgeBody, EdgeRequest, EdgeResponse, Handler, HttpServer, ServerLimits,
+        BodyError, EdgeBody, EdgeRequest, EdgeResponse, Handler, HttpServer, ServerLimits,
         StreamBodyError, bind_listener, empty_body, full_body, json_response, read_body,
         stream_body,
     },
--- a/crates/borageshore_net/src/server.rs
+++ b/crates/borageshore_net/src/server.rs
@@ -276,25 +276,25 @@
 }
 
 /// Reads a request's body within the limits; the error says what was wrong.
-pub async fn read_body(body: Incoming, limits: ServerLimits) -> Result<Bytes, BodyFault> {
+pub async fn read_body(body: Incoming, limits: ServerLimits) -> Result<Bytes, BodyError> {
     // An announced length needs no waiting for the bytes.
     if body.size_hint().lower() > limits.body_bytes as u64 {
-        return Err(BodyFault::TooLarge);
+        return Err(BodyError::TooLarge);
     }
     let collecting = Limited::new(body, limits.body_bytes).collect();
     match within_ms(limits.body_timeout_ms, collecting).await {
         Some(Ok(collected)) => Ok(collected.to_bytes()),
         Some(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
-            Err(BodyFault::TooLarge)
+            Err(BodyError::TooLarge)
         }
-        Some(Err(error)) => Err(BodyFault::Malformed(error.to_string())),
-        None => Err(BodyFault::TooSlow),
+        Some(Err(error)) => Err(BodyError::Malformed(error.to_string())),
+        None => Err(BodyError::TooSlow),
     }
 }
 
 /// What was wrong with a request's body.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum BodyFault {
+pub enum BodyError {
     /// Larger than the limit.
     TooLarge,
     /// Not whole in time.
