--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -194,7 +194,7 @@
         let mut under_way = FuturesUnordered::new();
         let mut may_hedge = idempotent == Idempotent::Yes && !is_trial;
         loop {
-            if deadline.is_over() {
+            if deadline.has_passed() {
                 return None;
             }
             if under_way.is_empty() && may_try(outcome) {
@@ -206,8 +206,8 @@
                 return None;
             }
             let wait_ms = match may_hedge {
-                true => hedge_ms.min(deadline.left_ms()),
-                false => deadline.left_ms(),
+                true => hedge_ms.min(deadline.remaining_ms()),
+                false => deadline.remaining_ms(),
             };
             let Some(ended) = within_ms(wait_ms, under_way.next()).await else {
                 if std::mem::take(&mut may_hedge)
@@ -282,7 +282,7 @@
         let fault = Fault::new(ResultCode::NoEndpoint, "");
         return refusal(&fault, Some(RETRY_AFTER_MS));
     }
-    let code = match deadline.is_over() {
+    let code = match deadline.has_passed() {
         true => ResultCode::TimeoutAfterHandover,
         false => ResultCode::EndpointLost,
     };
--- a/crates/borageshore_net/src/event_loop.rs
+++ b/crates/borageshore_net/src/event_loop.rs
@@ -83,13 +83,13 @@
     }
 
     /// The time until then; 0 once it is over.
-    pub fn left_ms(self) -> u64 {
+    pub fn remaining_ms(self) -> u64 {
         self.at_ms.saturating_sub(self.clock.now_ms())
     }
 
     /// Says whether the time is over.
-    pub fn is_over(self) -> bool {
-        self.left_ms() == 0
+    pub fn has_passed(self) -> bool {
+        self.remaining_ms() == 0
     }
 }
 
