--- a/crates/borageshore_log/src/follower.rs
+++ b/crates/borageshore_log/src/follower.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FollowerState {
     /// Looking for a snapshot, because records before the oldest kept one are gone.
-    Searching,
+    AwaitingSnapshot,
     /// The fold is a prefix of the log.
     Following,
 }
@@ -42,7 +42,7 @@
 ///
 /// Guards against three faults of a restart. Records below retention: the follower holds the records
 /// it reads until one contains a snapshot that joins on to them. A page read twice: offsets below the
-/// applied one are skipped, so the state never goes back. A gap: the follower drops to `Searching`
+/// applied one are skipped, so the state never goes back. A gap: the follower drops to `AwaitingSnapshot`
 /// rather than skip a record, and its daemon is not ready meanwhile.
 #[derive(Debug)]
 pub struct Follower<State> {
@@ -124,13 +124,13 @@
     {
         self.end_offset = self.end_offset.max(Some(page.end_offset));
         if self.next_offset() < page.first_offset {
-            self.state = FollowerState::Searching;
+            self.state = FollowerState::AwaitingSnapshot;
             self.held.clear();
         }
         for record in page.records {
             match self.state {
                 FollowerState::Following => self.apply_record(&record, &mut on_applied),
-                FollowerState::Searching => self.search(record, &mut on_applied),
+                FollowerState::AwaitingSnapshot => self.search(record, &mut on_applied),
             }
         }
     }
@@ -164,7 +164,7 @@
             return;
         }
         if record.offset > self.next_offset {
-            self.state = FollowerState::Searching;
+            self.state = FollowerState::AwaitingSnapshot;
             self.held.push(record.clone());
             return;
         }
