--- a/crates/borageshore_daemon/src/stream.rs
+++ b/crates/borageshore_daemon/src/stream.rs
@@ -293,7 +293,7 @@
             let snapshot = serde_json::from_str(&snapshot).map_err(|error| error.to_string())?;
             self.follower
                 .borrow_mut()
-                .adopt(next_offset as u64, snapshot);
+                .install_snapshot(next_offset as u64, snapshot);
             self.recent.borrow_mut().clear();
             self.progressed.notify_waiters();
         }
--- a/crates/borageshore_log/src/follower.rs
+++ b/crates/borageshore_log/src/follower.rs
@@ -104,7 +104,7 @@
     }
 
     /// Takes a state from a peer if it is newer than the present one.
-    pub fn adopt(&mut self, next_offset: u64, snapshot: State::Snapshot) {
+    pub fn install_snapshot(&mut self, next_offset: u64, snapshot: State::Snapshot) {
         if self.state == FollowerState::Following && next_offset <= self.next_offset {
             return;
         }
