--- a/crates/borageshore_log/src/follower.rs
+++ b/crates/borageshore_log/src/follower.rs
@@ -99,7 +99,7 @@
     }
 
     /// The number of records that could not be decoded and were skipped by every fold alike.
-    pub fn malformed(&self) -> u64 {
+    pub fn malformed_records(&self) -> u64 {
         self.malformed
     }
 
