--- a/crates/borageshore_chart/src/lib.rs
+++ b/crates/borageshore_chart/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A chart lists, for every state, what each event leads to. States and events are enums of the
 //! crate that owns the chart, so a misspelt name fails when the chart is opened, and
-//! [`Chart::gaps`] lets a test prove that every state answers every event.
+//! [`Chart::missing_transitions`] lets a test prove that every state answers every event.
 //!
 //! ```
 //! use borageshore_chart::Chart;
@@ -80,8 +80,8 @@
     }
 
     /// The pairs of state and event that the chart leaves out.
-    pub fn gaps(&self, states: &[State], events: &[Event]) -> Vec<(State, Event)> {
-        let mut gaps = Vec::new();
+    pub fn missing_transitions(&self, states: &[State], events: &[Event]) -> Vec<(State, Event)> {
+        let mut missing = Vec::new();
         for state in states {
             for event in events {
                 if self
@@ -89,10 +89,10 @@
                     .binary_search_by_key(&(*state, *event), |(from, _)| *from)
                     .is_err()
                 {
-                    gaps.push((*state, *event));
+                    missing.push((*state, *event));
                 }
             }
         }
-        gaps
+        missing
     }
 }
--- a/crates/borageshore_routing/tests/routing.rs
+++ b/crates/borageshore_routing/tests/routing.rs
@@ -69,7 +69,7 @@
         use AttemptState::{Connected, Connecting, Done, HandedOver, NotRun, Unknown, Waiting};
         let states = [Waiting, Connecting, Connected, HandedOver, NotRun, Unknown, Done];
         let events = [Start, Opened, Sent, Refused, Answered, Lost, Expired];
-        assert_eq!(attempt_chart().gaps(&states, &events), []);
+        assert_eq!(attempt_chart().missing_transitions(&states, &events), []);
     };
 
     // Its VM is leaving: from the next list on no new work goes there, and what runs may end.
