--- a/crates/borageshore_cli/src/lib.rs
+++ b/crates/borageshore_cli/src/lib.rs
@@ -18,5 +18,5 @@
 pub use self::{
     client::{CommandError, exit_code_of},
     run::run,
-    steps::{LastItem, Step, steps_of},
+    steps::{LastItem, Step, parse_steps},
 };
--- a/crates/borageshore_cli/src/run.rs
+++ b/crates/borageshore_cli/src/run.rs
@@ -79,7 +79,7 @@
         Command::Steps { logs } => {
             let texts: Result<Vec<String>, CommandError> =
                 logs.iter().map(|file| read_file(file)).collect();
-            let steps = steps::steps_of(&texts?.concat());
+            let steps = steps::parse_steps(&texts?.concat());
             Ok(show::either(connection, &steps, steps::table))
         }
         Command::Handover { hours } => handover::run(connection, hours).await,
--- a/crates/borageshore_cli/src/steps.rs
+++ b/crates/borageshore_cli/src/steps.rs
@@ -124,7 +124,7 @@
 
 /// The steps whose acceptance is in the logs, by that time. Lines may come in any order and have
 /// something before them, as collectors put it there; what is no log line is passed over.
-pub fn steps_of(logs: &str) -> Vec<Step> {
+pub fn parse_steps(logs: &str) -> Vec<Step> {
     let mut courses: SortedMap<Arc<str>, Course> = SortedMap::default();
     for text in logs.lines() {
         let text = text.find('{').map_or("", |start| &text[start..]);
--- a/crates/borageshore_cli/tests/steps.rs
+++ b/crates/borageshore_cli/tests/steps.rs
@@ -1,6 +1,6 @@
 //! What a trainer's step waited for, from the daemons' logs.
 
-use borageshore_cli::{LastItem, steps_of};
+use borageshore_cli::{LastItem, parse_steps};
 
 /// Lines of two daemons, one of which took the step over; collectors put a host before some.
 const LOGS: &str = r#"
@@ -17,7 +17,7 @@
 
 #[test]
 fn a_step_names_the_item_that_it_waited_for() {
-    let steps = steps_of(LOGS);
+    let steps = parse_steps(LOGS);
     let step = &steps[0];
     assert_eq!(step.took_ms, Some(4_500));
     assert_eq!(step.daemons.join(" "), "a b");
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_step_under_way_has_no_end() {
-    let steps = steps_of(LOGS);
+    let steps = parse_steps(LOGS);
     assert_eq!(steps.len(), 2);
     assert_eq!((steps[1].took_ms, &steps[1].last), (None, &None));
 }
