--- a/crates/borageshore_diagnostics/src/bounded.rs
+++ b/crates/borageshore_diagnostics/src/bounded.rs
@@ -22,14 +22,14 @@
 /// Guards against logs that cost more than the work they tell of: when everything fails at once,
 /// each failure has a line, and a process with an eighth of a core would do little else.
 #[derive(Debug)]
-pub struct LineBudget {
+pub struct LogRateLimiter {
     /// In thousandths of a line, so that every ms earns some.
     saved: u64,
     earned_at_ms: u64,
     dropped: u64,
 }
 
-impl Default for LineBudget {
+impl Default for LogRateLimiter {
     fn default() -> Self {
         Self {
             saved: BURST_LINES * 1_000,
@@ -39,7 +39,7 @@
     }
 }
 
-impl LineBudget {
+impl LogRateLimiter {
     /// Decides on a line at `now_ms`. Faults have a reserve of their own: an error is written as long
     /// as a tenth of the burst is left to the others' account.
     pub fn on_line(&mut self, now_ms: u64, is_fault: bool) -> Verdict {
--- a/crates/borageshore_diagnostics/src/lib.rs
+++ b/crates/borageshore_diagnostics/src/lib.rs
@@ -15,7 +15,7 @@
 mod logging;
 
 pub use self::{
-    bounded::{LineBudget, Verdict},
+    bounded::{LogRateLimiter, Verdict},
     exposition::Exposition,
     instruments::Instruments,
     logging::{install_logger, set_level},
--- a/crates/borageshore_diagnostics/src/logging.rs
+++ b/crates/borageshore_diagnostics/src/logging.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-use crate::bounded::{LineBudget, Verdict};
+use crate::bounded::{LogRateLimiter, Verdict};
 
 /// A pipe takes a line up to this length whole or not at all.
 const LINE_BYTES: usize = 4_000;
@@ -52,7 +52,7 @@
 
 thread_local! {
     // All lines of a daemon come from its one thread.
-    static BUDGET: RefCell<LineBudget> = RefCell::default();
+    static BUDGET: RefCell<LogRateLimiter> = RefCell::default();
 }
 
 /// Sends log lines to standard output; a line that cannot be written at once is dropped and counted.
@@ -73,7 +73,7 @@
         if let Verdict::Write { dropped_before } = verdict {
             let line = encode(&daemon, record, dropped_before);
             if write_whole(&line).is_err() {
-                BUDGET.with_borrow_mut(LineBudget::on_dropped);
+                BUDGET.with_borrow_mut(LogRateLimiter::on_dropped);
             }
         }
     };
--- a/crates/borageshore_diagnostics/tests/bounded.rs
+++ b/crates/borageshore_diagnostics/tests/bounded.rs
@@ -1,8 +1,8 @@
 //! The bound on log lines.
 
-use borageshore_diagnostics::{LineBudget, Verdict};
+use borageshore_diagnostics::{LogRateLimiter, Verdict};
 
-fn written(budget: &mut LineBudget, now_ms: u64, count: usize, is_fault: bool) -> usize {
+fn written(budget: &mut LogRateLimiter, now_ms: u64, count: usize, is_fault: bool) -> usize {
     (0..count)
         .filter(|_| budget.on_line(now_ms, is_fault) != Verdict::Drop)
         .count()
@@ -12,7 +12,7 @@
 // attempts has a line. The volume is bounded, and the next line says how many are missing.
 #[test]
 fn a_flood_is_cut_and_counted() {
-    let mut budget = LineBudget::default();
+    let mut budget = LogRateLimiter::default();
     let first = written(&mut budget, 0, 5_000, false);
     assert_eq!(first, 540);
     let Verdict::Write { dropped_before } = budget.on_line(1_000, false) else {
@@ -25,7 +25,7 @@
 
 #[test]
 fn faults_are_written_when_the_rest_is_cut() {
-    let mut budget = LineBudget::default();
+    let mut budget = LogRateLimiter::default();
     written(&mut budget, 0, 5_000, false);
     assert_eq!(written(&mut budget, 0, 10, true), 10);
 }
