--- a/crates/borageshore_diagnostics/src/bounded.rs
+++ b/crates/borageshore_diagnostics/src/bounded.rs
@@ -7,7 +7,7 @@
 
 /// What happens to a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum LineDecision {
     /// It is written; so many were dropped before it since the last one that was written.
     Write {
         /// Lines dropped before this one.
@@ -42,7 +42,7 @@
 impl LogRateLimiter {
     /// Decides on a line at `now_ms`. Faults have a reserve of their own: an error is written as long
     /// as a tenth of the burst is left to the others' account.
-    pub fn on_line(&mut self, now_ms: u64, is_fault: bool) -> Verdict {
+    pub fn on_line(&mut self, now_ms: u64, is_fault: bool) -> LineDecision {
         let passed_ms = now_ms.saturating_sub(self.earned_at_ms);
         self.earned_at_ms = now_ms;
         let earned = passed_ms.saturating_mul(LINES_PER_S);
@@ -50,10 +50,10 @@
         let reserve = if is_fault { 0 } else { BURST_LINES * 100 };
         if self.saved < reserve + 1_000 {
             self.on_dropped();
-            return Verdict::Drop;
+            return LineDecision::Drop;
         }
         self.saved -= 1_000;
-        Verdict::Write {
+        LineDecision::Write {
             dropped_before: std::mem::take(&mut self.dropped),
         }
     }
--- a/crates/borageshore_diagnostics/src/lib.rs
+++ b/crates/borageshore_diagnostics/src/lib.rs
@@ -15,7 +15,7 @@
 mod logging;
 
 pub use self::{
-    bounded::{LogRateLimiter, Verdict},
+    bounded::{LineDecision, LogRateLimiter},
     exposition::Exposition,
     instruments::Instruments,
     logging::{install_logger, set_level},
--- a/crates/borageshore_diagnostics/src/logging.rs
+++ b/crates/borageshore_diagnostics/src/logging.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-use crate::bounded::{LogRateLimiter, Verdict};
+use crate::bounded::{LineDecision, LogRateLimiter};
 
 /// A pipe takes a line up to this length whole or not at all.
 const LINE_BYTES: usize = 4_000;
@@ -70,7 +70,7 @@
         let now_ms = started.elapsed().as_millis() as u64;
         let is_fault = record.level() <= Level::Warn;
         let verdict = BUDGET.with_borrow_mut(|budget| budget.on_line(now_ms, is_fault));
-        if let Verdict::Write { dropped_before } = verdict {
+        if let LineDecision::Write { dropped_before } = verdict {
             let line = encode(&daemon, record, dropped_before);
             if write_whole(&line).is_err() {
                 BUDGET.with_borrow_mut(LogRateLimiter::on_dropped);
--- a/crates/borageshore_diagnostics/tests/bounded.rs
+++ b/crates/borageshore_diagnostics/tests/bounded.rs
@@ -1,10 +1,10 @@
 //! The bound on log lines.
 
-use borageshore_diagnostics::{LogRateLimiter, Verdict};
+use borageshore_diagnostics::{LineDecision, LogRateLimiter};
 
 fn written(budget: &mut LogRateLimiter, now_ms: u64, count: usize, is_fault: bool) -> usize {
     (0..count)
-        .filter(|_| budget.on_line(now_ms, is_fault) != Verdict::Drop)
+        .filter(|_| budget.on_line(now_ms, is_fault) != LineDecision::Drop)
         .count()
 }
 
@@ -15,7 +15,7 @@
     let mut budget = LogRateLimiter::default();
     let first = written(&mut budget, 0, 5_000, false);
     assert_eq!(first, 540);
-    let Verdict::Write { dropped_before } = budget.on_line(1_000, false) else {
+    let LineDecision::Write { dropped_before } = budget.on_line(1_000, false) else {
         panic!("a second later there is room again");
     };
     assert_eq!(dropped_before, 5_000 - 540);
