--- a/crates/borageshore_diagnostics/src/lib.rs
+++ b/crates/borageshore_diagnostics/src/lib.rs
@@ -9,14 +9,14 @@
 //! assert!(text.contains("borageshore_events"));
 //! ```
 
-mod bounded;
 mod exposition;
 mod instruments;
 mod logging;
+mod rate_limit;
 
 pub use self::{
-    bounded::{LineDecision, LogRateLimiter},
     exposition::Exposition,
     instruments::Instruments,
     logging::{install_logger, set_level},
+    rate_limit::{LineDecision, LogRateLimiter},
 };
--- a/crates/borageshore_diagnostics/src/logging.rs
+++ b/crates/borageshore_diagnostics/src/logging.rs
@@ -13,7 +13,7 @@
 use serde::Serialize;
 use serde_json::{Map, Value};
 
-use crate::bounded::{LineDecision, LogRateLimiter};
+use crate::rate_limit::{LineDecision, LogRateLimiter};
 
 /// A pipe takes a line up to this length whole or not at all.
 const LINE_BYTES: usize = 4_000;
