--- a/crates/borageshore_settings/src/file.rs
+++ b/crates/borageshore_settings/src/file.rs
@@ -98,9 +98,9 @@
 /// The fault of a file that is no YAML or has not the expected shape.
 pub fn malformed_file(file: &str, error: &serde_saphyr::Error) -> FileFault {
     let line = error.location().map(|location| location.line());
-    let whole = error.to_string();
+    let message = error.to_string();
     // The rest is an excerpt of the file.
-    let first_line = whole.lines().next().unwrap_or_default();
+    let first_line = message.lines().next().unwrap_or_default();
     let fault = Fault::new(ResultCode::MalformedFile, first_line);
     FileFault {
         file: file.into(),
@@ -134,11 +134,11 @@
     };
     let fault = SettingsFold::default().check(&change).err()?;
     // The detail begins with `node.key` or the node, which leads back to the line.
-    let place = |setting: &&FileSetting| {
-        let whole = format!("{}.{}", setting.node, setting.key);
-        fault.detail.starts_with(&whole)
+    let is_named = |setting: &&FileSetting| {
+        let path = format!("{}.{}", setting.node, setting.key);
+        fault.detail.starts_with(&path)
     };
-    let line = settings.iter().find(place).map(|setting| setting.line);
+    let line = settings.iter().find(is_named).map(|setting| setting.line);
     Some(FileFault {
         file: file.into(),
         line,
--- a/crates/borageshore_settings/src/fold.rs
+++ b/crates/borageshore_settings/src/fold.rs
@@ -14,13 +14,13 @@
 };
 
 /// How many audit entries a daemon keeps at hand; older ones are read from the log.
-const AUDIT_MEMORY_ENTRIES: usize = 20_000;
+const MAX_AUDIT_ENTRIES: usize = 20_000;
 /// How many audit entries travel in a snapshot.
-const AUDIT_SNAPSHOT_ENTRIES: usize = 50;
+const MAX_SNAPSHOT_AUDIT_ENTRIES: usize = 50;
 /// How long an unset key is remembered, so that a change that raced with the unset is refused.
-const UNSET_MEMORY_MS: u64 = 86_400_000;
+const UNSET_TTL_MS: u64 = 86_400_000;
 /// How many records pass between two prunings of unset keys.
-const PRUNE_EVERY_RECORDS: u64 = 1_024;
+const PRUNE_INTERVAL_RECORDS: u64 = 1_024;
 
 /// A copy of the fold's state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -67,13 +67,13 @@
 
     fn prune(&mut self, at_ms: u64) {
         for (_, node) in self.tree.nodes.iter_mut() {
-            node.retain(|_, entry| entry.value.is_some() || entry.at_ms + UNSET_MEMORY_MS >= at_ms);
+            node.retain(|_, entry| entry.value.is_some() || entry.at_ms + UNSET_TTL_MS >= at_ms);
         }
         self.tree.nodes.retain(|_, node| !node.is_empty());
     }
 
     fn record_audit(&mut self, entry: AuditEntry) {
-        if self.audit.len() == AUDIT_MEMORY_ENTRIES {
+        if self.audit.len() == MAX_AUDIT_ENTRIES {
             self.audit.pop_front();
         }
         self.audit.push_back(entry);
@@ -92,7 +92,7 @@
             return;
         }
         self.records += 1;
-        if self.records.is_multiple_of(PRUNE_EVERY_RECORDS) {
+        if self.records.is_multiple_of(PRUNE_INTERVAL_RECORDS) {
             self.prune(at_ms);
         }
         let SettingsRecord::Change(change) = &envelope.body else {
@@ -101,7 +101,7 @@
         let edits = change
             .edits
             .iter()
-            .map(|edit| audited(&self.tree, edit))
+            .map(|edit| audited_edit(&self.tree, edit))
             .collect();
         // Offset 0 would read as "never set", so revisions count from 1.
         let revision = offset + 1;
@@ -122,7 +122,7 @@
     }
 
     fn snapshot(&self) -> SettingsSnapshot {
-        let skipped = self.audit.len().saturating_sub(AUDIT_SNAPSHOT_ENTRIES);
+        let skipped = self.audit.len().saturating_sub(MAX_SNAPSHOT_AUDIT_ENTRIES);
         SettingsSnapshot {
             tree: self.tree.clone(),
             writers: self.writers.clone(),
@@ -149,7 +149,7 @@
     }
 }
 
-fn audited(tree: &SettingsTree, edit: &Edit) -> AuditedEdit {
+fn audited_edit(tree: &SettingsTree, edit: &Edit) -> AuditedEdit {
     AuditedEdit {
         node: edit.node.clone(),
         key: edit.key.clone(),
@@ -193,19 +193,19 @@
         if let Some(value) = &edit.value {
             check_value(&edit.node, &edit.key, value)?;
         }
-        let present = tree.revision(&edit.node, &edit.key);
-        if present != edit.based_on {
-            return Err(conflict(tree, edit, present));
+        let current = tree.revision(&edit.node, &edit.key);
+        if current != edit.based_on {
+            return Err(conflict(tree, edit, current));
         }
     }
     Ok(())
 }
 
-fn conflict(tree: &SettingsTree, edit: &Edit, present: u64) -> Fault {
+fn conflict(tree: &SettingsTree, edit: &Edit, current: u64) -> Fault {
     let (node, key) = (&edit.node, &edit.key);
-    let winner = tree.entry(node, key).map_or("nobody", |entry| &entry.actor);
+    let last_actor = tree.entry(node, key).map_or("nobody", |entry| &entry.actor);
     let detail = format!(
-        "{node}.{key}: based on revision {}, but {winner} changed it at revision {present}",
+        "{node}.{key}: based on revision {}, but {last_actor} changed it at revision {current}",
         edit.based_on
     );
     Fault::new(ResultCode::RevisionConflict, detail)
--- a/crates/borageshore_settings/src/tree.rs
+++ b/crates/borageshore_settings/src/tree.rs
@@ -135,7 +135,7 @@
                 None => break,
             }
         }
-        default_of(spec)
+        schema_default(spec)
     }
 
     /// The whole number in force.
@@ -156,7 +156,7 @@
     }
 }
 
-fn default_of(spec: &KeySpec) -> Option<EffectiveSetting> {
+fn schema_default(spec: &KeySpec) -> Option<EffectiveSetting> {
     let value = SettingValue::from_text(spec.default?);
     Some(EffectiveSetting {
         value,
--- a/crates/borageshore_settings/src/validate.rs
+++ b/crates/borageshore_settings/src/validate.rs
@@ -16,7 +16,7 @@
     let Some(spec) = key_spec(key) else {
         return Err(Fault::new(
             ResultCode::UnknownKey,
-            format!("{node}.{key}{}", suggestion(key)),
+            format!("{node}.{key}{}", unit_suggestion(key)),
         ));
     };
     if node == ROOT && matches!(key, "parent" | "kind") {
@@ -29,11 +29,11 @@
         let detail = format!("{node}.{key}: the key is set at the root only");
         return Err(Fault::new(ResultCode::WrongNodeKind, detail));
     }
-    check_against(spec, value)
+    check_spec(spec, value)
         .map_err(|fault| Fault::new(fault.code, format!("{node}.{key}: {}", fault.detail)))
 }
 
-fn check_against(spec: &KeySpec, value: &SettingValue) -> Result<(), Fault> {
+fn check_spec(spec: &KeySpec, value: &SettingValue) -> Result<(), Fault> {
     match (spec.values, value) {
         (ValueSpec::Integer { minimum, maximum }, SettingValue::Integer(number)) => {
             if (minimum..=maximum).contains(number) {
@@ -74,16 +74,16 @@
 }
 
 /// Names the key that differs from an unknown one in its unit only.
-fn suggestion(key: &str) -> String {
+fn unit_suggestion(key: &str) -> String {
     let stem = key.rsplit_once('_').map_or(key, |(stem, _)| stem);
-    let close = SCHEMA.iter().find(|spec| {
+    let similar = SCHEMA.iter().find(|spec| {
         spec.name == stem
             || spec
                 .name
                 .rsplit_once('_')
                 .is_some_and(|(known, _)| known == stem || known == key)
     });
-    match close {
+    match similar {
         Some(spec) => format!(": the unit is wrong, the key is {}", spec.name),
         None => String::new(),
     }
@@ -125,7 +125,7 @@
         return Err(Fault::new(ResultCode::MissingParent, detail));
     }
     check_cycle(tree, node)?;
-    check_reference(tree, node)?;
+    check_references(tree, node)?;
     if tree.kind(node) == NodeKind::Job && tree.text(node, "service").is_none() {
         let detail = format!("{node}.service: a job needs a service");
         return Err(Fault::new(ResultCode::MissingReference, detail));
@@ -148,7 +148,7 @@
     Ok(())
 }
 
-fn check_reference(tree: &SettingsTree, node: &Arc<str>) -> Result<(), Fault> {
+fn check_references(tree: &SettingsTree, node: &Arc<str>) -> Result<(), Fault> {
     for key in ["scorer", "service"] {
         let Some(SettingValue::Text(service)) = tree.own(node, key) else {
             continue;
