--- a/crates/borageshore_log/src/envelope.rs
+++ b/crates/borageshore_log/src/envelope.rs
@@ -9,10 +9,10 @@
 ///
 /// A writer gives up on an append long before this, so a copy that arrives later cannot come from a
 /// writer that still acts on it.
-const WRITER_MEMORY_MS: u64 = 3_600_000;
+const WRITER_TTL_MS: u64 = 3_600_000;
 
 /// How many admitted records pass between two prunings of silent writers.
-const PRUNE_EVERY_RECORDS: u64 = 1_024;
+const PRUNE_INTERVAL_RECORDS: u64 = 1_024;
 
 /// A record body with the identity of its append.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -58,9 +58,9 @@
         entry.last_sequence = sequence;
         entry.last_at_ms = at_ms;
         self.admitted += 1;
-        if self.admitted.is_multiple_of(PRUNE_EVERY_RECORDS) {
+        if self.admitted.is_multiple_of(PRUNE_INTERVAL_RECORDS) {
             self.writers
-                .retain(|_, entry| entry.last_at_ms + WRITER_MEMORY_MS >= at_ms);
+                .retain(|_, entry| entry.last_at_ms + WRITER_TTL_MS >= at_ms);
         }
         true
     }
--- a/crates/borageshore_log/src/follower.rs
+++ b/crates/borageshore_log/src/follower.rs
@@ -50,7 +50,7 @@
     next_offset: u64,
     end_offset: Option<u64>,
     state: FollowerState,
-    held: Vec<LogRecord>,
+    buffered: Vec<LogRecord>,
     malformed: u64,
 }
 
@@ -65,7 +65,7 @@
             next_offset: 0,
             end_offset: None,
             state: FollowerState::Following,
-            held: Vec::new(),
+            buffered: Vec::new(),
             malformed: 0,
         }
     }
@@ -77,7 +77,7 @@
 
     /// The offset to read next.
     pub fn next_offset(&self) -> u64 {
-        match self.held.last() {
+        match self.buffered.last() {
             Some(record) => record.offset + 1,
             None => self.next_offset,
         }
@@ -111,8 +111,8 @@
         self.fold.restore(snapshot);
         self.next_offset = next_offset;
         self.state = FollowerState::Following;
-        let held = std::mem::take(&mut self.held);
-        for record in held {
+        let buffered = std::mem::take(&mut self.buffered);
+        for record in buffered {
             self.apply_record(&record, &mut |_, _| {});
         }
     }
@@ -125,7 +125,7 @@
         self.end_offset = self.end_offset.max(Some(page.end_offset));
         if self.next_offset() < page.first_offset {
             self.state = FollowerState::AwaitingSnapshot;
-            self.held.clear();
+            self.buffered.clear();
         }
         for record in page.records {
             match self.state {
@@ -141,18 +141,18 @@
     {
         let found = decode::<State::Body>(&record.data)
             .and_then(|envelope| State::embedded_snapshot(envelope.body));
-        self.held.push(record);
+        self.buffered.push(record);
         let Some((next_offset, snapshot)) = found else {
             return;
         };
-        if next_offset < self.held[0].offset || next_offset < self.next_offset {
+        if next_offset < self.buffered[0].offset || next_offset < self.next_offset {
             return;
         }
         self.fold.restore(snapshot);
         self.next_offset = next_offset;
         self.state = FollowerState::Following;
-        for held in std::mem::take(&mut self.held) {
-            self.apply_record(&held, on_applied);
+        for buffered in std::mem::take(&mut self.buffered) {
+            self.apply_record(&buffered, on_applied);
         }
     }
 
@@ -165,7 +165,7 @@
         }
         if record.offset > self.next_offset {
             self.state = FollowerState::AwaitingSnapshot;
-            self.held.push(record.clone());
+            self.buffered.push(record.clone());
             return;
         }
         self.next_offset = record.offset + 1;
--- a/crates/borageshore_log/src/proposer.rs
+++ b/crates/borageshore_log/src/proposer.rs
@@ -7,9 +7,9 @@
 use crate::envelope::Envelope;
 
 /// The longest pause between two attempts.
-const BACKOFF_CEILING_MS: u64 = 5_000;
+const MAX_BACKOFF_MS: u64 = 5_000;
 /// The pause after the first failed attempt.
-const BACKOFF_FLOOR_MS: u64 = 100;
+const INITIAL_BACKOFF_MS: u64 = 100;
 
 /// A record waiting for its place in the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -37,7 +37,7 @@
     InFlight,
     /// The answer was lost. `end_offset` is the end of the log seen after that, once it is known:
     /// having read so far, the writer has either seen its record or may repeat it.
-    Settling {
+    AwaitingOutcome {
         end_offset: Option<u64>,
     },
     Backoff {
@@ -95,7 +95,7 @@
     /// Says what to do at `now_ms`.
     pub fn poll(&mut self, now_ms: u64) -> ProposerAction {
         match self.phase {
-            Phase::InFlight | Phase::Settling { .. } => return ProposerAction::Idle,
+            Phase::InFlight | Phase::AwaitingOutcome { .. } => return ProposerAction::Idle,
             Phase::Backoff { until_ms } if now_ms < until_ms => {
                 return ProposerAction::WaitUntil(until_ms);
             }
@@ -135,7 +135,7 @@
     /// The answer did not come.
     pub fn on_lost_answer(&mut self) {
         if self.phase == Phase::InFlight {
-            self.phase = Phase::Settling { end_offset: None };
+            self.phase = Phase::AwaitingOutcome { end_offset: None };
         }
     }
 
@@ -151,7 +151,7 @@
         }
         self.queue.drain(..settled);
         self.in_flight = self.in_flight.saturating_sub(settled);
-        if self.in_flight == 0 && matches!(self.phase, Phase::Settling { .. }) {
+        if self.in_flight == 0 && matches!(self.phase, Phase::AwaitingOutcome { .. }) {
             self.finish_attempt();
         }
     }
@@ -164,14 +164,14 @@
         now_ms: u64,
         jitter_percent: u64,
     ) {
-        let Phase::Settling { end_offset: target } = self.phase else {
+        let Phase::AwaitingOutcome { end_offset: target } = self.phase else {
             return;
         };
         let target = target.unwrap_or(end_offset);
         if applied_offset >= target {
             self.back_off(now_ms, jitter_percent);
         } else {
-            self.phase = Phase::Settling {
+            self.phase = Phase::AwaitingOutcome {
                 end_offset: Some(target),
             };
         }
@@ -196,8 +196,8 @@
     }
 
     fn back_off(&mut self, now_ms: u64, jitter_percent: u64) {
-        let exponential_ms = BACKOFF_FLOOR_MS << self.failures.min(10);
-        let pause_ms = exponential_ms.min(BACKOFF_CEILING_MS);
+        let exponential_ms = INITIAL_BACKOFF_MS << self.failures.min(10);
+        let pause_ms = exponential_ms.min(MAX_BACKOFF_MS);
         self.failures += 1;
         self.in_flight = 0;
         let jitter_ms = pause_ms * jitter_percent.min(100) / 100;
