--- a/crates/borageshore_net/src/client.rs
+++ b/crates/borageshore_net/src/client.rs
@@ -20,9 +20,9 @@
 use crate::event_loop::within_ms;
 
 /// The most idle connections kept to one address.
-const IDLE_PER_ADDRESS: usize = 64;
+const MAX_IDLE_PER_ADDRESS: usize = 64;
 /// The largest body that is collected whole.
-const COLLECTED_BODY_BYTES: usize = 64 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
 /// Why a call failed, and with it whether the request can have run.
 #[derive(Debug)]
@@ -65,7 +65,7 @@
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     /// Its drop ends the task that drives the socket.
-    _open: oneshot::Sender<()>,
+    _task_guard: oneshot::Sender<()>,
 }
 
 /// A client with a pool of idle connections by address.
@@ -132,7 +132,7 @@
         let handshake = Builder::new().handshake(MonoioIo::new(stream)).await;
         let (sender, connection) =
             handshake.map_err(|error| CallError::NotSent(error.to_string()))?;
-        let (open, closed) = oneshot::channel();
+        let (task_guard, closed) = oneshot::channel();
         monoio::spawn(async move {
             let (connection, closed) = (pin!(connection), pin!(closed));
             if let Either::Left((Err(error), _)) = select(connection, closed).await {
@@ -141,7 +141,7 @@
         });
         Ok(Connection {
             sender,
-            _open: open,
+            _task_guard: task_guard,
         })
     }
 
@@ -171,7 +171,7 @@
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_or_insert_with(address.into(), Vec::new);
         connections.retain(|connection| !connection.sender.is_closed());
-        if connections.len() < IDLE_PER_ADDRESS {
+        if connections.len() < MAX_IDLE_PER_ADDRESS {
             connections.push(connection);
         }
     }
@@ -200,16 +200,16 @@
     }
 
     /// Sends JSON and reads JSON.
-    pub async fn call_json<Asked, Answer>(
+    pub async fn call_json<Payload, Answer>(
         &self,
         address: &str,
         method: &str,
         path: &str,
-        body: &Asked,
+        body: &Payload,
         timeouts: Timeouts,
     ) -> Result<(StatusCode, Answer), CallError>
     where
-        Asked: Serialize,
+        Payload: Serialize,
         Answer: DeserializeOwned,
     {
         let body = serde_json::to_vec(body).expect("messages are plain data");
@@ -242,7 +242,7 @@
 }
 
 async fn collect(body: Incoming, timeout_ms: u64) -> Result<Bytes, CallError> {
-    let collecting = Limited::new(body, COLLECTED_BODY_BYTES).collect();
+    let collecting = Limited::new(body, MAX_BODY_BYTES).collect();
     match within_ms(timeout_ms, collecting).await {
         Some(Ok(collected)) => Ok(collected.to_bytes()),
         Some(Err(error)) => Err(response_body_error(&*error)),
--- a/crates/borageshore_net/src/server.rs
+++ b/crates/borageshore_net/src/server.rs
@@ -31,7 +31,7 @@
 /// The pause after a connection could not be accepted.
 const ACCEPT_RETRY_MS: u64 = 50;
 /// A listener's queue is empty when no connection comes out of it for this long.
-const QUEUE_EMPTY_MS: u64 = 2;
+const ACCEPT_DRAIN_MS: u64 = 2;
 /// Chunks that wait for a slow reader before the writer waits as well.
 const STREAM_BUFFER_CHUNKS: usize = 16;
 
@@ -82,7 +82,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Shared {
+struct ServerState {
     open: Cell<usize>,
     refused: Cell<u64>,
     is_stopping: Cell<bool>,
@@ -95,7 +95,7 @@
 #[derive(Debug, Clone)]
 pub struct HttpServer {
     address: SocketAddr,
-    shared: Rc<Shared>,
+    shared: Rc<ServerState>,
 }
 
 impl HttpServer {
@@ -159,7 +159,7 @@
     listener: TcpListener,
     limits: ServerLimits,
     handler: Rc<Service>,
-    shared: Rc<Shared>,
+    shared: Rc<ServerState>,
 ) where
     Service: Handler + 'static,
 {
@@ -173,7 +173,7 @@
         }
     }
     // Dropping the listener resets the connections that wait in its queue.
-    while let Some(Ok(accepted)) = within_ms(QUEUE_EMPTY_MS, listener.accept()).await {
+    while let Some(Ok(accepted)) = within_ms(ACCEPT_DRAIN_MS, listener.accept()).await {
         spawn_connection(accepted, limits, &handler, &shared);
     }
 }
@@ -182,7 +182,7 @@
     (stream, remote): (TcpStream, SocketAddr),
     limits: ServerLimits,
     handler: &Rc<Service>,
-    shared: &Rc<Shared>,
+    shared: &Rc<ServerState>,
 ) where
     Service: Handler + 'static,
 {
@@ -206,7 +206,7 @@
     remote: SocketAddr,
     limits: ServerLimits,
     handler: Rc<Service>,
-    shared: Rc<Shared>,
+    shared: Rc<ServerState>,
 ) -> Result<(), Box<dyn std::error::Error>>
 where
     Service: Handler + 'static,
