--- a/crates/borageshore_cli/src/client.rs
+++ b/crates/borageshore_cli/src/client.rs
@@ -81,13 +81,13 @@
 }
 
 /// Has a daemon do something.
-pub(crate) async fn post<Asked, Answer>(
+pub(crate) async fn post<Payload, Answer>(
     connection: &Connection,
     path: &str,
-    asked: &Asked,
+    asked: &Payload,
 ) -> Result<Answer, CommandError>
 where
-    Asked: Serialize,
+    Payload: Serialize,
     Answer: DeserializeOwned,
 {
     let body =
--- a/crates/borageshore_cli/src/handover.rs
+++ b/crates/borageshore_cli/src/handover.rs
@@ -41,7 +41,7 @@
         changes: changes(connection, hours).await?,
         status: get(connection, "/v1/admin/status").await?,
     };
-    Ok(show::either(connection, &handover, |handover| {
+    Ok(show::render(connection, &handover, |handover| {
         format!(
             "In force:\n{}\nChanged in the last {hours} h:\n{}\nRunning:\n{}",
             show::settings(&handover.settings),
--- a/crates/borageshore_cli/src/run.rs
+++ b/crates/borageshore_cli/src/run.rs
@@ -31,7 +31,7 @@
             );
             ExitCode::SUCCESS
         }
-        command => finish(run_event_loop(operate(&arguments.connection, command))),
+        command => finish(run_event_loop(run_command(&arguments.connection, command))),
     }
 }
 
@@ -48,11 +48,11 @@
     }
 }
 
-async fn operate(connection: &Connection, command: Command) -> Result<String, CommandError> {
+async fn run_command(connection: &Connection, command: Command) -> Result<String, CommandError> {
     match command {
         Command::CheckConfig { file } => {
             load_config(&file)?;
-            Ok(show::sentence(
+            Ok(show::render_message(
                 connection,
                 format!("{}: no faults", file.display()),
             ))
@@ -60,27 +60,27 @@
         Command::Settings(command) => settings::run(connection, command).await,
         Command::Audit { hours } => {
             let entries = handover::changes(connection, hours).await?;
-            Ok(show::either(connection, &entries, |entries| {
+            Ok(show::render(connection, &entries, |entries| {
                 show::audit(entries)
             }))
         }
         Command::Status => {
             let status: Status = get(connection, "/v1/admin/status").await?;
-            Ok(show::either(connection, &status, show::status))
+            Ok(show::render(connection, &status, show::status))
         }
         Command::Jobs => {
             let status: Status = get(connection, "/v1/admin/status").await?;
-            Ok(show::either(connection, &status, show::jobs))
+            Ok(show::render(connection, &status, show::jobs))
         }
         Command::Drain => {
             let answer: String = post(connection, "/v1/admin/drain", &()).await?;
-            Ok(show::sentence(connection, answer))
+            Ok(show::render_message(connection, answer))
         }
         Command::Steps { logs } => {
             let texts: Result<Vec<String>, CommandError> =
                 logs.iter().map(|file| read_file(file)).collect();
             let steps = steps::parse_steps(&texts?.concat());
-            Ok(show::either(connection, &steps, steps::table))
+            Ok(show::render(connection, &steps, steps::table))
         }
         Command::Handover { hours } => handover::run(connection, hours).await,
         Command::Daemon { .. } | Command::Gateway { .. } | Command::Completions { .. } => {
--- a/crates/borageshore_cli/src/settings.rs
+++ b/crates/borageshore_cli/src/settings.rs
@@ -24,8 +24,8 @@
 ) -> Result<String, CommandError> {
     match command {
         SettingsCommand::Get { node, key } => {
-            let view = narrow(get(connection, SETTINGS_PATH).await?, node, key)?;
-            Ok(show::either(connection, &view, show::settings))
+            let view = filter_view(get(connection, SETTINGS_PATH).await?, node, key)?;
+            Ok(show::render(connection, &view, show::settings))
         }
         SettingsCommand::Set {
             node,
@@ -46,7 +46,7 @@
             let name = file.display().to_string();
             let settings =
                 check_settings_file(&name, &read_file(&file)?).map_err(CommandError::Files)?;
-            Ok(show::sentence(
+            Ok(show::render_message(
                 connection,
                 format!("{name}: {} settings, no faults", settings.len()),
             ))
@@ -55,7 +55,7 @@
     }
 }
 
-fn narrow(
+fn filter_view(
     mut view: SettingsView,
     node: Option<Arc<str>>,
     key: Option<Arc<str>>,
@@ -121,7 +121,7 @@
         edits,
     };
     let entry: AuditEntry = post(connection, SETTINGS_PATH, &change).await?;
-    Ok(show::either(connection, &entry, show::accepted))
+    Ok(show::render(connection, &entry, show::accepted))
 }
 
 async fn explain(
@@ -132,7 +132,7 @@
     let path = format!("/v1/admin/explain?node={node}");
     let mut explained: Vec<Explanation> = get(connection, &path).await?;
     explained.retain(|found| key.as_ref().is_none_or(|key| found.key == *key));
-    Ok(show::either(connection, &explained, |explained| {
+    Ok(show::render(connection, &explained, |explained| {
         show::explained(explained)
     }))
 }
@@ -167,7 +167,7 @@
 
 async fn diff(connection: &Connection, file: &Path) -> Result<String, CommandError> {
     let edits = edits_of(connection, file).await?;
-    Ok(show::either(connection, &edits, |edits| {
+    Ok(show::render(connection, &edits, |edits| {
         show::difference(edits)
     }))
 }
@@ -179,7 +179,7 @@
 ) -> Result<String, CommandError> {
     let edits = edits_of(connection, file).await?;
     if edits.is_empty() {
-        return Ok(show::sentence(connection, "nothing to change".into()));
+        return Ok(show::render_message(connection, "nothing to change".into()));
     }
     propose(
         connection,
@@ -200,7 +200,7 @@
         edits.any(|edit| &*edit.node == node && key.as_ref().is_none_or(|key| edit.key == *key))
     };
     entries.retain(concerns);
-    Ok(show::either(connection, &entries, |entries| {
+    Ok(show::render(connection, &entries, |entries| {
         show::audit(entries)
     }))
 }
--- a/crates/borageshore_cli/src/show.rs
+++ b/crates/borageshore_cli/src/show.rs
@@ -9,7 +9,7 @@
 use crate::arguments::Connection;
 
 /// JSON where it was asked for, text otherwise.
-pub(crate) fn either<Content, Show>(
+pub(crate) fn render<Content, Show>(
     connection: &Connection,
     content: &Content,
     show: Show,
@@ -25,7 +25,7 @@
 }
 
 /// A plain sentence; in JSON an object with it.
-pub(crate) fn sentence(connection: &Connection, text: String) -> String {
+pub(crate) fn render_message(connection: &Connection, text: String) -> String {
     if connection.json {
         return serde_json::json!({ "message": text }).to_string();
     }
--- a/crates/borageshore_cli/src/steps.rs
+++ b/crates/borageshore_cli/src/steps.rs
@@ -64,15 +64,15 @@
 }
 
 #[derive(Debug, Default)]
-struct Course {
+struct StepEvents {
     accepted_at: Option<Timestamp>,
     ended_at: Option<Timestamp>,
     daemons: Vec<Arc<str>>,
     finished: Vec<LogLine>,
 }
 
-impl Course {
-    fn take(&mut self, line: LogLine) {
+impl StepEvents {
+    fn on_line(&mut self, line: LogLine) {
         match line.message.as_str() {
             "submission accepted" => {
                 self.accepted_at.get_or_insert(line.at);
@@ -125,20 +125,20 @@
 /// The steps whose acceptance is in the logs, by that time. Lines may come in any order and have
 /// something before them, as collectors put it there; what is no log line is passed over.
 pub fn parse_steps(logs: &str) -> Vec<Step> {
-    let mut courses: SortedMap<Arc<str>, Course> = SortedMap::default();
+    let mut steps_by_submission: SortedMap<Arc<str>, StepEvents> = SortedMap::default();
     for text in logs.lines() {
         let text = text.find('{').map_or("", |start| &text[start..]);
         let Ok(line) = serde_json::from_str::<LogLine>(text) else {
             continue;
         };
         if let Some(submission) = line.submission.clone() {
-            let course = courses.get_or_insert_with(submission, Course::default);
-            course.take(line);
+            let events = steps_by_submission.get_or_insert_with(submission, StepEvents::default);
+            events.on_line(line);
         }
     }
-    let steps = courses
+    let steps = steps_by_submission
         .iter()
-        .filter_map(|(submission, course)| course.to_step(submission.clone()));
+        .filter_map(|(submission, events)| events.to_step(submission.clone()));
     let mut steps: Vec<Step> = steps.collect();
     steps.sort_by_key(|step| step.accepted_at);
     steps
