--- a/crates/borageshore_diagnostics/src/logging.rs
+++ b/crates/borageshore_diagnostics/src/logging.rs
@@ -16,7 +16,7 @@
 use crate::rate_limit::{LineDecision, LogRateLimiter};
 
 /// A pipe takes a line up to this length whole or not at all.
-const LINE_BYTES: usize = 4_000;
+const MAX_LINE_BYTES: usize = 4_000;
 
 #[derive(Debug, Serialize)]
 struct Line<'l> {
@@ -52,7 +52,7 @@
 
 thread_local! {
     // All lines of a daemon come from its one thread.
-    static BUDGET: RefCell<LogRateLimiter> = RefCell::default();
+    static RATE_LIMITER: RefCell<LogRateLimiter> = RefCell::default();
 }
 
 /// Sends log lines to standard output; a line that cannot be written at once is dropped and counted.
@@ -69,11 +69,11 @@
     let write = move |record: &Record<'_>| {
         let now_ms = started.elapsed().as_millis() as u64;
         let is_fault = record.level() <= Level::Warn;
-        let verdict = BUDGET.with_borrow_mut(|budget| budget.on_line(now_ms, is_fault));
-        if let LineDecision::Write { dropped_before } = verdict {
+        let decision = RATE_LIMITER.with_borrow_mut(|limiter| limiter.on_line(now_ms, is_fault));
+        if let LineDecision::Write { dropped_before } = decision {
             let line = encode(&daemon, record, dropped_before);
             if write_whole(&line).is_err() {
-                BUDGET.with_borrow_mut(LogRateLimiter::on_dropped);
+                RATE_LIMITER.with_borrow_mut(LogRateLimiter::on_dropped);
             }
         }
     };
@@ -99,7 +99,7 @@
         fields: fields.0,
     };
     let mut encoded = serde_json::to_vec(&line).unwrap_or_default();
-    encoded.truncate(LINE_BYTES);
+    encoded.truncate(MAX_LINE_BYTES);
     encoded.push(b'\n');
     encoded
 }
--- a/crates/borageshore_diagnostics/src/rate_limit.rs
+++ b/crates/borageshore_diagnostics/src/rate_limit.rs
@@ -1,7 +1,7 @@
 //! A bound on the volume of log lines.
 
 /// Lines a second over a longer time: a daemon on a heavy day writes 40, one line a decision.
-const LINES_PER_S: u64 = 200;
+const SUSTAINED_LINES_PER_S: u64 = 200;
 /// Lines that may come at once: the items of two steps.
 const BURST_LINES: u64 = 600;
 
@@ -24,16 +24,16 @@
 #[derive(Debug)]
 pub struct LogRateLimiter {
     /// In thousandths of a line, so that every ms earns some.
-    saved: u64,
-    earned_at_ms: u64,
+    millitokens: u64,
+    refilled_at_ms: u64,
     dropped: u64,
 }
 
 impl Default for LogRateLimiter {
     fn default() -> Self {
         Self {
-            saved: BURST_LINES * 1_000,
-            earned_at_ms: 0,
+            millitokens: BURST_LINES * 1_000,
+            refilled_at_ms: 0,
             dropped: 0,
         }
     }
@@ -43,16 +43,16 @@
     /// Decides on a line at `now_ms`. Faults have a reserve of their own: an error is written as long
     /// as a tenth of the burst is left to the others' account.
     pub fn on_line(&mut self, now_ms: u64, is_fault: bool) -> LineDecision {
-        let passed_ms = now_ms.saturating_sub(self.earned_at_ms);
-        self.earned_at_ms = now_ms;
-        let earned = passed_ms.saturating_mul(LINES_PER_S);
-        self.saved = (self.saved + earned).min(BURST_LINES * 1_000);
+        let passed_ms = now_ms.saturating_sub(self.refilled_at_ms);
+        self.refilled_at_ms = now_ms;
+        let refill = passed_ms.saturating_mul(SUSTAINED_LINES_PER_S);
+        self.millitokens = (self.millitokens + refill).min(BURST_LINES * 1_000);
         let reserve = if is_fault { 0 } else { BURST_LINES * 100 };
-        if self.saved < reserve + 1_000 {
+        if self.millitokens < reserve + 1_000 {
             self.on_dropped();
             return LineDecision::Drop;
         }
-        self.saved -= 1_000;
+        self.millitokens -= 1_000;
         LineDecision::Write {
             dropped_before: std::mem::take(&mut self.dropped),
         }
