--- a/crates/borageshore_settings/src/audit.rs
+++ b/crates/borageshore_settings/src/audit.rs
@@ -1,4 +1,4 @@
-//! The audit trail: what each settings record asked for and what became of it.
+//! The audit trail: each requested settings change with its outcome.
 
 use std::sync::Arc;
 
@@ -7,13 +7,13 @@
 
 use crate::value::SettingValue;
 
-/// What the fold decided.
+/// The outcome of a settings change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// In force from this offset on.
+    /// Applied.
     Accepted,
-    /// Without effect, and why.
+    /// Rejected without effect, with the reason.
     Rejected(Fault),
 }
 
@@ -24,31 +24,31 @@
     pub node: Arc<str>,
     /// The key.
     pub key: Arc<str>,
-    /// The revision the edit was based on.
+    /// The revision that the edit is based on.
     pub based_on: u64,
-    /// The node's own value before.
+    /// The node's own value before the change.
     pub before: Option<SettingValue>,
-    /// The node's own value asked for.
+    /// The requested value; `None` unsets the key.
     pub after: Option<SettingValue>,
 }
 
-/// One settings change in the trail.
+/// A settings change in the audit trail.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// The record's offset, which is also the revision it created.
+    /// The record's offset; an accepted change creates the revision `offset + 1`.
     pub offset: u64,
-    /// When the log took it, by the log's clock.
+    /// When the record was appended, by the log service's clock.
     pub at_ms: u64,
     /// The daemon incarnation that appended it.
     pub writer: Arc<str>,
-    /// The writer's sequence.
+    /// The writer's sequence number.
     pub sequence: u64,
-    /// Who asked.
+    /// The operator who requested the change.
     pub actor: Arc<str>,
-    /// Why.
+    /// The reason given.
     pub reason: Arc<str>,
-    /// What.
+    /// The requested edits.
     pub edits: Vec<AuditedEdit>,
-    /// The outcome.
+    /// Whether the change was accepted.
     pub verdict: Verdict,
 }
