--- a/crates/borageshore_settings/src/change.rs
+++ b/crates/borageshore_settings/src/change.rs
@@ -13,20 +13,20 @@
     pub node: Arc<str>,
     /// The key.
     pub key: Arc<str>,
-    /// The new value; `None` unsets the key, so that the inherited value holds again.
+    /// The new value; `None` unsets the key, which then inherits its value again.
     pub value: Option<SettingValue>,
-    /// The offset that last changed this key when the operator looked; 0 if nothing ever had.
+    /// The revision of the key that the operator saw; 0 if the key had never been set.
     pub based_on: u64,
 }
 
 /// A change of one or more keys, accepted or rejected as a whole.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingsChange {
-    /// Who asks for it.
+    /// The operator who requests the change.
     pub actor: Arc<str>,
-    /// Why.
+    /// The reason, for the audit trail.
     pub reason: Arc<str>,
-    /// The keys.
+    /// The edits, in order.
     pub edits: Vec<Edit>,
 }
 
@@ -36,11 +36,11 @@
 pub enum SettingsRecord {
     /// A proposed change.
     Change(SettingsChange),
-    /// The state below an offset, for readers that start after retention cut the stream's head.
+    /// The state below an offset, for readers that start after the oldest records were removed.
     Snapshot {
         /// The first offset that the snapshot does not cover.
         next_offset: u64,
-        /// The state.
+        /// The folded state.
         snapshot: SettingsSnapshot,
     },
 }
