--- a/crates/borageshore_settings/src/file.rs
+++ b/crates/borageshore_settings/src/file.rs
@@ -21,7 +21,7 @@
     value::SettingValue,
 };
 
-/// One key of a file with its place.
+/// One setting of a file with its line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FileSetting {
     /// The node.
@@ -30,16 +30,16 @@
     pub key: Arc<str>,
     /// The value.
     pub value: SettingValue,
-    /// The line of the value, from 1.
+    /// The line of the value, counted from 1.
     pub line: u64,
 }
 
-/// A fault with its place in a file.
+/// A fault with its position in a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FileFault {
-    /// The file as the user named it.
+    /// The file name as given by the user.
     pub file: String,
-    /// The line, from 1, where it is known.
+    /// The line, counted from 1, if known.
     pub line: Option<u64>,
     /// What is wrong.
     pub fault: Fault,
@@ -62,7 +62,7 @@
     nodes: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Spanned<SettingValue>>>,
 }
 
-/// Reads a settings file and checks each key by itself; returns every fault found.
+/// Parses a settings file and checks each key against the schema; returns all faults.
 pub fn parse_settings_file(file: &str, text: &str) -> Result<Vec<FileSetting>, Vec<FileFault>> {
     let parsed: SettingsFile =
         serde_saphyr::from_str(text).map_err(|error| vec![malformed_file(file, &error)])?;
@@ -85,8 +85,8 @@
     }
 }
 
-/// Reads a settings file and checks it as a whole tree, without those nodes that only a running
-/// tree has.
+/// Parses a settings file and validates it as a complete tree, without nodes that exist only in a
+/// running deployment.
 pub fn check_settings_file(file: &str, text: &str) -> Result<Vec<FileSetting>, Vec<FileFault>> {
     let settings = parse_settings_file(file, text)?;
     match check_as_tree(file, &settings) {
@@ -95,11 +95,11 @@
     }
 }
 
-/// The fault of a file that is no YAML or has not the expected shape.
+/// Builds the fault of a file that is not valid YAML or not of the expected shape.
 pub fn malformed_file(file: &str, error: &serde_saphyr::Error) -> FileFault {
     let line = error.location().map(|location| location.line());
     let message = error.to_string();
-    // The rest is an excerpt of the file.
+    // The following lines are an excerpt of the file.
     let first_line = message.lines().next().unwrap_or_default();
     let fault = Fault::new(ResultCode::MalformedFile, first_line);
     FileFault {
@@ -133,7 +133,7 @@
         edits,
     };
     let fault = SettingsFold::default().check(&change).err()?;
-    // The detail begins with `node.key` or the node, which leads back to the line.
+    // The detail starts with `node.key` or the node's name, which gives the line.
     let is_named = |setting: &&FileSetting| {
         let path = format!("{}.{}", setting.node, setting.key);
         fault.detail.starts_with(&path)
@@ -146,7 +146,7 @@
     })
 }
 
-/// The edits that bring a tree to what a file says; keys that the file leaves out stay as they are.
+/// Returns the edits that apply a file to a tree; keys missing from the file are left unchanged.
 pub fn edits_to_apply(tree: &SettingsTree, settings: &[FileSetting]) -> Vec<Edit> {
     let differs =
         |setting: &&FileSetting| tree.own(&setting.node, &setting.key) != Some(&setting.value);
