--- a/crates/borageshore_settings/src/fold.rs
+++ b/crates/borageshore_settings/src/fold.rs
@@ -1,4 +1,4 @@
-//! The fold of the settings stream.
+//! The state machine that applies the records of the settings stream.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -13,16 +13,16 @@
     validate::{check_tree, check_value},
 };
 
-/// How many audit entries a daemon keeps at hand; older ones are read from the log.
+/// The maximum number of audit entries in memory; older ones are read from the log.
 const MAX_AUDIT_ENTRIES: usize = 20_000;
-/// How many audit entries travel in a snapshot.
+/// The maximum number of audit entries in a snapshot.
 const MAX_SNAPSHOT_AUDIT_ENTRIES: usize = 50;
-/// How long an unset key is remembered, so that a change that raced with the unset is refused.
+/// How long an unset key is kept, so that a change concurrent with the unset is rejected.
 const UNSET_TTL_MS: u64 = 86_400_000;
-/// How many records pass between two prunings of unset keys.
+/// The number of records between two prunings of unset keys.
 const PRUNE_INTERVAL_RECORDS: u64 = 1_024;
 
-/// A copy of the fold's state.
+/// A serializable copy of the state of a [`SettingsFold`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingsSnapshot {
     tree: SettingsTree,
@@ -31,7 +31,7 @@
     audit: Vec<AuditEntry>,
 }
 
-/// The settings tree as all records so far make it.
+/// The settings tree and audit trail after all records so far.
 #[derive(Debug, Clone, Default)]
 pub struct SettingsFold {
     tree: SettingsTree,
@@ -41,17 +41,17 @@
 }
 
 impl SettingsFold {
-    /// The tree in force.
+    /// Returns the current tree.
     pub fn tree(&self) -> &SettingsTree {
         &self.tree
     }
 
-    /// The audit entries at hand, oldest first.
+    /// Iterates over the audit entries in memory, oldest first.
     pub fn audit(&self) -> impl DoubleEndedIterator<Item = &AuditEntry> {
         self.audit.iter()
     }
 
-    /// The verdict on a writer's record, if it was folded and is still at hand.
+    /// Returns the audit entry of a writer's record, if it was applied and is still in memory.
     pub fn verdict(&self, writer: &str, sequence: u64) -> Option<&AuditEntry> {
         self.audit
             .iter()
@@ -59,7 +59,7 @@
             .find(|entry| &*entry.writer == writer && entry.sequence == sequence)
     }
 
-    /// Judges a change against the present tree without making it.
+    /// Validates a change against the current tree without applying it.
     pub fn check(&self, change: &SettingsChange) -> Result<(), Fault> {
         let mut copy = self.tree.clone();
         apply_change(&mut copy, change, u64::MAX, 0)
@@ -103,7 +103,7 @@
             .iter()
             .map(|edit| audited_edit(&self.tree, edit))
             .collect();
-        // Offset 0 would read as "never set", so revisions count from 1.
+        // Revision 0 means "never set", so the record at offset 0 has revision 1.
         let revision = offset + 1;
         let verdict = match apply_change(&mut self.tree, change, revision, at_ms) {
             Ok(()) => Verdict::Accepted,
@@ -159,7 +159,7 @@
     }
 }
 
-/// Makes the whole change or, when anything is wrong with it, none of it.
+/// Applies the whole change, or none of it on an error.
 fn apply_change(
     tree: &mut SettingsTree,
     change: &SettingsChange,
