--- a/crates/borageshore_settings/src/lib.rs
+++ b/crates/borageshore_settings/src/lib.rs
@@ -1,8 +1,8 @@
 //! The settings tree: schema, inheritance, compare-and-set changes and the audit trail.
 //!
-//! Operators act only through [`SettingsChange`] records in the log. Every daemon folds them with
-//! [`SettingsFold`], which accepts a change only when each key is unchanged since the revision that
-//! the change was based on and the whole resulting tree is valid.
+//! Operators change settings only through [`SettingsChange`] records in the log. Every daemon
+//! applies them with [`SettingsFold`], which accepts a change only if no edited key has changed
+//! since the revision that the change is based on and the resulting tree is valid.
 //!
 //! ```
 //! use borageshore_settings::{SettingsFold, SettingValue};
