--- a/crates/borageshore_settings/src/schema.rs
+++ b/crates/borageshore_settings/src/schema.rs
@@ -1,20 +1,20 @@
-//! Every settings key, with its type, range, inheritance and default.
+//! The schema: every settings key with its type, range, inheritance and default.
 
-/// What a node stands for.
+/// The kind of a settings node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeKind {
-    /// Groups other nodes and holds what they inherit.
+    /// Groups other nodes, which inherit its values.
     Folder,
     /// A set of endpoints that serve the same requests.
     Service,
     /// A rollout job of one trainer.
     Job,
-    /// A stream of live requests from callers.
+    /// Live requests from callers.
     Traffic,
 }
 
 impl NodeKind {
-    /// The kinds by their names in settings.
+    /// The names of the kinds in settings.
     pub const NAMES: &[&str] = &["folder", "service", "job", "traffic"];
 
     /// Finds a kind by name.
@@ -32,18 +32,18 @@
 /// The values that a key accepts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ValueSpec {
-    /// A whole number within bounds, both inclusive.
+    /// An integer within bounds.
     Integer {
-        /// The smallest value.
+        /// The smallest value, inclusive.
         minimum: u64,
-        /// The largest value.
+        /// The largest value, inclusive.
         maximum: u64,
     },
-    /// One of some words.
+    /// One of a fixed set of names.
     Choice(&'static [&'static str]),
-    /// Free text up to a length in bytes.
+    /// Free text of limited length.
     Text {
-        /// The longest text.
+        /// The maximum length in bytes.
         max_bytes: usize,
     },
     /// The name of any node.
@@ -52,14 +52,14 @@
     ServiceName,
 }
 
-/// Whether children take a key's value from their parents.
+/// Where a key can be set and whether children inherit it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Inheritance {
-    /// Children inherit unless they override.
+    /// Children inherit the value unless they override it.
     Inherited,
-    /// The key speaks of its own node only.
+    /// The value applies to the node that sets it and is not inherited.
     NodeOnly,
-    /// The key speaks of all daemons and is set at the root only.
+    /// The value applies to all daemons and can be set at the root only.
     RootOnly,
 }
 
@@ -68,13 +68,13 @@
 pub struct KeySpec {
     /// The key, with its unit as a suffix.
     pub name: &'static str,
-    /// The values it accepts.
+    /// The accepted values.
     pub values: ValueSpec,
     /// Whether children inherit it.
     pub inheritance: Inheritance,
-    /// The value in force at the root when nobody set one, as text.
+    /// The default value as text, used when no node sets the key.
     pub default: Option<&'static str>,
-    /// One sentence for operators.
+    /// A one-sentence description for operators.
     pub meaning: &'static str,
 }
 
@@ -102,7 +102,7 @@
 
 const MAX_MS: u64 = 86_400_000;
 
-/// The schema, sorted by key name.
+/// All keys, sorted by name; [`key_spec`] relies on the order.
 pub const SCHEMA: &[KeySpec] = &[
     key(
         "address_count",
@@ -316,7 +316,7 @@
     ),
 ];
 
-/// Finds a key.
+/// Looks up a key by name.
 pub fn key_spec(name: &str) -> Option<&'static KeySpec> {
     SCHEMA
         .binary_search_by(|spec| spec.name.cmp(name))
