--- a/crates/borageshore_settings/src/tree.rs
+++ b/crates/borageshore_settings/src/tree.rs
@@ -1,4 +1,4 @@
-//! The tree itself: nodes, own values and inheritance.
+//! The settings tree: nodes, their own values and inheritance.
 
 use std::sync::Arc;
 
@@ -10,81 +10,81 @@
     value::SettingValue,
 };
 
-/// The node above all others. It always exists.
+/// The name of the root node, which always exists.
 pub const ROOT: &str = "root";
 
-/// A node's own value for a key, with the change that set it.
+/// A value set at a node, with the change that set it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The value; `None` after the key was unset, kept so that a racing change sees the conflict.
+    /// The value; `None` is a tombstone of an unset key, so that a concurrent change conflicts.
     pub value: Option<SettingValue>,
-    /// The offset of the change.
+    /// The revision of the change: its record's offset plus 1.
     pub revision: u64,
-    /// When the log took the change, by the log's clock.
+    /// When the change was appended, by the log service's clock.
     pub at_ms: u64,
-    /// Who made the change.
+    /// The operator who made the change.
     pub actor: Arc<str>,
 }
 
 /// A node's own entries by key.
 pub type Node = SortedMap<Arc<str>, Entry>;
 
-/// A value in force at a node.
+/// The effective value of a key at a node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct EffectiveSetting {
     /// The value.
     pub value: SettingValue,
-    /// The node that it comes from; `None` for the schema's default.
+    /// The node that sets it; `None` for the schema's default.
     pub from_node: Option<Arc<str>>,
-    /// The offset of the change that set it; 0 for the schema's default.
+    /// The revision of the change that set it; 0 for the schema's default.
     pub revision: u64,
 }
 
-/// All nodes.
+/// All nodes with the values set at them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SettingsTree {
     pub(crate) nodes: SortedMap<Arc<str>, Node>,
 }
 
 impl SettingsTree {
-    /// Says whether a node exists.
+    /// Returns whether a node exists: it is the root or has a parent.
     pub fn exists(&self, node: &str) -> bool {
         node == ROOT || self.parent(node).is_some()
     }
 
-    /// The parent of a node, `None` for the root and for nodes that do not exist.
+    /// Returns the parent of a node; `None` for the root and for nodes that do not exist.
     pub fn parent(&self, node: &str) -> Option<&Arc<str>> {
         self.own(node, "parent")?.as_text()
     }
 
-    /// The node's own value of a key.
+    /// Returns the value that the node itself sets for a key.
     pub fn own(&self, node: &str, key: &str) -> Option<&SettingValue> {
         self.entry(node, key)?.value.as_ref()
     }
 
-    /// The node's own entry of a key, unset ones included.
+    /// Returns the node's own entry for a key, also if the key was unset.
     pub fn entry(&self, node: &str, key: &str) -> Option<&Entry> {
         self.nodes.get(node)?.get(key)
     }
 
-    /// The revision of a key at a node: the offset that last changed it, or 0.
+    /// Returns the revision that last changed a key at a node, or 0.
     pub fn revision(&self, node: &str, key: &str) -> u64 {
         self.entry(node, key).map_or(0, |entry| entry.revision)
     }
 
-    /// The names of the nodes that exist, in order, without the root.
+    /// Iterates over the names of the existing nodes in order, without the root.
     pub fn node_names(&self) -> impl Iterator<Item = &Arc<str>> {
         self.nodes
             .keys()
             .filter(|name| &***name != ROOT && self.exists(name))
     }
 
-    /// Every node's own entries, unset ones included, in order.
+    /// Iterates over all nodes with their own entries in order, unset keys included.
     pub fn all_entries(&self) -> impl Iterator<Item = (&Arc<str>, &Node)> {
         self.nodes.iter()
     }
 
-    /// The node's own entries that hold a value, in key order.
+    /// Iterates over the node's own entries that hold a value, in key order.
     pub fn own_entries(&self, node: &str) -> impl Iterator<Item = (&Arc<str>, &Entry)> {
         let entries = self
             .nodes
@@ -94,24 +94,24 @@
         entries.filter(|(_, entry)| entry.value.is_some())
     }
 
-    /// The kind of a node.
+    /// Returns the kind of a node.
     pub fn kind(&self, node: &str) -> NodeKind {
         let own = self.own(node, "kind").and_then(SettingValue::as_text);
         own.and_then(|name| NodeKind::from_name(name))
             .unwrap_or(NodeKind::Folder)
     }
 
-    /// The names of the nodes of one kind, in order.
+    /// Iterates over the names of the nodes of one kind, in order.
     pub fn nodes_of_kind(&self, kind: NodeKind) -> impl Iterator<Item = &Arc<str>> {
         self.node_names()
             .filter(move |name| self.kind(name) == kind)
     }
 
-    /// The value in force: the node's own, else the nearest ancestor's, else the schema's default.
+    /// Returns the effective value: the node's own, else the nearest ancestor's, else the default.
     pub fn effective(&self, node: &str, key: &str) -> Option<EffectiveSetting> {
         let spec = key_spec(key)?;
         let mut at: &str = node;
-        // A tree in force has no cycle; the bound keeps a tree under validation from looping.
+        // A valid tree has no cycle; the bound prevents an endless loop in a tree under validation.
         for _ in 0..=self.nodes.len() {
             if let Some(Entry {
                 value: Some(value),
@@ -138,19 +138,19 @@
         schema_default(spec)
     }
 
-    /// The whole number in force.
+    /// Returns the effective value of an integer key.
     ///
     /// # Panics
     ///
-    /// When the key is no number or has no default: a slip in the program, not in a setting.
+    /// Panics if the key is not an integer key with a default, which is a programming error.
     pub fn integer(&self, node: &str, key: &str) -> u64 {
         let found = self
             .effective(node, key)
             .and_then(|setting| setting.value.as_integer());
-        found.unwrap_or_else(|| panic!("{key} is no number with a default"))
+        found.unwrap_or_else(|| panic!("{key} is not an integer key with a default"))
     }
 
-    /// The text in force.
+    /// Returns the effective value of a text key.
     pub fn text(&self, node: &str, key: &str) -> Option<Arc<str>> {
         self.effective(node, key)?.value.as_text().cloned()
     }
