--- a/crates/borageshore_settings/src/validate.rs
+++ b/crates/borageshore_settings/src/validate.rs
@@ -1,4 +1,4 @@
-//! Checks of single edits and of the whole tree.
+//! Validation of single edits and of the whole tree.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
     value::SettingValue,
 };
 
-/// Checks a key and its value by themselves.
+/// Checks a key and its value against the schema, without the rest of the tree.
 pub(crate) fn check_value(node: &str, key: &str, value: &SettingValue) -> Result<(), Fault> {
     let Some(spec) = key_spec(key) else {
         return Err(Fault::new(
@@ -73,7 +73,7 @@
     ""
 }
 
-/// Names the key that differs from an unknown one in its unit only.
+/// Suggests the key that differs from an unknown one only in its unit suffix.
 fn unit_suggestion(key: &str) -> String {
     let stem = key.rsplit_once('_').map_or(key, |(stem, _)| stem);
     let similar = SCHEMA.iter().find(|spec| {
@@ -89,13 +89,13 @@
     }
 }
 
-/// The keys whose edit can make other nodes invalid: what they inherit from or refer to.
+/// Keys that other nodes inherit from or refer to, so that an edit can invalidate those nodes.
 const STRUCTURAL_KEYS: &[&str] = &["kind", "parent", "scorer", "service"];
 
-/// Checks what a set of edits can have broken in the whole tree.
+/// Checks the nodes that a set of edits can have made invalid.
 ///
-/// Most changes set a number and can only be wrong by themselves, so the other nodes are looked at
-/// only after an edit of a structural key.
+/// The other nodes are checked only after an edit of a structural key; most changes set a number
+/// and cannot invalidate them.
 pub(crate) fn check_tree(tree: &SettingsTree, edits: &[Edit]) -> Result<(), Fault> {
     for edit in edits {
         check_node(tree, &edit.node)?;
