--- a/crates/borageshore_settings/src/value.rs
+++ b/crates/borageshore_settings/src/value.rs
@@ -1,23 +1,23 @@
-//! The value of one setting.
+//! Settings values.
 
 use std::{fmt, sync::Arc};
 
 use serde::{Deserialize, Serialize};
 
-/// A settings value as operators write it in YAML.
+/// A settings value as written in YAML.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum SettingValue {
     /// `true` or `false`.
     Boolean(bool),
-    /// A whole number, in the unit that the key's suffix names.
+    /// An integer, in the unit of the key's suffix.
     Integer(u64),
-    /// Text, a choice or the name of a node.
+    /// Text, a choice or a node name.
     Text(Arc<str>),
 }
 
 impl SettingValue {
-    /// Reads command-line text: a boolean or whole number where it looks like one, text otherwise.
+    /// Parses command-line text as a boolean, else as an integer, else as text.
     pub fn from_text(text: &str) -> Self {
         if let Ok(flag) = text.parse() {
             return SettingValue::Boolean(flag);
@@ -28,7 +28,7 @@
         }
     }
 
-    /// The number, if it is one.
+    /// Returns the integer, if the value is one.
     pub fn as_integer(&self) -> Option<u64> {
         match self {
             SettingValue::Integer(number) => Some(*number),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The text, if it is one.
+    /// Returns the text, if the value is one.
     pub fn as_text(&self) -> Option<&Arc<str>> {
         match self {
             SettingValue::Text(text) => Some(text),
