--- a/crates/borageshore_settings/tests/files.rs
+++ b/crates/borageshore_settings/tests/files.rs
@@ -1,4 +1,4 @@
-//! Settings files: every fault is numbered and names the file, the line and the key.
+//! Faults in settings files carry a result code and name the file, the line and the key.
 
 use borageshore_settings::check_settings_file;
 
@@ -32,14 +32,14 @@
     root_only: "nodes:\n  a:\n    parent: root\n    lease_ttl_ms: 5000\n" => "f.yaml:4: BS-2012";
 }
 
-/// Every fault of a file is told at once, not one a run.
+/// All faults of a file are reported in one run.
 #[test]
 fn all_faults_are_told() {
     let text = "nodes:\n  a:\n    importanc: 4\n    importance: high\n";
     assert_eq!(check_settings_file("f.yaml", text).unwrap_err().len(), 2);
 }
 
-/// The two deployments of the brief are examples; they must stay valid.
+/// The example deployments are valid.
 #[test]
 fn examples_are_valid() {
     for text in [
