--- a/crates/borageshore_net/src/event_loop.rs
+++ b/crates/borageshore_net/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The one loop on the one thread of a process.
+//! The single-threaded event loop, clocks and deadlines.
 
 use std::{
     future::Future,
@@ -7,25 +7,25 @@
 
 use monoio::{LegacyDriver, RuntimeBuilder};
 
-/// Runs a future to its end on an epoll loop.
+/// Runs a future to completion on an epoll event loop.
 ///
-/// The legacy driver is named outright: `monoio::main` and the fusion driver would pick io_uring,
-/// which the users' machines do not allow; the crate is built without it as well.
+/// Selects monoio's legacy driver explicitly: `monoio::main` and the fusion driver prefer io_uring,
+/// which the target machines do not permit.
 pub fn run_event_loop<Main>(main: Main) -> Main::Output
 where
     Main: Future,
 {
     let builder = RuntimeBuilder::<LegacyDriver>::new().enable_timer();
-    let mut runtime = builder.build().expect("an epoll instance can be made");
+    let mut runtime = builder.build().expect("an epoll instance can be created");
     runtime.block_on(main)
 }
 
-/// Sleeps.
+/// Suspends the task for a duration.
 pub async fn sleep_ms(duration_ms: u64) {
     monoio::time::sleep(Duration::from_millis(duration_ms)).await;
 }
 
-/// Waits for a future for so long at the most.
+/// Waits for a future; returns `None` if it does not complete within the duration.
 pub async fn within_ms<Work>(duration_ms: u64, work: Work) -> Option<Work::Output>
 where
     Work: Future,
@@ -35,36 +35,35 @@
         .ok()
 }
 
-/// A monotonic clock that starts at 0 with the process.
+/// A monotonic clock that starts at 0; it does not advance while the VM is suspended.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     started: Instant,
 }
 
 impl Clock {
-    /// Starts a clock.
+    /// Starts a clock at 0.
     pub fn start() -> Self {
         Self {
             started: Instant::now(),
         }
     }
 
-    /// The time since the start.
+    /// Returns the time since the start.
     pub fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// The time since the start, in microseconds.
+    /// Returns the time since the start in microseconds.
     pub fn now_us(&self) -> u64 {
         self.started.elapsed().as_micros() as u64
     }
 }
 
-/// A point in time by which an answer is wanted.
+/// The point in time by which a response is needed.
 ///
-/// Guards the time that is handed on with a request. Taken as a number of milliseconds before a wait, it is
-/// too long after it by that wait: a second endpoint, asked 0.55 s later, worked 0.55 s longer than the
-/// caller waited. What is left is worked out at the moment of sending instead.
+/// The remaining time is computed when a request is sent: a duration computed before a wait would let
+/// the endpoint work longer than the caller waits.
 #[derive(Debug, Clone, Copy)]
 pub struct Deadline {
     clock: Clock,
@@ -72,31 +71,31 @@
 }
 
 impl Deadline {
-    /// A time on a clock.
+    /// Creates a deadline at a time of the clock.
     pub fn at(clock: Clock, at_ms: u64) -> Self {
         Self { clock, at_ms }
     }
 
-    /// So long from now.
+    /// Creates a deadline after a duration from now.
     pub fn after(clock: Clock, duration_ms: u64) -> Self {
         Self::at(clock, clock.now_ms() + duration_ms)
     }
 
-    /// The time until then; 0 once it is over.
+    /// Returns the time until the deadline, or 0 once it has passed.
     pub fn remaining_ms(self) -> u64 {
         self.at_ms.saturating_sub(self.clock.now_ms())
     }
 
-    /// Says whether the time is over.
+    /// Returns whether the deadline has passed.
     pub fn has_passed(self) -> bool {
         self.remaining_ms() == 0
     }
 }
 
-/// The time since the VM was started, suspensions included.
+/// Returns the time since the VM was booted, including suspension.
 ///
-/// Leases and anything else that others may take over while this process stands still are checked
-/// against this clock: the monotonic clock does not count the time for which a VM is suspended.
+/// Leases are checked against this clock, since another process may take them over during a
+/// suspension, which the monotonic clock does not count.
 pub fn boot_time_ms() -> u64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     now.tv_sec as u64 * 1_000 + now.tv_nsec as u64 / 1_000_000
