--- a/crates/borageshore_net/src/frame.rs
+++ b/crates/borageshore_net/src/frame.rs
@@ -20,7 +20,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             FrameError::Io(error) => write!(f, "{error}"),
-            FrameError::TooLarge(bytes) => write!(f, "a frame of {bytes} bytes is too large"),
+            FrameError::TooLarge(bytes) => write!(f, "a frame of {bytes} bytes exceeds the limit"),
         }
     }
 }
@@ -33,7 +33,7 @@
     }
 }
 
-/// Writes one frame.
+/// Writes one frame: a big-endian 32-bit length and the payload.
 pub async fn write_frame(stream: &mut TcpStream, payload: &[u8]) -> io::Result<()> {
     let mut frame = Vec::with_capacity(4 + payload.len());
     frame.extend_from_slice(&(payload.len() as u32).to_be_bytes());
@@ -42,7 +42,7 @@
     written.map(|_| ())
 }
 
-/// Reads one frame of at most `limit_bytes`.
+/// Reads one frame with a payload of at most `limit_bytes`.
 pub async fn read_frame(stream: &mut TcpStream, limit_bytes: usize) -> Result<Vec<u8>, FrameError> {
     let (read, head) = stream.read_exact(Box::new([0_u8; 4])).await;
     read?;
