--- a/crates/borageshore_net/src/lib.rs
+++ b/crates/borageshore_net/src/lib.rs
@@ -1,4 +1,4 @@
-//! Sockets: one event loop, HTTP by `hyper` over `monoio-compat`, frames between peers.
+//! Networking: the event loop, an HTTP client and server on `hyper`, and frames between peers.
 //!
 //! ```
 //! let sum = borageshore_net::run_event_loop(async { 1 + 1 });
