--- a/crates/borageshore_net/src/server.rs
+++ b/crates/borageshore_net/src/server.rs
@@ -1,4 +1,4 @@
-//! An HTTP server with bounds on what a stranger can send.
+//! An HTTP server with limits on connections and request sizes.
 
 use std::{
     cell::Cell, convert::Infallible, future::Future, io, net::SocketAddr, pin::pin, rc::Rc,
@@ -28,34 +28,34 @@
 
 use crate::event_loop::{sleep_ms, within_ms};
 
-/// The pause after a connection could not be accepted.
+/// The pause after a failed accept.
 const ACCEPT_RETRY_MS: u64 = 50;
-/// A listener's queue is empty when no connection comes out of it for this long.
+/// On shutdown, the accept queue counts as empty when no connection arrives for this long.
 const ACCEPT_DRAIN_MS: u64 = 2;
-/// Chunks that wait for a slow reader before the writer waits as well.
+/// The number of chunks that are buffered for a slow reader before the writer blocks.
 const STREAM_BUFFER_CHUNKS: usize = 16;
 
-/// Why a streamed body was cut.
+/// The error that ends a streamed body early.
 pub type StreamBodyError = io::Error;
-/// A body as the edge sends it: whole, or a stream with back-pressure.
+/// A response body: complete, or streamed with back-pressure.
 pub type EdgeBody = Either<Full<Bytes>, Channel<Bytes, StreamBodyError>>;
-/// A request as the edge receives it.
+/// A request as received by a [`Handler`].
 pub type EdgeRequest = Request<Incoming>;
-/// A response as the edge sends it.
+/// A response as returned by a [`Handler`].
 pub type EdgeResponse = Response<EdgeBody>;
 
-/// Bounds on connections and requests.
+/// Limits on connections and requests.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
-    /// Open connections.
+    /// The maximum number of open connections.
     pub connections: usize,
-    /// Bytes of a request's head.
+    /// The maximum size of a request head; at least 8 KiB are allowed.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// The maximum size of a request body.
     pub body_bytes: usize,
-    /// Time for a whole head, and between two requests of a connection.
+    /// The timeout for a complete request head, also between two requests of a connection.
     pub head_timeout_ms: u64,
-    /// Time for a whole body.
+    /// The timeout for a complete request body.
     pub body_timeout_ms: u64,
 }
 
@@ -71,9 +71,9 @@
     }
 }
 
-/// Answers requests.
+/// Handles requests.
 pub trait Handler {
-    /// Answers one request from `remote`.
+    /// Handles one request from `remote`.
     fn handle(
         &self,
         request: EdgeRequest,
@@ -91,7 +91,7 @@
     closed: Notify,
 }
 
-/// A running server.
+/// A handle to a running server.
 #[derive(Debug, Clone)]
 pub struct HttpServer {
     address: SocketAddr,
@@ -99,7 +99,7 @@
 }
 
 impl HttpServer {
-    /// Binds an address and serves it on the present event loop.
+    /// Binds an address and serves it on the current event loop.
     pub fn bind<Service>(address: &str, limits: ServerLimits, handler: Service) -> io::Result<Self>
     where
         Service: Handler + 'static,
@@ -118,39 +118,39 @@
         Ok(server)
     }
 
-    /// Where it listens.
+    /// Returns the address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The number of open connections.
+    /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
         self.shared.open.get()
     }
 
-    /// Connections refused over the limit.
+    /// Returns the number of connections refused because of the limit.
     pub fn refused_connections(&self) -> u64 {
         self.shared.refused.get()
     }
 
-    /// Ends idle connections at once, and every other one after its next answer: those that serve a request,
-    /// those that wait for their first one, and those that are opened from now on.
+    /// Closes idle connections at once and every other connection after its next response: those that
+    /// serve a request, those that wait for their first one, and those that are opened later.
     pub fn stop_gracefully(&self) {
         self.shared.is_stopping.set(true);
         self.shared.stopping.notify_waiters();
     }
 
-    /// Stops listening. Connections that the kernel has already established are still served.
+    /// Stops listening. Connections already in the accept queue are still served.
     pub fn close(&self) {
         self.shared.is_closed.set(true);
         self.shared.closed.notify_waiters();
     }
 }
 
-/// Binds an address for this process alone.
+/// Binds an address exclusively.
 ///
-/// Guards against two processes on one address: by default the library lets them share it, and each
-/// connection goes to either, so that callers of one reach the other without anyone being told.
+/// monoio sets `SO_REUSEPORT` by default, which lets two processes bind the same address and spreads
+/// connections over both.
 pub fn bind_listener(address: &str) -> io::Result<TcpListener> {
     TcpListener::bind_with_config(address, &ListenerOpts::new().reuse_port(false))
 }
@@ -167,12 +167,12 @@
         let closed = shared.closed.notified();
         match select(pin!(listener.accept()), pin!(closed)).await {
             Race::Left((Ok(accepted), _)) => spawn_connection(accepted, limits, &handler, &shared),
-            // Out of file descriptors: wait for some to come back rather than spin.
+            // Probably out of file descriptors: pause instead of spinning.
             Race::Left((Err(_), _)) => sleep_ms(ACCEPT_RETRY_MS).await,
             Race::Right(_) => {}
         }
     }
-    // Dropping the listener resets the connections that wait in its queue.
+    // Dropping the listener would reset the connections in its accept queue.
     while let Some(Ok(accepted)) = within_ms(ACCEPT_DRAIN_MS, listener.accept()).await {
         spawn_connection(accepted, limits, &handler, &shared);
     }
@@ -235,7 +235,7 @@
     if !shared.is_stopping.get() {
         match select(connection.as_mut(), stopping).await {
             Race::Left((ended, _)) => return ended.map_err(Into::into),
-            // Hyper closes a connection that has not been read from, though its request may be on its way.
+            // Hyper closes a connection before its first request, which may already be in transit.
             Race::Right(_) if has_request.get() => connection.as_mut().graceful_shutdown(),
             Race::Right(_) => {}
         }
@@ -243,7 +243,7 @@
     connection.await.map_err(Into::into)
 }
 
-/// A body known in full.
+/// Creates a complete body.
 pub fn full_body<Content>(content: Content) -> EdgeBody
 where
     Content: Into<Bytes>,
@@ -251,33 +251,33 @@
     Either::Left(Full::new(content.into()))
 }
 
-/// No body.
+/// Creates an empty body.
 pub fn empty_body() -> EdgeBody {
     full_body(Bytes::new())
 }
 
-/// A streamed body and the end to write it with.
+/// Creates a streamed body and its sender.
 pub fn stream_body() -> (Sender<Bytes, StreamBodyError>, EdgeBody) {
     let (sender, channel) = Channel::new(STREAM_BUFFER_CHUNKS);
     (sender, Either::Right(channel))
 }
 
-/// A JSON answer.
+/// Creates a JSON response.
 pub fn json_response<Content>(status: u16, content: &Content) -> EdgeResponse
 where
     Content: Serialize,
 {
-    let body = serde_json::to_vec(content).expect("answers are plain data");
+    let body = serde_json::to_vec(content).expect("responses serialize to JSON");
     Response::builder()
         .status(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR))
         .header("content-type", "application/json")
         .body(full_body(body))
-        .expect("the head is valid")
+        .expect("the response head is valid")
 }
 
-/// Reads a request's body within the limits; the error says what was wrong.
+/// Reads a request body within the limits.
 pub async fn read_body(body: Incoming, limits: ServerLimits) -> Result<Bytes, BodyError> {
-    // An announced length needs no waiting for the bytes.
+    // Reject a `Content-Length` over the limit without reading the body.
     if body.size_hint().lower() > limits.body_bytes as u64 {
         return Err(BodyError::TooLarge);
     }
@@ -292,13 +292,13 @@
     }
 }
 
-/// What was wrong with a request's body.
+/// Why a request body could not be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BodyError {
     /// Larger than the limit.
     TooLarge,
-    /// Not whole in time.
+    /// Not complete within the timeout.
     TooSlow,
-    /// Broken chunks or a broken connection.
+    /// Invalid chunks, or the connection failed.
     Malformed(String),
 }
