--- a/crates/borageshore_net/tests/listener.rs
+++ b/crates/borageshore_net/tests/listener.rs
@@ -1,10 +1,8 @@
-//! Listeners belong to one process.
+//! Listeners bind their address exclusively.
 
 use borageshore_net::{bind_listener, run_event_loop};
 
-// Callers of one daemon get answers of another one, now and then and on some connections only.
-// Two processes were started on one address; both bound it, and the kernel dealt the connections
-// out among them.
+// Two processes that bind the same address would each get some of the connections.
 #[test]
 fn an_address_is_bound_once() {
     run_event_loop(async {
