--- a/crates/borageshore_net/tests/stopping.rs
+++ b/crates/borageshore_net/tests/stopping.rs
@@ -1,4 +1,4 @@
-//! A server that stops answers everybody who reached it.
+//! Graceful shutdown: a stopping server answers every connection it accepted.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
     connect_ms: 1_000,
     first_byte_ms: 1_000,
 };
-/// Longer than a connection needs to be accepted or closed.
+/// Enough time for a connection to be accepted or closed.
 const SETTLED_MS: u64 = 50;
 
 struct Echo;
@@ -35,7 +35,7 @@
     HttpClient::open().connect(address, TIMEOUTS).await.unwrap()
 }
 
-/// Makes a request; says whether the answer ends the connection.
+/// Sends a request; returns whether the response closes the connection.
 async fn ask(connection: &mut Connection) -> bool {
     let request = Request::get("/").header("host", "stopping.example");
     let request = request.body(Full::<Bytes>::default()).unwrap();
@@ -54,7 +54,7 @@
 }
 
 cases! {
-    // A caller whose connection came while the daemon stopped was cut off before its request was read.
+    // Guards against closing a connection that is opened during shutdown before its request is read.
     a_connection_that_is_opened_while_the_server_stops_is_answered => {
         let (server, address) = bind();
         server.stop_gracefully();
@@ -63,7 +63,7 @@
         assert!(ask(&mut connection).await);
     }
 
-    // A caller that had connected, and was about to send its request as the stop began, was cut off.
+    // Guards against closing a connection whose first request has not arrived when shutdown begins.
     a_connection_that_waits_for_its_first_request_is_answered => {
         let (server, address) = bind();
         let mut connection = connect(&address).await;
@@ -73,7 +73,7 @@
         assert!(ask(&mut connection).await);
     }
 
-    // A caller whose connection the kernel had established, and the daemon not yet accepted, was reset.
+    // Guards against resetting connections that are still in the accept queue.
     a_connection_that_is_not_accepted_yet_is_answered_after_the_end_of_listening => {
         let (server, address) = bind();
         let (first, second) = (std::net::TcpStream::connect(&address), std::net::TcpStream::connect(&address));
@@ -86,7 +86,7 @@
         assert_eq!(server.open_connections(), 0);
     }
 
-    // Callers of a daemon that has ended go elsewhere at once instead of waiting for it.
+    // A closed server refuses connections, so that callers fail over at once.
     nobody_connects_to_a_closed_server => {
         let (server, address) = bind();
         server.close();
@@ -94,7 +94,7 @@
         assert!(HttpClient::open().connect(&address, TIMEOUTS).await.is_err());
     }
 
-    // A stop that waits for idle connections would last for as long as callers keep them.
+    // Shutdown must not wait for callers to close their idle connections.
     an_idle_connection_ends_as_the_server_stops => {
         let (server, address) = bind();
         let mut connection = connect(&address).await;
