--- a/crates/borageshore_log/src/envelope.rs
+++ b/crates/borageshore_log/src/envelope.rs
@@ -1,27 +1,27 @@
-//! The envelope that makes an append idempotent.
+//! The record envelope, which makes appends idempotent.
 
 use std::sync::Arc;
 
 use borageshore_base::SortedMap;
 use serde::{Deserialize, Serialize};
 
-/// How long a silent writer is remembered, by the log's clock.
+/// How long an inactive writer is kept in the table, by the log service's clock.
 ///
-/// A writer gives up on an append long before this, so a copy that arrives later cannot come from a
-/// writer that still acts on it.
+/// Much longer than a writer retries an append, so no writer still waits for a copy that arrives
+/// later.
 const WRITER_TTL_MS: u64 = 3_600_000;
 
-/// How many admitted records pass between two prunings of silent writers.
+/// The number of admitted records between two prunings of inactive writers.
 const PRUNE_INTERVAL_RECORDS: u64 = 1_024;
 
-/// A record body with the identity of its append.
+/// A record body with the writer and sequence number that identify it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope<Body> {
     /// The writing process: daemon name and incarnation.
     pub writer: Arc<str>,
-    /// Counts the writer's records in this stream from 1, without gaps.
+    /// The writer's record number in this stream, from 1 without gaps.
     pub sequence: u64,
-    /// What is proposed.
+    /// The proposal.
     pub body: Body,
 }
 
@@ -31,12 +31,11 @@
     last_at_ms: u64,
 }
 
-/// Remembers the last sequence of each writer, so that a repeated append has no second effect.
+/// The last sequence number of each writer, for deduplicating retried appends.
 ///
-/// Guards against the lost answer: an append takes effect, its answer is lost, the writer appends the
-/// same record again. A writer has one append in flight and repeats it under the same sequence, so a
-/// sequence at or below the last one seen is always a copy. Pruning depends on the log's clock in the
-/// records only, so every fold prunes at the same offset.
+/// A writer has one append in flight and retries it with the same sequence number, so a number at or
+/// below the last one seen is always a duplicate. Pruning depends only on the timestamps in the
+/// records, so every fold prunes at the same offset.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriterTable {
     writers: SortedMap<Arc<str>, WriterEntry>,
@@ -44,7 +43,7 @@
 }
 
 impl WriterTable {
-    /// Says whether the record is new, and remembers it.
+    /// Records the sequence number and returns whether it is new.
     pub fn admit(&mut self, writer: &Arc<str>, sequence: u64, at_ms: u64) -> bool {
         let entry = self
             .writers
@@ -65,12 +64,12 @@
         true
     }
 
-    /// The number of writers remembered.
+    /// Returns the number of writers in the table.
     pub fn len(&self) -> usize {
         self.writers.len()
     }
 
-    /// Says whether no writer is remembered.
+    /// Returns whether the table is empty.
     pub fn is_empty(&self) -> bool {
         self.writers.is_empty()
     }
