--- a/crates/borageshore_log/src/follower.rs
+++ b/crates/borageshore_log/src/follower.rs
@@ -1,4 +1,4 @@
-//! The reader's side: folds a stream in order, starting from a snapshot when its head is gone.
+//! The reader: applies a stream in order, from a snapshot if the oldest records were removed.
 
 use std::fmt::Debug;
 
@@ -9,41 +9,40 @@
     service::{LogPage, LogRecord},
 };
 
-/// A pure state that every daemon computes from the same records.
+/// A deterministic state machine that every daemon runs over the same records.
 pub trait Fold {
-    /// The proposals of this stream.
+    /// The body of this stream's records.
     type Body: Debug + Serialize + DeserializeOwned;
-    /// A state small enough for one record.
+    /// A serializable copy of the state, small enough for one record.
     type Snapshot: Debug + Serialize + DeserializeOwned;
 
-    /// Applies a record. Must depend on nothing but the state and the arguments.
+    /// Applies a record. The result must depend only on the state and the arguments.
     fn apply(&mut self, offset: u64, at_ms: u64, envelope: &Envelope<Self::Body>);
 
-    /// Copies the state.
+    /// Returns a copy of the state.
     fn snapshot(&self) -> Self::Snapshot;
 
-    /// Replaces the state.
+    /// Replaces the state by a snapshot.
     fn restore(&mut self, snapshot: Self::Snapshot);
 
-    /// The snapshot inside a record, with the first offset that it does not cover.
+    /// Returns the snapshot in a record, if any, with the first offset that it does not cover.
     fn embedded_snapshot(body: Self::Body) -> Option<(u64, Self::Snapshot)>;
 }
 
-/// Whether a [`Follower`] has a state to act on.
+/// Whether the state of a [`Follower`] is usable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FollowerState {
-    /// Looking for a snapshot, because records before the oldest kept one are gone.
+    /// Records are missing; the follower waits for a snapshot that covers them.
     AwaitingSnapshot,
-    /// The fold is a prefix of the log.
+    /// The state is that of a prefix of the log.
     Following,
 }
 
-/// Feeds pages of the log into a [`Fold`].
+/// Applies pages of the log to a [`Fold`].
 ///
-/// Guards against three faults of a restart. Records below retention: the follower holds the records
-/// it reads until one contains a snapshot that joins on to them. A page read twice: offsets below the
-/// applied one are skipped, so the state never goes back. A gap: the follower drops to `AwaitingSnapshot`
-/// rather than skip a record, and its daemon is not ready meanwhile.
+/// If the oldest records were removed, it buffers the records it reads until one contains a snapshot
+/// that covers the missing ones. Records that are read twice are skipped, so the state never goes
+/// back. After a gap it enters `AwaitingSnapshot`, and its daemon is not ready meanwhile.
 #[derive(Debug)]
 pub struct Follower<State> {
     fold: State,
@@ -58,7 +57,7 @@
 where
     State: Fold,
 {
-    /// Opens a follower at the beginning of a stream.
+    /// Creates a follower at the beginning of a stream.
     pub fn open(fold: State) -> Self {
         Self {
             fold,
@@ -70,12 +69,12 @@
         }
     }
 
-    /// The folded state.
+    /// Returns the state.
     pub fn fold(&self) -> &State {
         &self.fold
     }
 
-    /// The offset to read next.
+    /// Returns the offset to read next.
     pub fn next_offset(&self) -> u64 {
         match self.buffered.last() {
             Some(record) => record.offset + 1,
@@ -83,27 +82,27 @@
         }
     }
 
-    /// The first offset that the state does not cover.
+    /// Returns the first offset that the state does not cover.
     pub fn applied_offset(&self) -> u64 {
         self.next_offset
     }
 
-    /// The end of the log as last heard; `None` before anything was heard, also of an empty log.
+    /// Returns the highest end offset reported so far; `None` before the first page.
     pub fn end_offset(&self) -> Option<u64> {
         self.end_offset
     }
 
-    /// Whether the state can be acted on.
+    /// Returns whether the state is usable.
     pub fn state(&self) -> FollowerState {
         self.state
     }
 
-    /// The number of records that could not be decoded and were skipped by every fold alike.
+    /// Returns the number of undecodable records, which every follower skips.
     pub fn malformed_records(&self) -> u64 {
         self.malformed
     }
 
-    /// Takes a state from a peer if it is newer than the present one.
+    /// Installs a peer's snapshot if it is newer than the current state.
     pub fn install_snapshot(&mut self, next_offset: u64, snapshot: State::Snapshot) {
         if self.state == FollowerState::Following && next_offset <= self.next_offset {
             return;
@@ -117,7 +116,7 @@
         }
     }
 
-    /// Folds a page; calls `on_applied` with each applied record and its envelope.
+    /// Applies a page; calls `on_applied` with each applied record and its envelope.
     pub fn on_page<Observe>(&mut self, page: LogPage, mut on_applied: Observe)
     where
         Observe: FnMut(&LogRecord, &Envelope<State::Body>),
