--- a/crates/borageshore_log/src/lib.rs
+++ b/crates/borageshore_log/src/lib.rs
@@ -1,9 +1,10 @@
-//! What the processes share through the platform's log service.
+//! State replication through the platform's log service.
 //!
-//! A record appended to a stream is a proposal; its offset orders it; every daemon folds the same
-//! records with the same pure function ([`Fold`]) and so reaches the same verdict. This crate holds
-//! the record envelope, the removal of duplicates ([`WriterTable`]), the writer that settles lost
-//! answers ([`Proposer`]) and the reader that starts from snapshots ([`Follower`]).
+//! A record appended to a stream is a proposal, ordered by its offset. Every daemon applies the same
+//! records with the same deterministic state machine ([`Fold`]) and reaches the same state. This
+//! crate has the record envelope, deduplication ([`WriterTable`]), the writer that retries appends
+//! with an unknown outcome ([`Proposer`]) and the reader that can start from snapshots
+//! ([`Follower`]).
 //!
 //! ```
 //! use borageshore_log::{Envelope, WriterTable};
