--- a/crates/borageshore_log/src/proposer.rs
+++ b/crates/borageshore_log/src/proposer.rs
@@ -1,4 +1,4 @@
-//! The writer's side: one append in flight, lost answers settled by reading on.
+//! The writer: one append in flight; an unknown outcome is resolved by reading the log.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -6,26 +6,26 @@
 
 use crate::envelope::Envelope;
 
-/// The longest pause between two attempts.
+/// The maximum backoff between two attempts, without jitter.
 const MAX_BACKOFF_MS: u64 = 5_000;
-/// The pause after the first failed attempt.
+/// The backoff after the first failed attempt, without jitter.
 const INITIAL_BACKOFF_MS: u64 = 100;
 
-/// A record waiting for its place in the log.
+/// A record that is not known to be in the log yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Proposal {
-    /// Its sequence in this writer's stream.
+    /// The writer's sequence number.
     pub sequence: u64,
     /// The encoded envelope.
     pub data: String,
 }
 
-/// What the shell must do next for a [`Proposer`].
+/// The next action for the code that drives a [`Proposer`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum ProposerAction {
-    /// Nothing until the state changes.
+    /// Wait for the next event.
     Idle,
-    /// Wait and ask again.
+    /// Poll again at this time in ms.
     WaitUntil(u64),
     /// Append these records in one call.
     Append(Vec<String>),
@@ -35,8 +35,8 @@
 enum Phase {
     Ready,
     InFlight,
-    /// The answer was lost. `end_offset` is the end of the log seen after that, once it is known:
-    /// having read so far, the writer has either seen its record or may repeat it.
+    /// The append's response was lost. Once the log is read up to `end_offset`, the first end seen
+    /// after the loss, the record has either been seen or is appended again.
     AwaitingOutcome {
         end_offset: Option<u64>,
     },
@@ -45,11 +45,13 @@
     },
 }
 
-/// Puts records into one stream in order, each with exactly one effect.
+/// Appends records to a stream in order, each with exactly one effect.
 ///
-/// Guards against an append whose answer is lost after it took effect. It shows as a time-out; the
-/// proposer reads on to the end of the log before it repeats the append, and repeats it under the
-/// same sequence, which the fold ignores if the first copy arrives after all.
+/// An append whose response is lost may have taken effect. The log is read to its end before the
+/// append is retried; the retry has the same sequence number, so that [`WriterTable`] drops it if the
+/// first copy arrives after all.
+///
+/// [`WriterTable`]: crate::WriterTable
 #[derive(Debug)]
 pub struct Proposer {
     writer: Arc<str>,
@@ -62,7 +64,7 @@
 }
 
 impl Proposer {
-    /// Opens a proposer for a writer that has appended nothing to this stream yet.
+    /// Creates a proposer for a writer that has appended nothing to this stream yet.
     pub fn open(writer: Arc<str>, batch_limit: usize) -> Self {
         Self {
             writer,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Queues a record and returns its sequence.
+    /// Queues a record and returns its sequence number.
     pub fn propose<Body>(&mut self, body: Body) -> u64
     where
         Body: Serialize,
@@ -87,12 +89,12 @@
             sequence,
             body,
         };
-        let data = serde_json::to_string(&envelope).expect("records are plain data");
+        let data = serde_json::to_string(&envelope).expect("records serialize to JSON");
         self.queue.push_back(Proposal { sequence, data });
         sequence
     }
 
-    /// Says what to do at `now_ms`.
+    /// Returns the next action at `now_ms`; an `Append` is in flight from then on.
     pub fn poll(&mut self, now_ms: u64) -> ProposerAction {
         match self.phase {
             Phase::InFlight | Phase::AwaitingOutcome { .. } => return ProposerAction::Idle,
@@ -116,7 +118,7 @@
         ProposerAction::Append(batch)
     }
 
-    /// The append was acknowledged.
+    /// Handles an acknowledged append.
     pub fn on_acknowledged(&mut self) {
         if self.phase != Phase::InFlight {
             return;
@@ -125,21 +127,21 @@
         self.finish_attempt();
     }
 
-    /// The log refused the append, so it had no effect.
+    /// Handles an append that the log refused without effect.
     pub fn on_refused(&mut self, now_ms: u64, jitter_percent: u64) {
         if self.phase == Phase::InFlight {
             self.back_off(now_ms, jitter_percent);
         }
     }
 
-    /// The answer did not come.
+    /// Handles an append with an unknown outcome.
     pub fn on_lost_answer(&mut self) {
         if self.phase == Phase::InFlight {
             self.phase = Phase::AwaitingOutcome { end_offset: None };
         }
     }
 
-    /// The follower read a record of this writer.
+    /// Handles a record of this writer that the follower read.
     pub fn on_seen(&mut self, sequence: u64) {
         let settled = self
             .queue
@@ -156,7 +158,8 @@
         }
     }
 
-    /// The follower has folded everything below `applied_offset` of a log that ends at `end_offset`.
+    /// Handles progress of the follower: records below `applied_offset` are applied, the log ends at
+    /// `end_offset`.
     pub fn on_progress(
         &mut self,
         applied_offset: u64,
@@ -177,12 +180,12 @@
         }
     }
 
-    /// The number of records without a known place.
+    /// Returns the number of records that are not known to be in the log.
     pub fn pending(&self) -> usize {
         self.queue.len()
     }
 
-    /// Says whether the record with this sequence still has no known place.
+    /// Returns whether the record with this sequence number is not known to be in the log.
     pub fn is_pending(&self, sequence: u64) -> bool {
         self.queue
             .iter()
