--- a/crates/borageshore_log/src/service.rs
+++ b/crates/borageshore_log/src/service.rs
@@ -1,24 +1,24 @@
-//! The interface to the platform's append-only log.
+//! The interface of the platform's append-only log service.
 
 use std::{fmt, future::Future};
 
 use serde::{Deserialize, Serialize};
 
-/// One record as the log keeps it.
+/// A record as stored in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRecord {
-    /// Position in the stream, from 0.
+    /// The position in the stream, from 0.
     pub offset: u64,
-    /// Time at which the log took the record, by the log's clock.
+    /// When the record was appended, by the log service's clock.
     pub at_ms: u64,
-    /// The record itself.
+    /// The encoded record.
     pub data: String,
 }
 
-/// An answer to a read.
+/// The response to a read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogPage {
-    /// The oldest offset still kept.
+    /// The oldest offset that is still retained.
     pub first_offset: u64,
     /// The offset that the next append will get.
     pub end_offset: u64,
@@ -26,12 +26,12 @@
     pub records: Vec<LogRecord>,
 }
 
-/// Why the log did not answer as asked.
+/// Why a call to the log service failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LogError {
-    /// The log refused the call before any effect.
+    /// The log service refused the call; it had no effect.
     Refused(String),
-    /// No usable answer; the call may or may not have taken effect.
+    /// No valid response; whether the call took effect is unknown.
     Unknown(String),
 }
 
@@ -46,7 +46,7 @@
 
 impl std::error::Error for LogError {}
 
-/// The platform's log service. One adapter implements it over HTTP.
+/// The platform's log service.
 pub trait LogService {
     /// Appends records in order, all or none, and returns the offset of the first.
     fn append(
