--- a/crates/borageshore_diagnostics/src/instruments.rs
+++ b/crates/borageshore_diagnostics/src/instruments.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms by opentelemetry, read as Prometheus text.
+//! The metrics of a daemon, recorded by OpenTelemetry instruments.
 
 use opentelemetry::{
     KeyValue,
@@ -7,7 +7,7 @@
 
 use crate::exposition::Exposition;
 
-/// Bounds of the buckets of durations, in ms: from an answer of the store to a step's time limit.
+/// The bucket bounds of the duration histogram.
 const DURATION_BOUNDS_MS: [f64; 14] = [
     2.0, 5.0, 10.0, 20.0, 50.0, 100.0, 150.0, 250.0, 500.0, 1_000.0, 2_000.0, 4_000.0, 8_000.0,
     12_000.0,
@@ -23,7 +23,7 @@
 }
 
 impl Instruments {
-    /// Opens the instruments.
+    /// Creates the instruments.
     pub fn open() -> Self {
         let exposition = Exposition::open();
         let meter = exposition.meter();
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Counts something that happened, with its outcome.
+    /// Counts an event `what` with its outcome.
     pub fn count(&self, what: &'static str, outcome: &'static str) {
         let labels = [
             KeyValue::new("what", what),
@@ -47,18 +47,18 @@
         self.events.add(1, &labels);
     }
 
-    /// Records how long something took.
+    /// Records the duration of `what`.
     pub fn record_ms(&self, what: &'static str, duration_ms: u64) {
         let labels = [KeyValue::new("what", what)];
         self.durations_ms.record(duration_ms as f64, &labels);
     }
 
-    /// Sets a gauge.
+    /// Sets the gauge of `what`.
     pub fn set(&self, what: &'static str, value: u64) {
         self.state.record(value, &[KeyValue::new("what", what)]);
     }
 
-    /// All instruments as Prometheus text.
+    /// Encodes all instruments as Prometheus text.
     pub fn to_text(&self) -> Vec<u8> {
         self.exposition.to_text()
     }
