--- a/crates/borageshore_diagnostics/src/lib.rs
+++ b/crates/borageshore_diagnostics/src/lib.rs
@@ -1,4 +1,4 @@
-//! What a process shows of itself: log lines on standard output, counters and histograms as text.
+//! Observability: log lines on standard output and metrics as Prometheus text.
 //!
 //! ```
 //! use borageshore_diagnostics::Instruments;
