--- a/crates/borageshore_diagnostics/src/logging.rs
+++ b/crates/borageshore_diagnostics/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines on standard output, bounded, and never waited for.
+//! Rate-limited, non-blocking logging of JSON lines to standard output.
 
 use std::{cell::RefCell, sync::Arc, time::Instant};
 
@@ -15,7 +15,8 @@
 
 use crate::rate_limit::{LineDecision, LogRateLimiter};
 
-/// A pipe takes a line up to this length whole or not at all.
+/// The maximum length of a line. A non-blocking write of up to `PIPE_BUF` (4,096) bytes to a pipe is
+/// atomic.
 const MAX_LINE_BYTES: usize = 4_000;
 
 #[derive(Debug, Serialize)]
@@ -35,7 +36,7 @@
     *number == 0
 }
 
-/// Collects the fields of a record.
+/// Collects the key-value pairs of a record.
 #[derive(Debug, Default)]
 struct Fields(Map<String, Value>);
 
@@ -51,18 +52,17 @@
 }
 
 thread_local! {
-    // All lines of a daemon come from its one thread.
+    // A daemon logs from a single thread.
     static RATE_LIMITER: RefCell<LogRateLimiter> = RefCell::default();
 }
 
-/// Sends log lines to standard output; a line that cannot be written at once is dropped and counted.
+/// Installs a logger that writes to standard output; a line that would block is dropped and counted.
 ///
-/// Guards against a reader of the logs that stands still: a full pipe would stop the one loop of the
-/// process, and with it every request.
+/// A blocking write to a full pipe would stall the event loop, and with it every request.
 pub fn install_logger(daemon: &Arc<str>) -> Result<(), log::SetLoggerError> {
     let daemon = daemon.clone();
     let started = Instant::now();
-    // Where standard output cannot be switched, it is a file, which is always ready.
+    // If standard output cannot be made non-blocking, lines are written in blocking mode.
     if let Ok(flags) = fcntl_getfl(stdio::stdout()) {
         let _ = fcntl_setfl(stdio::stdout(), flags | OFlags::NONBLOCK);
     }
@@ -87,7 +87,7 @@
 
 fn encode(daemon: &str, record: &Record<'_>, dropped_before: u64) -> Vec<u8> {
     let mut fields = Fields::default();
-    // A field that cannot be shown is left out; the line is worth more than the field.
+    // A field that cannot be encoded is left out, so that the line is still written.
     let _ = record.key_values().visit(&mut fields);
     let line = Line {
         at: jiff::Timestamp::now().to_string(),
@@ -104,12 +104,12 @@
     encoded
 }
 
-/// Writes a line at once; a pipe that is full takes none of it.
+/// Writes a line without blocking; a full pipe accepts none of it.
 fn write_whole(line: &[u8]) -> rustix::io::Result<()> {
     rustix::io::write(stdio::stdout(), line).map(|_| ())
 }
 
-/// Follows the level in the settings tree.
+/// Sets the log level by name; an unknown name sets `info`.
 pub fn set_level(name: &str) {
     let level = name.parse().unwrap_or(LevelFilter::Info);
     if log::max_level() != level {
