--- a/crates/borageshore_diagnostics/src/rate_limit.rs
+++ b/crates/borageshore_diagnostics/src/rate_limit.rs
@@ -1,29 +1,28 @@
-//! A bound on the volume of log lines.
+//! A rate limit on log lines.
 
-/// Lines a second over a longer time: a daemon on a heavy day writes 40, one line a decision.
+/// The sustained rate.
 const SUSTAINED_LINES_PER_S: u64 = 200;
-/// Lines that may come at once: the items of two steps.
+/// The burst size.
 const BURST_LINES: u64 = 600;
 
-/// What happens to a line.
+/// Whether a line is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LineDecision {
-    /// It is written; so many were dropped before it since the last one that was written.
+    /// The line is written.
     Write {
-        /// Lines dropped before this one.
+        /// The number of lines dropped since the last written one.
         dropped_before: u64,
     },
-    /// It is dropped.
+    /// The line is dropped.
     Drop,
 }
 
-/// Lets a number of lines a second through and counts the others.
+/// A token bucket that limits log lines and counts the dropped ones.
 ///
-/// Guards against logs that cost more than the work they tell of: when everything fails at once,
-/// each failure has a line, and a process with an eighth of a core would do little else.
+/// Keeps a process with little CPU from spending it on logging when many requests fail at once.
 #[derive(Debug)]
 pub struct LogRateLimiter {
-    /// In thousandths of a line, so that every ms earns some.
+    /// Thousandths of a line, so that every millisecond adds a whole number.
     millitokens: u64,
     refilled_at_ms: u64,
     dropped: u64,
@@ -40,8 +39,7 @@
 }
 
 impl LogRateLimiter {
-    /// Decides on a line at `now_ms`. Faults have a reserve of their own: an error is written as long
-    /// as a tenth of the burst is left to the others' account.
+    /// Decides whether to write a line at `now_ms`. A tenth of the burst is reserved for faults.
     pub fn on_line(&mut self, now_ms: u64, is_fault: bool) -> LineDecision {
         let passed_ms = now_ms.saturating_sub(self.refilled_at_ms);
         self.refilled_at_ms = now_ms;
@@ -58,7 +56,7 @@
         }
     }
 
-    /// Counts a line that could not be written.
+    /// Counts a dropped line, also one whose write failed.
     pub fn on_dropped(&mut self) {
         self.dropped += 1;
     }
