--- a/crates/borageshore_diagnostics/tests/rate_limit.rs
+++ b/crates/borageshore_diagnostics/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! The bound on log lines.
+//! The rate limit on log lines.
 
 use borageshore_diagnostics::{LineDecision, LogRateLimiter};
 
@@ -8,8 +8,7 @@
         .count()
 }
 
-// A daemon with an eighth of a core answers nothing for seconds: every one of thousands of failed
-// attempts has a line. The volume is bounded, and the next line says how many are missing.
+// A flood of failures must not flood the log; the next line written has the number of dropped ones.
 #[test]
 fn a_flood_is_cut_and_counted() {
     let mut limiter = LogRateLimiter::default();
