--- a/crates/borageshore_base/src/code.rs
+++ b/crates/borageshore_base/src/code.rs
@@ -1,42 +1,42 @@
-//! Numbered result codes, the same in HTTP answers, logs, the command line and `docs/RESULT-CODES.md`.
+//! Numbered result codes, used in HTTP responses, logs, the command line and `docs/RESULT-CODES.md`.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Declares the codes once, so that number, name, meaning and the table in the docs cannot differ.
+/// Declares the codes with number, HTTP status and meaning; a test compares the docs with them.
 macro_rules! result_codes {
     ($($variant:ident = $number:literal, $status:literal, $meaning:literal;)*) => {
-        /// A numbered outcome.
+        /// The outcome of a request or a settings change.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
         pub enum ResultCode {
             $(#[doc = $meaning] $variant = $number,)*
         }
 
         impl ResultCode {
-            /// Every code, in numeric order.
+            /// All codes in numeric order.
             pub const ALL: &[ResultCode] = &[$(ResultCode::$variant,)*];
 
-            /// The number, stable across releases.
+            /// Returns the number, which is stable across releases.
             pub fn number(self) -> u16 {
                 self as u16
             }
 
-            /// One sentence for people.
+            /// Returns a one-sentence description.
             pub fn meaning(self) -> &'static str {
                 match self {
                     $(ResultCode::$variant => $meaning,)*
                 }
             }
 
-            /// The HTTP status that carries this code at the edge.
+            /// Returns the HTTP status of responses with this code.
             pub fn http_status(self) -> u16 {
                 match self {
                     $(ResultCode::$variant => $status,)*
                 }
             }
 
-            /// Finds a code by its number.
+            /// Looks up a code by its number.
             pub fn from_number(number: u16) -> Option<ResultCode> {
                 match number {
                     $($number => Some(ResultCode::$variant),)*
@@ -103,17 +103,17 @@
     }
 }
 
-/// A result code with the particulars of one case: the file, key or field, and what was wrong.
+/// An error: a result code with the details of the case, such as the file, key or field.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// What kind of fault.
+    /// The kind of error.
     pub code: ResultCode,
-    /// The particulars, for people.
+    /// Human-readable details.
     pub detail: String,
 }
 
 impl Fault {
-    /// Builds a fault.
+    /// Creates a fault.
     pub fn new<Detail>(code: ResultCode, detail: Detail) -> Self
     where
         Detail: Into<String>,
