--- a/crates/borageshore_base/src/lib.rs
+++ b/crates/borageshore_base/src/lib.rs
@@ -1,4 +1,4 @@
-//! Shared vocabulary of the workspace: result codes, sorted collections and hashing.
+//! Types shared by the workspace: result codes, a sorted map and rendezvous hashing.
 //!
 //! ```
 //! use borageshore_base::SortedMap;
