--- a/crates/borageshore_base/src/rendezvous.rs
+++ b/crates/borageshore_base/src/rendezvous.rs
@@ -1,16 +1,16 @@
 //! Rendezvous (highest random weight) hashing.
 //!
-//! Every process that knows the same members ranks them the same way without talking, and a member
-//! that joins or leaves moves only the keys it wins or held.
+//! Processes with the same member list compute the same ranking without communication, and a member
+//! that joins or leaves moves only the keys that it owns.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The weight of `member` for `key`; the highest weight owns the key.
+/// Returns the weight of `member` for `key`; the member with the highest weight owns the key.
 pub fn rendezvous_weight(key: &str, member: &str) -> u64 {
     xxh3_64_with_seed(member.as_bytes(), xxh3_64_with_seed(key.as_bytes(), 0))
 }
 
-/// Ranks `members` for `key`, the owner first; ties go to the smaller name.
+/// Ranks `members` for `key`, the owner first; equal weights are ordered by name.
 pub fn rank_by_rendezvous<'m, Members>(key: &str, members: Members) -> Vec<&'m str>
 where
     Members: IntoIterator<Item = &'m str>,
@@ -23,10 +23,10 @@
     ranked.into_iter().map(|(_, member)| member).collect()
 }
 
-/// The rank of `own` among `members` for `key` if it is below `limit`; `own` need not be listed.
+/// Returns the rank of `own` among `members` for `key` if it is below `limit`; `own` need not be a
+/// member.
 ///
-/// Stops at the first `limit` members that come before, so a member that is far from the front, as
-/// most are for most keys, looks at a few others only.
+/// Stops after `limit` members of a higher rank, so that for most keys few members are examined.
 pub fn rank_within<'m, Members>(
     key: &str,
     own: &str,
