--- a/crates/borageshore_base/src/sorted_map.rs
+++ b/crates/borageshore_base/src/sorted_map.rs
@@ -1,4 +1,4 @@
-//! A map kept as one sorted vector.
+//! A map in a sorted vector.
 
 use std::borrow::Borrow;
 
@@ -6,8 +6,8 @@
 
 /// A map over a sorted vector with binary search.
 ///
-/// Look-ups cost `O(log n)`, inserts `O(n)` moves; iteration is in key order, so two maps with the
-/// same entries serialize to the same bytes.
+/// Lookups are `O(log n)`, inserts and removals `O(n)`. Iteration is in key order, so maps with equal
+/// entries serialize to the same bytes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SortedMap<Key, Value> {
     entries: Vec<(Key, Value)>,
@@ -42,7 +42,7 @@
         self.position(key).ok().map(|at| &self.entries[at].1)
     }
 
-    /// Returns the value of `key` for changing it.
+    /// Returns a mutable reference to the value of `key`.
     pub fn get_mut<Query>(&mut self, key: &Query) -> Option<&mut Value>
     where
         Key: Borrow<Query>,
@@ -51,7 +51,7 @@
         self.position(key).ok().map(|at| &mut self.entries[at].1)
     }
 
-    /// Says whether `key` is present.
+    /// Returns whether `key` is present.
     pub fn contains_key<Query>(&self, key: &Query) -> bool
     where
         Key: Borrow<Query>,
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns the value of `key`, inserting `make()` first when there is none.
+    /// Returns the value of `key`, inserting `make()` first if there is none.
     pub fn get_or_insert_with<Make>(&mut self, key: Key, make: Make) -> &mut Value
     where
         Make: FnOnce() -> Value,
@@ -108,7 +108,7 @@
         self.entries.iter().map(|(k, v)| (k, v))
     }
 
-    /// Iterates in key order over changeable values.
+    /// Iterates in key order with mutable values.
     pub fn iter_mut(&mut self) -> impl DoubleEndedIterator<Item = (&Key, &mut Value)> {
         self.entries.iter_mut().map(|(k, v)| (&*k, v))
     }
@@ -123,12 +123,12 @@
         self.entries.iter().map(|(_, v)| v)
     }
 
-    /// The number of entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Says whether there is no entry.
+    /// Returns whether the map is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
