--- a/crates/borageshore_chart/src/lib.rs
+++ b/crates/borageshore_chart/src/lib.rs
@@ -1,8 +1,8 @@
-//! State charts kept in data files and interpreted by the code.
+//! State machines defined in YAML transition tables.
 //!
-//! A chart lists, for every state, what each event leads to. States and events are enums of the
-//! crate that owns the chart, so a misspelt name fails when the chart is opened, and
-//! [`Chart::missing_transitions`] lets a test prove that every state answers every event.
+//! A chart maps each state and event to the next state. States and events are enums of the crate
+//! that owns the chart, so an unknown name is an error when the chart is opened, and a test can use
+//! [`Chart::missing_transitions`] to check that every state handles every event.
 //!
 //! ```
 //! use borageshore_chart::Chart;
@@ -34,7 +34,7 @@
     states: BTreeMap<State, BTreeMap<Event, State>>,
 }
 
-/// A chart in force.
+/// A parsed transition table.
 #[derive(Debug)]
 pub struct Chart<State, Event> {
     initial: State,
@@ -47,7 +47,7 @@
     State: Debug + Copy + Ord + DeserializeOwned,
     Event: Debug + Copy + Ord + DeserializeOwned,
 {
-    /// Reads a chart; the error names the line of the file.
+    /// Parses a chart; the error names the line of the text.
     pub fn open(text: &str) -> Result<Self, String> {
         let file: ChartFile<State, Event> =
             serde_saphyr::from_str(text).map_err(|error| error.to_string())?;
@@ -63,12 +63,12 @@
         })
     }
 
-    /// The state to begin in.
+    /// Returns the initial state.
     pub fn initial(&self) -> State {
         self.initial
     }
 
-    /// The state after `event`; an event that the chart does not list changes nothing.
+    /// Returns the state after `event`, which is `state` if the chart has no such transition.
     pub fn next(&self, state: State, event: Event) -> State {
         match self
             .transitions
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The pairs of state and event that the chart leaves out.
+    /// Returns the pairs of state and event without a transition.
     pub fn missing_transitions(&self, states: &[State], events: &[Event]) -> Vec<(State, Event)> {
         let mut missing = Vec::new();
         for state in states {
