--- a/crates/borageshore_api/src/lib.rs
+++ b/crates/borageshore_api/src/lib.rs
@@ -1,4 +1,4 @@
-//! The answers of a daemon to operators, as both sides of the interface know them.
+//! The response types of a daemon's operator API, shared by the daemon and the command line.
 //!
 //! ```
 //! use borageshore_api::StreamStatus;
@@ -13,16 +13,16 @@
 use borageshore_settings::SettingValue;
 use serde::{Deserialize, Serialize};
 
-/// All own values of the tree.
+/// The values set at the nodes of the tree, without inherited ones.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SettingsView {
-    /// The first offset of the settings stream that is not folded in.
+    /// The first offset of the settings stream that is not applied yet.
     pub revision: u64,
     /// The nodes in order.
     pub nodes: Vec<NodeView>,
 }
 
-/// The own values of one node.
+/// The values set at one node.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct NodeView {
     /// The node.
@@ -31,22 +31,22 @@
     pub keys: Vec<KeyView>,
 }
 
-/// One own value.
+/// A value set at a node.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct KeyView {
     /// The key.
     pub key: Arc<str>,
     /// The value; `None` after it was unset.
     pub value: Option<SettingValue>,
-    /// The revision to base a change on.
+    /// The revision on which a change of the key must be based.
     pub revision: u64,
-    /// Who set it.
+    /// The operator who set it.
     pub actor: Arc<str>,
-    /// When, by the clock of the log.
+    /// When it was set, by the log service's clock.
     pub at_ms: u64,
 }
 
-/// What one daemon knows of itself and the others.
+/// The state of a daemon and its view of the others.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Status {
     /// Its name.
@@ -55,32 +55,32 @@
     pub incarnation: u64,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// Where it is in its life.
+    /// Its lifecycle state.
     pub life: String,
-    /// The streams that it follows.
+    /// The streams that it reads.
     pub streams: Vec<StreamStatus>,
-    /// The daemons that it knows.
+    /// The known daemons.
     pub daemons: Vec<DaemonStatus>,
-    /// The shards of work with their owners.
+    /// The leases on shards of work.
     pub leases: Vec<LeaseStatus>,
     /// The jobs that it owns.
     pub jobs: Vec<JobStatus>,
-    /// The endpoints that it observes.
+    /// The known endpoints.
     pub endpoints: Vec<EndpointStatus>,
 }
 
-/// How far a stream is folded.
+/// The read position in a stream.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StreamStatus {
     /// The stream.
     pub stream: Arc<str>,
-    /// The first offset that is not folded in.
+    /// The first offset that is not applied yet.
     pub applied_offset: u64,
-    /// Records between that and the end as last heard.
+    /// The number of records from there to the last known end of the stream.
     pub behind: u64,
 }
 
-/// A daemon as another one sees it.
+/// One daemon's view of another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DaemonStatus {
     /// Its name.
@@ -89,45 +89,45 @@
     pub incarnation: u64,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub http_address: Arc<str>,
-    /// What it says of itself.
+    /// The state that it reports.
     pub state: String,
-    /// What the failure detector says.
+    /// The verdict of the failure detector.
     pub health: String,
 }
 
-/// A shard of work.
+/// The lease on a shard of work.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LeaseStatus {
     /// The shard.
     pub shard: Arc<str>,
-    /// The session that owns it.
+    /// The session that holds the lease.
     pub owner: Option<Arc<str>>,
-    /// Its fencing number.
+    /// The fencing token.
     pub epoch: u64,
 }
 
-/// A job at its owner.
+/// A job, as reported by its owner.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobStatus {
     /// The job.
     pub job: Arc<str>,
-    /// Samples generated.
+    /// Generated samples.
     pub generated: u64,
-    /// Samples that a second attempt made in vain.
+    /// Duplicate samples from second attempts.
     pub repeated: u64,
-    /// Samples given up as too old.
+    /// Samples dropped as too old.
     pub stale: u64,
-    /// Samples placed a second time as stragglers.
+    /// Stragglers that were placed a second time.
     pub replaced: u64,
-    /// Attempts that failed.
+    /// Failed attempts.
     pub failed: u64,
     /// Finished samples that wait for the trainer.
     pub buffered: usize,
 }
 
-/// An endpoint as a daemon sees it.
+/// A daemon's view of an endpoint.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EndpointStatus {
     /// Its name.
@@ -136,38 +136,38 @@
     pub service: Arc<str>,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// What the VM list says.
+    /// Its state in the VM list.
     pub state: String,
-    /// This daemon's requests at it.
+    /// This daemon's requests in flight at it.
     pub in_flight: u64,
-    /// Requests at it by its last report.
+    /// The number of requests in its last report.
     pub reported_requests: Option<u64>,
-    /// Whether it gets new work.
+    /// Whether it receives new requests.
     pub is_usable: bool,
 }
 
-/// Where a value in force comes from.
+/// The origin of an effective value.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Explanation {
     /// The key.
     pub key: Arc<str>,
-    /// The value in force.
+    /// The effective value.
     pub value: SettingValue,
     /// The node that sets it; `None` for the default of the schema.
     pub from_node: Option<Arc<str>>,
     /// The revision that set it.
     pub revision: u64,
-    /// What the key means.
+    /// The description of the key.
     pub meaning: Arc<str>,
 }
 
-/// The body of an answer that is a fault.
+/// The body of an error response.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FaultBody {
     /// The result code.
     pub code: u16,
-    /// What the code means.
+    /// The description of the code.
     pub meaning: String,
-    /// The particulars of this case.
+    /// The details of this case.
     pub detail: String,
 }
