--- a/crates/borageshore_cli/src/arguments.rs
+++ b/crates/borageshore_cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The arguments.
+//! Command-line arguments.
 
 use std::{path::PathBuf, sync::Arc};
 
