--- a/crates/borageshore_cli/src/client.rs
+++ b/crates/borageshore_cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Requests to a daemon, and what their failures mean for the exit code.
+//! Requests to a daemon's operator API, and the exit codes of failures.
 
 use std::{fmt, path::Path};
 
@@ -13,7 +13,7 @@
 
 use crate::arguments::Connection;
 
-/// A change may wait for its verdict in the log.
+/// The response to a settings change waits until the change is read back from the log.
 const TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 2_000,
     first_byte_ms: 20_000,
@@ -22,11 +22,11 @@
 /// Why a command failed.
 #[derive(Debug)]
 pub enum CommandError {
-    /// A numbered fault.
+    /// A fault that the daemon or the command reported.
     Fault(Fault),
-    /// Faults of files with their places.
+    /// Faults in files.
     Files(Vec<FileFault>),
-    /// The daemon could not be reached or answered nonsense.
+    /// The daemon could not be reached or sent an invalid response.
     Unreachable(String),
 }
 
@@ -46,7 +46,7 @@
 impl std::error::Error for CommandError {}
 
 impl CommandError {
-    /// The exit code of the process; see `docs/RESULT-CODES.md`.
+    /// Returns the exit code of the process; see `docs/RESULT-CODES.md`.
     pub fn exit_code(&self) -> u8 {
         match self {
             CommandError::Fault(fault) => exit_code_of(fault.code),
@@ -61,7 +61,7 @@
 const EXIT_UNAUTHORIZED: u8 = 5;
 const EXIT_UNAVAILABLE: u8 = 6;
 
-/// The exit code that stands for a result code.
+/// Returns the exit code for a result code.
 pub fn exit_code_of(code: ResultCode) -> u8 {
     match code.number() {
         1_000..=1_999 => 0,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Asks a daemon.
+/// Sends a GET request to a daemon.
 pub(crate) async fn get<Answer>(connection: &Connection, path: &str) -> Result<Answer, CommandError>
 where
     Answer: DeserializeOwned,
@@ -80,7 +80,7 @@
     call(connection, "GET", path, Bytes::new()).await
 }
 
-/// Has a daemon do something.
+/// Sends a POST request to a daemon.
 pub(crate) async fn post<Payload, Answer>(
     connection: &Connection,
     path: &str,
@@ -124,7 +124,7 @@
     Err(CommandError::Fault(Fault::new(code, fault.detail)))
 }
 
-/// Reads a file; a fault names it.
+/// Reads a text file; the error names the file.
 pub(crate) fn read_file(path: &Path) -> Result<String, CommandError> {
     std::fs::read_to_string(path).map_err(|error| {
         let fault = Fault::new(ResultCode::UnreadableFile, error.to_string());
