--- a/crates/borageshore_cli/src/handover.rs
+++ b/crates/borageshore_cli/src/handover.rs
@@ -1,4 +1,4 @@
-//! What an incoming shift inherits.
+//! The `handover` command: a summary for the incoming shift.
 
 use borageshore_api::{SettingsView, Status};
 use borageshore_settings::AuditEntry;
@@ -12,7 +12,7 @@
 
 const HOUR_MS: u64 = 3_600_000;
 
-/// The state at the change of shifts.
+/// The summary in JSON output.
 #[derive(Debug, Serialize)]
 struct Handover {
     settings: SettingsView,
@@ -20,7 +20,7 @@
     status: Status,
 }
 
-/// The audit entries of the last hours.
+/// Fetches the audit entries of the last hours.
 pub(crate) async fn changes(
     connection: &Connection,
     hours: u64,
@@ -34,7 +34,7 @@
     .await
 }
 
-/// Shows what is in force and what changed in the last hours.
+/// Renders the settings, their changes in the last hours, and the status.
 pub(crate) async fn run(connection: &Connection, hours: u64) -> Result<String, CommandError> {
     let handover = Handover {
         settings: get(connection, "/v1/admin/settings").await?,
