--- a/crates/borageshore_cli/src/lib.rs
+++ b/crates/borageshore_cli/src/lib.rs
@@ -1,4 +1,4 @@
-//! The command line of the one binary: the daemon and the operators' commands.
+//! The command line of the binary: runs daemons and the operators' commands.
 //!
 //! ```
 //! use borageshore_cli::exit_code_of;
