--- a/crates/borageshore_cli/src/run.rs
+++ b/crates/borageshore_cli/src/run.rs
@@ -1,4 +1,4 @@
-//! From arguments to an exit code.
+//! Dispatch of the commands.
 
 use std::{io::Write, path::Path, process::ExitCode};
 
@@ -16,7 +16,7 @@
     handover, settings, show, steps,
 };
 
-/// Runs the command line of this process.
+/// Parses the arguments of this process and runs the command.
 pub fn run() -> ExitCode {
     let arguments = Arguments::parse();
     match arguments.command {
@@ -84,7 +84,7 @@
         }
         Command::Handover { hours } => handover::run(connection, hours).await,
         Command::Daemon { .. } | Command::Gateway { .. } | Command::Completions { .. } => {
-            unreachable!("handled by the caller")
+            unreachable!("handled in `run`")
         }
     }
 }
