--- a/crates/borageshore_cli/src/settings.rs
+++ b/crates/borageshore_cli/src/settings.rs
@@ -1,4 +1,4 @@
-//! The commands on the settings tree.
+//! The `settings` commands.
 
 use std::{path::Path, sync::Arc};
 
@@ -17,7 +17,7 @@
 
 const SETTINGS_PATH: &str = "/v1/admin/settings";
 
-/// Carries out one command and returns what to print.
+/// Runs a command and returns its output.
 pub(crate) async fn run(
     connection: &Connection,
     command: SettingsCommand,
@@ -142,7 +142,7 @@
     parse_settings_file(&file.display().to_string(), &text).map_err(CommandError::Files)
 }
 
-/// The edits that bring the tree to what a file says.
+/// Returns the edits that apply a file to the tree, each with the value that it replaces.
 async fn edits_of(
     connection: &Connection,
     file: &Path,
