--- a/crates/borageshore_cli/src/show.rs
+++ b/crates/borageshore_cli/src/show.rs
@@ -1,4 +1,4 @@
-//! Output for people.
+//! Rendering of command output as text or JSON.
 
 use std::fmt::Write;
 
@@ -8,7 +8,7 @@
 
 use crate::arguments::Connection;
 
-/// JSON where it was asked for, text otherwise.
+/// Renders JSON with `--json`, text otherwise.
 pub(crate) fn render<Content, Show>(
     connection: &Connection,
     content: &Content,
@@ -19,12 +19,12 @@
     Show: FnOnce(&Content) -> String,
 {
     if connection.json {
-        return serde_json::to_string(content).expect("answers are plain data");
+        return serde_json::to_string(content).expect("responses serialize to JSON");
     }
     show(content)
 }
 
-/// A plain sentence; in JSON an object with it.
+/// Renders a message; in JSON, as an object with the field `message`.
 pub(crate) fn render_message(connection: &Connection, text: String) -> String {
     if connection.json {
         return serde_json::json!({ "message": text }).to_string();
@@ -32,7 +32,7 @@
     text
 }
 
-/// A time of the log's clock.
+/// Formats a Unix time in ms; out of range, it is shown as a number.
 pub(crate) fn time(at_ms: u64) -> String {
     jiff::Timestamp::from_millisecond(at_ms as i64)
         .map_or_else(|_| at_ms.to_string(), |at| format!("{at:.0}"))
@@ -42,7 +42,7 @@
     value.map_or_else(|| "(inherited)".into(), SettingValue::to_string)
 }
 
-/// The own values of nodes.
+/// Renders the values set at nodes.
 pub(crate) fn settings(view: &SettingsView) -> String {
     let mut text = String::new();
     for node in &view.nodes {
@@ -58,7 +58,7 @@
     text
 }
 
-/// Values in force with their origins.
+/// Renders effective values with their origins.
 pub(crate) fn explained(explained: &[Explanation]) -> String {
     let mut text = String::new();
     for found in explained {
@@ -74,7 +74,7 @@
     text
 }
 
-/// What a file would change.
+/// Renders the changes that a file would make.
 pub(crate) fn difference(edits: &[(Edit, Option<SettingValue>)]) -> String {
     let mut text = String::new();
     for (edit, before) in edits {
@@ -84,7 +84,7 @@
     text
 }
 
-/// An accepted change.
+/// Renders an accepted change.
 pub(crate) fn accepted(entry: &AuditEntry) -> String {
     let edits: Vec<String> = entry.edits.iter().map(edit).collect();
     format!(
@@ -102,7 +102,7 @@
     )
 }
 
-/// The trail.
+/// Renders the audit trail.
 pub(crate) fn audit(entries: &[AuditEntry]) -> String {
     let mut text = String::new();
     for entry in entries {
@@ -124,7 +124,7 @@
     text
 }
 
-/// A daemon's view.
+/// Renders the status of a daemon.
 pub(crate) fn status(status: &Status) -> String {
     let mut text = String::new();
     let _ = writeln!(
@@ -182,7 +182,7 @@
     text
 }
 
-/// The jobs with their owners.
+/// Renders the jobs with their owners.
 pub(crate) fn jobs(status: &Status) -> String {
     let mut text = String::new();
     for lease in status
