--- a/crates/borageshore_cli/src/steps.rs
+++ b/crates/borageshore_cli/src/steps.rs
@@ -1,4 +1,4 @@
-//! What a trainer's step waited for, from the daemons' logs.
+//! The `steps` command: reads from daemons' logs what each training step waited for.
 
 use std::{fmt::Write, sync::Arc};
 
@@ -6,7 +6,7 @@
 use jiff::Timestamp;
 use serde::{Deserialize, Serialize};
 
-/// The fields of log lines that a step's course is read from.
+/// The fields of a log line that the analysis uses.
 #[derive(Debug, Deserialize)]
 struct LogLine {
     at: Timestamp,
@@ -27,39 +27,39 @@
     waited_ms: u64,
 }
 
-/// The item on which the last complete group of a step waited.
+/// The last item of a step to finish.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct LastItem {
     /// The item.
     pub item: Arc<str>,
-    /// The events of its text.
+    /// The number of events of its text.
     pub events: u64,
-    /// The engines at which it ran.
+    /// The number of engines it ran at, one after the other.
     pub stays: u64,
-    /// How long it waited for its first slot.
+    /// The wait for its first slot.
     pub placing_ms: u64,
-    /// From its first slot to its last event.
+    /// The time from its first slot to its last event.
     pub generating_ms: u64,
-    /// From its last event to its score.
+    /// The time from its last event to its score.
     pub scoring_ms: u64,
 }
 
-/// The course of a step.
+/// The timing of a training step.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Step {
-    /// Its submission.
+    /// The submission that requested it.
     pub submission: Arc<str>,
-    /// When it was accepted.
+    /// When the submission was accepted.
     pub accepted_at: Timestamp,
-    /// From its acceptance to its end; `None` if the logs have no end.
+    /// The time from acceptance to end; `None` if the logs have no end.
     pub took_ms: Option<u64>,
-    /// The daemons that ran it, in turn.
+    /// The daemons that ran it, in order.
     pub daemons: Vec<Arc<str>>,
-    /// The groups of which an item was finished before the end.
+    /// The number of groups with an item that finished before the end.
     pub groups: usize,
-    /// The last item that was finished before the end.
+    /// The last item to finish before the end.
     pub last: Option<LastItem>,
-    /// From that item's result to the end: the store, the trainer's reads, the trainer itself.
+    /// The time from that item's result to the end: the store, the trainer's reads and the trainer.
     pub after_last_ms: Option<u64>,
 }
 
@@ -122,8 +122,9 @@
     to.as_millisecond().abs_diff(from.as_millisecond())
 }
 
-/// The steps whose acceptance is in the logs, by that time. Lines may come in any order and have
-/// something before them, as collectors put it there; what is no log line is passed over.
+/// Returns the steps whose acceptance is in the logs, ordered by its time.
+///
+/// Lines may be in any order and may have a prefix from a log collector; other lines are skipped.
 pub fn parse_steps(logs: &str) -> Vec<Step> {
     let mut steps_by_submission: SortedMap<Arc<str>, StepEvents> = SortedMap::default();
     for text in logs.lines() {
@@ -144,7 +145,7 @@
     steps
 }
 
-/// A table of steps for people; times in ms.
+/// Renders a table of steps, with times in ms.
 pub(crate) fn table(steps: &Vec<Step>) -> String {
     let mut text = String::from(
         "accepted                  submission        took  groups  placing  generating  events  stays  scoring  after  daemons\n",
