--- a/crates/borageshore_cli/tests/steps.rs
+++ b/crates/borageshore_cli/tests/steps.rs
@@ -1,8 +1,8 @@
-//! What a trainer's step waited for, from the daemons' logs.
+//! Parsing of training steps from daemons' logs.
 
 use borageshore_cli::{LastItem, parse_steps};
 
-/// Lines of two daemons, one of which took the step over; collectors put a host before some.
+/// Log lines of daemons, one of which took over the step; a log collector added a host to one line.
 const LOGS: &str = r#"
 {"at":"2026-07-21T15:10:54.100Z","level":"INFO","daemon":"a","message":"submission accepted","submission":"s1","items":3}
 host-1 {"at":"2026-07-21T15:10:54.120Z","level":"INFO","daemon":"a","message":"submission taken over","submission":"s1"}
