--- a/crates/borageshore_net/src/client.rs
+++ b/crates/borageshore_net/src/client.rs
@@ -211,7 +211,7 @@
         Payload: Serialize,
         Answer: DeserializeOwned,
     {
-        let body = serde_json::to_vec(body).expect("messages serialize to JSON");
+        let body = serde_json::to_vec(body).expect("messages are plain data");
         let request = Request::builder()
             .method(method)
             .uri(path)
