--- a/crates/borageshore_log/src/follower.rs
+++ b/crates/borageshore_log/src/follower.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FollowerState {
     /// Records are missing; the follower waits for a snapshot that covers them.
-    AwaitingSnapshot,
+    Searching,
     /// The state is that of a prefix of the log.
     Following,
 }
@@ -42,7 +42,7 @@
 ///
 /// If the oldest records were removed, it buffers the records it reads until one contains a snapshot
 /// that covers the missing ones. Records that are read twice are skipped, so the state never goes
-/// back. After a gap it enters `AwaitingSnapshot`, and its daemon is not ready meanwhile.
+/// back. After a gap it enters `Searching`, and its daemon is not ready meanwhile.
 #[derive(Debug)]
 pub struct Follower<State> {
     fold: State,
@@ -123,13 +123,13 @@
     {
         self.end_offset = self.end_offset.max(Some(page.end_offset));
         if self.next_offset() < page.first_offset {
-            self.state = FollowerState::AwaitingSnapshot;
+            self.state = FollowerState::Searching;
             self.buffered.clear();
         }
         for record in page.records {
             match self.state {
                 FollowerState::Following => self.apply_record(&record, &mut on_applied),
-                FollowerState::AwaitingSnapshot => self.search(record, &mut on_applied),
+                FollowerState::Searching => self.search(record, &mut on_applied),
             }
         }
     }
@@ -163,7 +163,7 @@
             return;
         }
         if record.offset > self.next_offset {
-            self.state = FollowerState::AwaitingSnapshot;
+            self.state = FollowerState::Searching;
             self.buffered.push(record.clone());
             return;
         }
