--- a/crates/borageshore_daemon/src/admin.rs
+++ b/crates/borageshore_daemon/src/admin.rs
@@ -22,12 +22,12 @@
 
 /// How long a change may take to be folded before its writer is told that nobody knows.
 const VERDICT_WAIT_MS: u64 = 15_000;
-const VERDICT_STEP_MS: u64 = 100;
+const VERDICT_POLL_MS: u64 = 100;
 /// How often a publication of weights is tried again after losing a race.
 const PUBLISH_ATTEMPTS: u32 = 5;
 
 /// The token of an `authorization: Bearer` header, empty without one.
-pub(crate) fn bearer(request: &EdgeRequest) -> &[u8] {
+pub(crate) fn bearer_token(request: &EdgeRequest) -> &[u8] {
     let header = request
         .headers()
         .get("authorization")
@@ -37,7 +37,7 @@
 
 /// Answers a request under `/v1/admin`.
 pub(crate) async fn handle(daemon: &Rc<Daemon>, path: &[&str], request: EdgeRequest) -> Answer {
-    let offered = bearer(&request);
+    let offered = bearer_token(&request);
     let is_operator = daemon
         .config
         .operator_token
@@ -98,7 +98,7 @@
     if !daemon.settings.with_fold(|fold| fold.tree().exists(node)) {
         return Answer::refused(ResultCode::MissingNode, node);
     }
-    let explained: Vec<Explanation> = daemon.settings.with_fold(|fold| {
+    let explanations: Vec<Explanation> = daemon.settings.with_fold(|fold| {
         let explain_key = |spec: &'static borageshore_settings::KeySpec| {
             let found = fold.tree().effective(node, spec.name)?;
             Some(Explanation {
@@ -114,7 +114,7 @@
             .filter_map(explain_key)
             .collect()
     });
-    Answer::json(&explained)
+    Answer::json(&explanations)
 }
 
 fn get_audit(daemon: &Daemon, request: &EdgeRequest) -> Answer {
@@ -163,7 +163,7 @@
         if let Some(entry) = verdict {
             return Ok(entry);
         }
-        daemon.settings.wait_progress(VERDICT_STEP_MS).await;
+        daemon.settings.wait_progress(VERDICT_POLL_MS).await;
     }
     Err(Fault::new(
         ResultCode::LogUnavailable,
@@ -180,14 +180,14 @@
         return Answer::refused(ResultCode::UnknownJob, job);
     }
     for _ in 0..PUBLISH_ATTEMPTS {
-        let (present, based_on) = daemon.settings.with_fold(|fold| {
+        let (current_version, based_on) = daemon.settings.with_fold(|fold| {
             (
                 fold.tree().integer(job, "weights_version"),
                 fold.tree().revision(job, "weights_version"),
             )
         });
-        if present >= version {
-            return Answer::json(&present);
+        if current_version >= version {
+            return Answer::json(&current_version);
         }
         let edit = Edit {
             node: job.into(),
--- a/crates/borageshore_daemon/src/edge/trainer.rs
+++ b/crates/borageshore_daemon/src/edge/trainer.rs
@@ -14,7 +14,7 @@
 };
 
 fn is_trainer(daemon: &Daemon, request: &EdgeRequest) -> Result<(), Answer> {
-    let offered = admin::bearer(request);
+    let offered = admin::bearer_token(request);
     let is_known = daemon
         .config
         .trainer_token
