--- a/crates/borageshore_daemon/src/control.rs
+++ b/crates/borageshore_daemon/src/control.rs
@@ -22,18 +22,18 @@
 /// The pace of leases, limits and jobs.
 const TICK_MS: u64 = 100;
 /// The pace of the VM list.
-const VM_LIST_MS: u64 = 1_000;
+const VM_LIST_POLL_MS: u64 = 1_000;
 /// An endpoint whose last report is older than this is asked, as far as the pace allows.
-const REPORT_AGE_MS: u64 = 1_000;
+const REPORT_MAX_AGE_MS: u64 = 1_000;
 /// The pace of asking for reports.
 const REPORT_TICK_MS: u64 = 500;
 /// How many endpoints are asked in a tick. Answers bring reports along; asking is for idle endpoints
 /// and must not grow with their number.
 const REPORTS_PER_TICK: usize = 4;
 /// How many daemons of a zone observe each endpoint of a large deployment.
-const OBSERVERS: usize = 8;
+const OBSERVERS_PER_ENDPOINT: usize = 8;
 /// Daemons beyond this rank do not claim: others are closer at hand.
-const CANDIDATES: usize = 4;
+const CANDIDATES_PER_SHARD: usize = 4;
 
 /// Starts all control tasks.
 pub(crate) fn spawn(daemon: &Rc<Daemon>) {
@@ -103,16 +103,16 @@
 
 /// The VM list as last read, and the peers that it was shared out among.
 #[derive(Debug, Default)]
-struct Listed {
+struct VmListState {
     endpoints: Vec<EndpointListing>,
     peers: Vec<Arc<str>>,
 }
 
 async fn vm_list_loop(daemon: Rc<Daemon>) {
-    let mut listed = Listed::default();
+    let mut vm_list_state = VmListState::default();
     loop {
-        let known = daemon.vm_list_version.get();
-        let read = read_vm_list(&daemon.http, &daemon.config.vm_list_address, known).await;
+        let known_version = daemon.vm_list_version.get();
+        let read = read_vm_list(&daemon.http, &daemon.config.vm_list_address, known_version).await;
         let is_new = matches!(read, Ok((Some(_), _)));
         match read {
             Ok((Some(list), bytes)) => {
@@ -120,18 +120,18 @@
                     .metrics
                     .on_control_bytes("vm_list", Direction::Received, bytes);
                 daemon.vm_list_version.set(list.version);
-                listed.endpoints = list.into_endpoints();
+                vm_list_state.endpoints = list.into_endpoints();
             }
             Ok((None, _)) => {}
             // Without the list the daemon goes on with the endpoints that it knows.
             Err(error) => log::debug!("VM list: {error}"),
         }
         let peers = zone_peers(&daemon);
-        if is_new || peers != listed.peers {
-            listed.peers = peers;
-            observe_share(&daemon, &listed);
+        if is_new || peers != vm_list_state.peers {
+            vm_list_state.peers = peers;
+            update_observed_endpoints(&daemon, &vm_list_state);
         }
-        sleep_ms(VM_LIST_MS).await;
+        sleep_ms(VM_LIST_POLL_MS).await;
     }
 }
 
@@ -142,29 +142,35 @@
 }
 
 /// Observes all endpoints of a small list, this daemon's share of a large one.
-fn observe_share(daemon: &Daemon, listed: &Listed) {
-    let peers: Vec<&str> = listed.peers.iter().map(|name| &**name).collect();
+fn update_observed_endpoints(daemon: &Daemon, vm_list_state: &VmListState) {
+    let peers: Vec<&str> = vm_list_state.peers.iter().map(|name| &**name).collect();
     let (own, zone) = (&daemon.config.name, &daemon.config.zone);
-    let share = subset_of(listed.endpoints.clone(), own, zone, &peers, OBSERVERS);
-    daemon.endpoints.borrow_mut().on_listing(share);
+    let observed = subset_of(
+        vm_list_state.endpoints.clone(),
+        own,
+        zone,
+        &peers,
+        OBSERVERS_PER_ENDPOINT,
+    );
+    daemon.endpoints.borrow_mut().on_listing(observed);
 }
 
 /// Asks endpoints for their load when no answer brought it along lately.
 async fn report_loop(daemon: Rc<Daemon>) {
     loop {
         let now_ms = daemon.now_ms();
-        let due = oldest_reports(&daemon, now_ms);
+        let due = endpoints_due_for_report(&daemon, now_ms);
         for (name, address) in due {
-            monoio::spawn(ask_report(daemon.clone(), name, address));
+            monoio::spawn(fetch_report(daemon.clone(), name, address));
         }
         sleep_ms(REPORT_TICK_MS).await;
     }
 }
 
-fn oldest_reports(daemon: &Daemon, now_ms: u64) -> Vec<(Arc<str>, Arc<str>)> {
+fn endpoints_due_for_report(daemon: &Daemon, now_ms: u64) -> Vec<(Arc<str>, Arc<str>)> {
     let endpoints = daemon.endpoints.borrow();
     let is_due = |endpoint: &&Endpoint| {
-        endpoint.report.is_none() || endpoint.reported_at_ms() + REPORT_AGE_MS <= now_ms
+        endpoint.report.is_none() || endpoint.reported_at_ms() + REPORT_MAX_AGE_MS <= now_ms
     };
     let mut due: Vec<&Endpoint> = endpoints.iter().filter(is_due).collect();
     due.sort_by_key(|endpoint| endpoint.reported_at_ms());
@@ -178,7 +184,7 @@
     due.into_iter().map(address).collect()
 }
 
-async fn ask_report(daemon: Rc<Daemon>, name: Arc<str>, address: Arc<str>) {
+async fn fetch_report(daemon: Rc<Daemon>, name: Arc<str>, address: Arc<str>) {
     if let Ok((report, bytes)) = daemon.engine.report(&address).await {
         daemon
             .metrics
@@ -197,7 +203,7 @@
 
 async fn tick_loop(daemon: Rc<Daemon>) {
     loop {
-        become_ready(&daemon);
+        become_ready_if_caught_up(&daemon);
         tick_leases(&daemon);
         refresh_limits(&daemon);
         jobs::tick(&daemon);
@@ -207,7 +213,7 @@
     }
 }
 
-fn become_ready(daemon: &Rc<Daemon>) {
+fn become_ready_if_caught_up(daemon: &Rc<Daemon>) {
     if daemon.life.get() != Life::Starting {
         return;
     }
@@ -236,13 +242,13 @@
         return;
     }
     let now_ms = daemon.now_ms();
-    let wants = wanted_shards(daemon, now_ms);
+    let candidacies = own_candidacies(daemon, now_ms);
     let ttl_ms = daemon.root_setting("lease_ttl_ms");
     let mut agent = daemon.lease_agent.borrow_mut();
     agent.on_contact(daemon.leases.heard_at_ms());
     let records = daemon
         .leases
-        .with_fold(|table| agent.tick(table, &wants, ttl_ms, now_ms));
+        .with_fold(|table| agent.tick(table, &candidacies, ttl_ms, now_ms));
     for record in records {
         let is_renewal = matches!(record, LeaseRecord::Renew { .. });
         let sequence = daemon.leases.propose(record);
@@ -252,7 +258,7 @@
     }
 }
 
-fn wanted_shards(daemon: &Daemon, now_ms: u64) -> Vec<Candidacy> {
+fn own_candidacies(daemon: &Daemon, now_ms: u64) -> Vec<Candidacy> {
     let membership = daemon.membership.borrow();
     let names: Vec<&str> = membership
         .usable(now_ms)
@@ -262,7 +268,7 @@
         &daemon.config.name,
         &shards(daemon),
         names.iter().copied(),
-        CANDIDATES,
+        CANDIDATES_PER_SHARD,
     )
 }
 
