--- a/crates/borageshore_daemon/src/drain.rs
+++ b/crates/borageshore_daemon/src/drain.rs
@@ -20,11 +20,11 @@
 /// The pace at which the stop signal and the last requests are looked at.
 const POLL_MS: u64 = 50;
 /// Work that is still in flight after this time is abandoned; callers' deadlines lie well below it.
-const LONGEST_DRAIN_MS: u64 = 180_000;
+const DRAIN_TIMEOUT_MS: u64 = 180_000;
 /// By this time every daemon of the zone knows that we leave.
-const LEAVING_KNOWN_MS: u64 = 3_000;
+const LEAVE_PROPAGATION_MS: u64 = 3_000;
 /// How long the released leases may take to reach the log.
-const RELEASE_WAIT_MS: u64 = 3_000;
+const RELEASE_TIMEOUT_MS: u64 = 3_000;
 
 /// Waits for SIGTERM, SIGINT or an operator's drain.
 pub(crate) async fn wait_for_stop(daemon: &Rc<Daemon>) -> io::Result<()> {
@@ -45,7 +45,7 @@
     log::info!("daemon {} drains", daemon.session);
     // Other daemons list us until our leaving reaches them, and their callers keep that list.
     let listed_until_ms =
-        daemon.now_ms() + LEAVING_KNOWN_MS + daemon.root_setting("address_ttl_ms");
+        daemon.now_ms() + LEAVE_PROPAGATION_MS + daemon.root_setting("address_ttl_ms");
     daemon.membership.borrow_mut().leave();
     announce(daemon).await;
     release_leases(daemon).await;
@@ -80,21 +80,21 @@
     let sequence = daemon.leases.propose(LeaseRecord::End {
         session: daemon.session.clone(),
     });
-    let until_ms = daemon.now_ms() + RELEASE_WAIT_MS;
+    let until_ms = daemon.now_ms() + RELEASE_TIMEOUT_MS;
     while daemon.leases.is_pending(sequence) && daemon.now_ms() < until_ms {
         sleep_ms(POLL_MS).await;
     }
 }
 
 async fn wait_for_requests(daemon: &Rc<Daemon>) {
-    let until_ms = daemon.now_ms() + LONGEST_DRAIN_MS;
-    let mut idle_rounds = 0;
-    while idle_rounds < 2 && daemon.now_ms() < until_ms {
+    let until_ms = daemon.now_ms() + DRAIN_TIMEOUT_MS;
+    let mut idle_polls = 0;
+    while idle_polls < 2 && daemon.now_ms() < until_ms {
         let connections = daemon
             .server()
             .map_or(0, |server| server.open_connections());
         let is_idle = daemon.in_flight.get() == 0 && connections == 0;
-        idle_rounds = if is_idle { idle_rounds + 1 } else { 0 };
+        idle_polls = if is_idle { idle_polls + 1 } else { 0 };
         sleep_ms(POLL_MS).await;
     }
 }
--- a/crates/borageshore_daemon/tests/openapi.rs
+++ b/crates/borageshore_daemon/tests/openapi.rs
@@ -23,20 +23,20 @@
     let address = support::spawn_daemon();
     for (path, methods) in document.paths {
         for method in methods.keys() {
-            let answer = ask(&address, &method.to_uppercase(), &path);
+            let response = send_request(&address, &method.to_uppercase(), &path);
             assert!(
-                !answer.contains("x-result-code: 3003"),
-                "{method} {path}: {answer}"
+                !response.contains("x-result-code: 3003"),
+                "{method} {path}: {response}"
             );
         }
     }
 }
 
-fn ask(address: &str, method: &str, path: &str) -> String {
+fn send_request(address: &str, method: &str, path: &str) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     let path = path.replace(['{', '}'], "");
     write!(stream, "{method} {path} HTTP/1.1\r\nhost: edge\r\nauthorization: Bearer operator\r\nconnection: close\r\n\r\n").unwrap();
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).unwrap();
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).unwrap();
+    response
 }
