--- a/crates/borageshore_daemon/src/daemon.rs
+++ b/crates/borageshore_daemon/src/daemon.rs
@@ -22,7 +22,7 @@
     control, drain,
     edge::Edge,
     gate::Gate,
-    gossip::{self, Asked},
+    gossip::{self, MemberSync},
     jobs::JobRuntime,
     metrics::Metrics,
     peer_client::PeerClient,
@@ -68,7 +68,7 @@
     pub(crate) retry_budget: RefCell<RetryBudget>,
     pub(crate) jobs: RefCell<SortedMap<Arc<str>, Rc<JobRuntime>>>,
     /// How often a job was opened, so that each opening has names of its own.
-    pub(crate) job_openings: Cell<u64>,
+    pub(crate) jobs_opened: Cell<u64>,
     pub(crate) http: HttpClient,
     pub(crate) engine: HttpEngine,
     pub(crate) peers: PeerClient,
@@ -77,7 +77,7 @@
     pub(crate) life: Cell<Life>,
     pub(crate) in_flight: Cell<u64>,
     pub(crate) vm_list_version: Cell<u64>,
-    pub(crate) members_asked: Cell<Asked>,
+    pub(crate) member_sync: Cell<MemberSync>,
     pub(crate) gossip_socket: RefCell<Option<Rc<UdpSocket>>>,
     server: RefCell<Option<HttpServer>>,
     clock: Clock,
@@ -138,7 +138,7 @@
             keys_answered: tokio::sync::Notify::new(),
             retry_budget: RefCell::new(RetryBudget::open(20)),
             jobs: RefCell::default(),
-            job_openings: Cell::new(0),
+            jobs_opened: Cell::new(0),
             engine: HttpEngine::open(http.clone()),
             peers: PeerClient::open(config.peer_token.clone(), metrics.clone()),
             log: HttpLog::open(config.log_address.clone(), http.clone(), metrics.clone()),
@@ -147,7 +147,7 @@
             life: Cell::new(Life::Starting),
             in_flight: Cell::new(0),
             vm_list_version: Cell::new(0),
-            members_asked: Cell::new(Asked::No),
+            member_sync: Cell::new(MemberSync::Pending),
             gossip_socket: RefCell::new(None),
             server: RefCell::new(None),
             clock: Clock::start(),
@@ -187,11 +187,11 @@
         self.random.borrow_mut().next_u64() % bound.max(1)
     }
 
-    pub(crate) fn with_random<Use, Made>(&self, make: Use) -> Made
+    pub(crate) fn with_random<Draw, Output>(&self, draw: Draw) -> Output
     where
-        Use: FnOnce(&mut Pcg64Mcg) -> Made,
+        Draw: FnOnce(&mut Pcg64Mcg) -> Output,
     {
-        make(&mut self.random.borrow_mut())
+        draw(&mut self.random.borrow_mut())
     }
 
     /// A whole number in force at a node.
@@ -213,13 +213,13 @@
     /// The gate of a service.
     pub(crate) fn gate(&self, service: &Arc<str>) -> Rc<Gate> {
         let mut gates = self.gates.borrow_mut();
-        let closed = AdmissionLimits {
+        let initial_limits = AdmissionLimits {
             slots: 1,
             training_slots: 0,
             queue_limit_requests: 256,
         };
         gates
-            .get_or_insert_with(service.clone(), || Gate::open(closed))
+            .get_or_insert_with(service.clone(), || Gate::open(initial_limits))
             .clone()
     }
 
--- a/crates/borageshore_daemon/src/gossip.rs
+++ b/crates/borageshore_daemon/src/gossip.rs
@@ -108,21 +108,21 @@
     let now_ms = daemon.now_ms();
     daemon.membership.borrow_mut().on_message(message, now_ms);
     if let Some(sender) = sender
-        && daemon.members_asked.replace(Asked::Yes) == Asked::No
+        && daemon.member_sync.replace(MemberSync::Started) == MemberSync::Pending
     {
-        monoio::spawn(ask_members(daemon.clone(), sender));
+        monoio::spawn(sync_members(daemon.clone(), sender));
     }
 }
 
 /// Whether a peer was asked for all daemons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Asked {
-    No,
-    Yes,
+pub(crate) enum MemberSync {
+    Pending,
+    Started,
 }
 
 /// Learns all daemons from the first peer heard of: datagrams tell of them only by and by.
-async fn ask_members(daemon: Rc<Daemon>, address: Arc<str>) {
+async fn sync_members(daemon: Rc<Daemon>, address: Arc<str>) {
     let request = PeerRequest::Members(MembersRequest::new());
     match daemon
         .peers
@@ -136,7 +136,7 @@
                 membership.on_entry(entry, now_ms);
             }
         }
-        _ => daemon.members_asked.set(Asked::No),
+        _ => daemon.member_sync.set(MemberSync::Pending),
     }
 }
 
--- a/crates/borageshore_daemon/src/samples.rs
+++ b/crates/borageshore_daemon/src/samples.rs
@@ -15,17 +15,17 @@
     peer_server::failed_sample,
 };
 
-/// A sample as the worker made it.
+/// A sample as the worker generated it.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct MadeSample {
+pub(crate) struct GeneratedSample {
     pub(crate) tokens: Vec<String>,
     pub(crate) segments: Vec<Segment>,
     pub(crate) score: Option<f64>,
 }
 
-/// An order for a sample.
+/// A sample to generate.
 #[derive(Debug, Clone)]
-pub(crate) struct SampleJob {
+pub(crate) struct SampleTask {
     pub(crate) job: Arc<str>,
     pub(crate) sample_id: Arc<str>,
     pub(crate) prompt: Arc<str>,
@@ -41,16 +41,16 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct ScoreAnswer {
+struct ScoreResponse {
     score: f64,
 }
 
 #[derive(Debug, Default)]
-struct Collected {
+struct TokenCollector {
     tokens: Vec<Token>,
 }
 
-impl TokenSink for Collected {
+impl TokenSink for TokenCollector {
     async fn on_token(&mut self, token: &Token) -> Result<(), Gone> {
         self.tokens.push(token.clone());
         Ok(())
@@ -62,41 +62,41 @@
 }
 
 /// Makes a sample on an engine that this daemon observes.
-pub(crate) async fn make_sample(
+pub(crate) async fn generate_sample(
     daemon: &Rc<Daemon>,
-    order: &SampleJob,
-) -> Result<MadeSample, Fault> {
+    task: &SampleTask,
+) -> Result<GeneratedSample, Fault> {
     let _in_flight = InFlight::open(daemon);
-    let Some(service) = daemon.setting_text(&order.job, "service") else {
-        return Err(Fault::new(ResultCode::UnknownJob, &*order.job));
+    let Some(service) = daemon.setting_text(&task.job, "service") else {
+        return Err(Fault::new(ResultCode::UnknownJob, &*task.job));
     };
-    let on_swap = match daemon.setting_text(&order.job, "swap_policy").as_deref() {
+    let on_swap = match daemon.setting_text(&task.job, "swap_policy").as_deref() {
         Some("restart") => OnSwap::Restart,
         _ => OnSwap::Keep,
     };
     let generation = Generation {
-        request_id: order.sample_id.clone(),
+        request_id: task.sample_id.clone(),
         service,
-        node: order.job.clone(),
-        prompt: order.prompt.clone(),
-        max_tokens: order.max_tokens,
-        adapter: Some(order.job.clone()),
+        node: task.job.clone(),
+        prompt: task.prompt.clone(),
+        max_tokens: task.max_tokens,
+        adapter: Some(task.job.clone()),
         workload: Workload::Training,
-        deadline_ms: order.deadline_ms,
+        deadline_ms: task.deadline_ms,
         on_swap,
     };
-    let mut collected = Collected::default();
-    generate(daemon, &generation, &mut collected)
+    let mut collector = TokenCollector::default();
+    generate(daemon, &generation, &mut collector)
         .await
         .map_err(|failure| failure.fault)?;
-    let segments = attribute(&collected.tokens)?;
-    let tokens: Vec<String> = collected
+    let segments = segments_by_version(&collector.tokens)?;
+    let tokens: Vec<String> = collector
         .tokens
         .into_iter()
         .map(|token| token.text)
         .collect();
-    let score = score(daemon, order, &tokens).await?;
-    Ok(MadeSample {
+    let score = score(daemon, task, &tokens).await?;
+    Ok(GeneratedSample {
         tokens,
         segments,
         score,
@@ -107,7 +107,7 @@
 ///
 /// Guards against a wrong attribution: a token without a version means that the engine itself did
 /// not know, so the whole sample is given up rather than guessed at.
-fn attribute(tokens: &[Token]) -> Result<Vec<Segment>, Fault> {
+fn segments_by_version(tokens: &[Token]) -> Result<Vec<Segment>, Fault> {
     let mut segments: Vec<Segment> = Vec::new();
     for token in tokens {
         let Some(version) = token.version else {
@@ -129,37 +129,37 @@
 
 async fn score(
     daemon: &Rc<Daemon>,
-    order: &SampleJob,
+    task: &SampleTask,
     tokens: &[String],
 ) -> Result<Option<f64>, Fault> {
-    let Some(scorer) = daemon.setting_text(&order.job, "scorer") else {
+    let Some(scorer) = daemon.setting_text(&task.job, "scorer") else {
         return Ok(None);
     };
     let request = ScoreRequest {
-        sample_id: &order.sample_id,
-        prompt: &order.prompt,
+        sample_id: &task.sample_id,
+        prompt: &task.prompt,
         tokens,
     };
     let call = ServiceCall {
         service: scorer,
-        node: order.job.clone(),
+        node: task.job.clone(),
         method: "POST".into(),
         path: "/score".into(),
         content_type: "application/json".into(),
         body: serde_json::to_vec(&request)
             .expect("samples are plain data")
             .into(),
-        request_key: order.sample_id.clone(),
+        request_key: task.sample_id.clone(),
         idempotent: Idempotent::Yes,
-        deadline_ms: order.deadline_ms,
+        deadline_ms: task.deadline_ms,
     };
     let answered = call_service(daemon, call).await;
     if answered.outcome != Outcome::Done {
         return Err(Fault::new(answered.answer.code, answered.answer.detail));
     }
-    let verdict: ScoreAnswer = serde_json::from_slice(&answered.answer.body)
+    let response: ScoreResponse = serde_json::from_slice(&answered.answer.body)
         .map_err(|error| Fault::new(ResultCode::EndpointFailed, format!("scorer: {error}")))?;
-    Ok(Some(verdict.score))
+    Ok(Some(response.score))
 }
 
 /// Answers a peer that orders a sample.
@@ -167,20 +167,20 @@
     if daemon.life.get() != Life::Ready {
         return failed_sample(Fault::new(ResultCode::Draining, &*daemon.config.name));
     }
-    let order = SampleJob {
+    let task = SampleTask {
         job: request.job.into(),
         sample_id: request.sample_id.into(),
         prompt: request.prompt.into(),
         max_tokens: request.max_tokens.max(1) as u64,
         deadline_ms: daemon.now_ms() + request.deadline_ms.max(0) as u64,
     };
-    match make_sample(daemon, &order).await {
-        Ok(made) => SampleReply {
+    match generate_sample(daemon, &task).await {
+        Ok(generated) => SampleReply {
             code: i32::from(ResultCode::Done.number()),
             detail: String::new(),
-            tokens: made.tokens,
-            segments: made.segments.iter().map(to_wire).collect(),
-            score: made.score.map(Into::into),
+            tokens: generated.tokens,
+            segments: generated.segments.iter().map(to_wire).collect(),
+            score: generated.score.map(Into::into),
         },
         Err(fault) => failed_sample(fault),
     }
@@ -191,7 +191,7 @@
 }
 
 /// Reads a peer's sample.
-pub(crate) fn from_reply(reply: SampleReply) -> Result<MadeSample, Fault> {
+pub(crate) fn sample_from_reply(reply: SampleReply) -> Result<GeneratedSample, Fault> {
     if reply.code != i32::from(ResultCode::Done.number()) {
         let code =
             ResultCode::from_number(reply.code as u16).unwrap_or(ResultCode::PeerUnavailable);
@@ -201,7 +201,7 @@
         version: segment.version as u64,
         token_count: segment.token_count as u64,
     };
-    Ok(MadeSample {
+    Ok(GeneratedSample {
         tokens: reply.tokens,
         segments: reply.segments.into_iter().map(from_wire).collect(),
         score: reply.score.map(|score| score.into_inner()),
--- a/crates/borageshore_daemon/src/swaps.rs
+++ b/crates/borageshore_daemon/src/swaps.rs
@@ -20,7 +20,7 @@
 /// The pace at which the owner of a job watches its engines load.
 const WATCH_TICK_MS: u64 = 50;
 /// Work ahead is held back for loading engines no longer than this.
-const WATCH_MS: u64 = 5_000;
+const WATCH_TIMEOUT_MS: u64 = 5_000;
 
 /// The shard that the owner of a service's weights holds.
 pub(crate) fn shard_of(service: &str) -> Arc<str> {
@@ -60,7 +60,7 @@
     }
 }
 
-fn epoch_of(daemon: &Daemon, service: &str) -> Option<u64> {
+fn active_epoch(daemon: &Daemon, service: &str) -> Option<u64> {
     let agent = daemon.lease_agent.borrow();
     daemon
         .leases
@@ -76,7 +76,7 @@
     });
     services
         .into_iter()
-        .filter(|service| epoch_of(daemon, service).is_some())
+        .filter(|service| active_epoch(daemon, service).is_some())
         .collect()
 }
 
@@ -112,11 +112,11 @@
         return Progress::Settled;
     }
     let mut progress = Progress::Settled;
-    let replicas = read_back(daemon, service).await;
+    let replicas = read_replicas(daemon, service).await;
     for target in targets {
         let views: Vec<ReplicaView> = replicas
             .iter()
-            .map(|replica| view(replica, &target.job))
+            .map(|replica| replica_view(replica, &target.job))
             .collect();
         if views
             .iter()
@@ -128,13 +128,13 @@
             let Some(replica) = replicas.iter().find(|replica| replica.name == name) else {
                 continue;
             };
-            give_order(daemon, service, replica, &target).await;
+            send_order(daemon, service, replica, &target).await;
         }
     }
     progress
 }
 
-async fn read_back(daemon: &Rc<Daemon>, service: &Arc<str>) -> Vec<Replica> {
+async fn read_replicas(daemon: &Rc<Daemon>, service: &Arc<str>) -> Vec<Replica> {
     let listed: Vec<(Arc<str>, Arc<str>)> = {
         let endpoints = daemon.endpoints.borrow();
         let of_service = endpoints
@@ -144,7 +144,7 @@
             .map(|e| (e.listing.name.clone(), e.listing.address.clone()))
             .collect()
     };
-    let asked: Vec<_> = listed
+    let requests: Vec<_> = listed
         .into_iter()
         .map(|(name, address)| {
             let engine = daemon.engine.clone();
@@ -158,8 +158,8 @@
             })
         })
         .collect();
-    let mut replicas = Vec::with_capacity(asked.len());
-    for replica in asked {
+    let mut replicas = Vec::with_capacity(requests.len());
+    for replica in requests {
         replicas.push(replica.await);
     }
     replicas
@@ -167,7 +167,7 @@
 
 /// Watches how far the engines of a job are behind a new target, and calls `report` with the oldest
 /// version that one still serves, until none is behind or it has taken too long to wait for.
-pub(crate) async fn watch_floor<Report>(
+pub(crate) async fn watch_oldest_served<Report>(
     daemon: &Rc<Daemon>,
     job: &Arc<str>,
     target: u64,
@@ -175,18 +175,18 @@
 ) where
     Report: Fn(u64),
 {
-    let until_ms = daemon.now_ms() + WATCH_MS;
+    let until_ms = daemon.now_ms() + WATCH_TIMEOUT_MS;
     let service = daemon.setting_text(job, "service");
     while let Some(service) = &service
         && daemon.now_ms() < until_ms
     {
-        let replicas = read_back(daemon, service).await;
+        let replicas = read_replicas(daemon, service).await;
         let versions = replicas
             .iter()
-            .filter_map(|replica| view(replica, job).version);
-        let floor = versions.min().unwrap_or(target);
-        report(floor);
-        if floor >= target {
+            .filter_map(|replica| replica_view(replica, job).version);
+        let oldest_served = versions.min().unwrap_or(target);
+        report(oldest_served);
+        if oldest_served >= target {
             return;
         }
         sleep_ms(WATCH_TICK_MS).await;
@@ -197,7 +197,7 @@
 /// How a replica stands with one job's weights. An engine that does not know an adapter yet serves
 /// the base model, version 0; one that lost its weights in a failed swap reports no version and is
 /// ordered again like one far behind.
-fn view(replica: &Replica, job: &Arc<str>) -> ReplicaView {
+fn replica_view(replica: &Replica, job: &Arc<str>) -> ReplicaView {
     let name = replica.name.clone();
     let Some(report) = &replica.report else {
         return ReplicaView {
@@ -227,8 +227,8 @@
 /// Guards against an owner that lost its lease while it was paused: the lease is checked just before
 /// the order, the order carries the epoch as fencing number, and for engines that ignore the number
 /// it names a state to be in, which the true owner's read-back corrects.
-async fn give_order(daemon: &Rc<Daemon>, service: &str, replica: &Replica, target: &Target) {
-    let Some(epoch) = epoch_of(daemon, service) else {
+async fn send_order(daemon: &Rc<Daemon>, service: &str, replica: &Replica, target: &Target) {
+    let Some(epoch) = active_epoch(daemon, service) else {
         return;
     };
     let order = EngineOrder {
