--- a/crates/borageshore_daemon/src/addresses.rs
+++ b/crates/borageshore_daemon/src/addresses.rs
@@ -5,7 +5,7 @@
 use borageshore_wire::{AddressReply, AddressRequest, PeerReply, PeerRequest};
 use serde::Serialize;
 
-use crate::daemon::{Daemon, Life};
+use crate::daemon::{Daemon, Phase};
 
 /// How long a peer may take to answer for a daemon that leaves.
 const PEER_TIMEOUT_MS: u64 = 1_000;
@@ -23,7 +23,7 @@
 /// asks it for the next list, and would bind its keys to an incarnation that is gone before the list
 /// runs out; its calls would end as unknown. A leaving daemon passes the question on instead.
 pub(crate) async fn for_caller(daemon: &Rc<Daemon>, caller: &str) -> String {
-    if daemon.life() != Life::Draining {
+    if daemon.phase() != Phase::Draining {
         return own_answer(daemon, caller);
     }
     match ask_peer(daemon, caller).await {
--- a/crates/borageshore_daemon/src/admin.rs
+++ b/crates/borageshore_daemon/src/admin.rs
@@ -15,7 +15,7 @@
 use hyper::Method;
 
 use crate::{
-    daemon::{Daemon, Life},
+    daemon::{Daemon, Phase},
     edge::{Answer, json_of, query},
     jobs,
 };
@@ -46,7 +46,7 @@
     if !is_operator {
         return Answer::refused(ResultCode::Unauthorized, "operator token");
     }
-    if daemon.life() == Life::Starting {
+    if daemon.phase() == Phase::Starting {
         return Answer::refused(ResultCode::NotReady, "no settings yet");
     }
     match (request.method(), path) {
@@ -59,7 +59,7 @@
         (&Method::GET, ["audit"]) => get_audit(daemon, &request),
         (&Method::GET, ["status"]) => Answer::json(&status(daemon)),
         (&Method::POST, ["drain"]) => {
-            daemon.life.set(Life::Draining);
+            daemon.phase.set(Phase::Draining);
             Answer::json(&"draining")
         }
         _ => Answer::refused(ResultCode::UnknownRoute, path.join("/")),
@@ -219,7 +219,7 @@
         daemon: daemon.config.name.clone(),
         incarnation: daemon.incarnation,
         zone: daemon.config.zone.clone(),
-        life: format!("{:?}", daemon.life()),
+        life: format!("{:?}", daemon.phase()),
         streams: vec![
             stream_status(&daemon.settings.name, daemon.settings.offsets()),
             stream_status(&daemon.leases.name, daemon.leases.offsets()),
--- a/crates/borageshore_daemon/src/control.rs
+++ b/crates/borageshore_daemon/src/control.rs
@@ -11,7 +11,7 @@
 use borageshore_settings::{NodeKind, ROOT, SettingsChange, SettingsRecord};
 
 use crate::{
-    daemon::{Daemon, Life},
+    daemon::{Daemon, Phase},
     jobs,
     metrics::Direction,
     platform::{engine::Engine, vm_list::read_vm_list},
@@ -89,7 +89,7 @@
         "settings record {} by {actor} after {lag_ms} ms: {reason}",
         record.offset
     );
-    if daemon.life.get() != Life::Starting {
+    if daemon.phase.get() != Phase::Starting {
         daemon.metrics.on_settings_in_force(lag_ms);
     }
 }
@@ -214,11 +214,11 @@
 }
 
 fn become_ready_if_caught_up(daemon: &Rc<Daemon>) {
-    if daemon.life.get() != Life::Starting {
+    if daemon.phase.get() != Phase::Starting {
         return;
     }
     if daemon.settings.is_caught_up() && daemon.leases.is_caught_up() {
-        daemon.life.set(Life::Ready);
+        daemon.phase.set(Phase::Ready);
         daemon.membership.borrow_mut().enter();
         log::info!("daemon {} is ready", daemon.session);
     }
@@ -238,7 +238,7 @@
 }
 
 fn tick_leases(daemon: &Rc<Daemon>) {
-    if daemon.life.get() == Life::Draining || daemon.life.get() == Life::Starting {
+    if daemon.phase.get() == Phase::Draining || daemon.phase.get() == Phase::Starting {
         return;
     }
     let now_ms = daemon.now_ms();
@@ -316,7 +316,7 @@
     let membership = daemon.membership.borrow();
     let names = membership.usable(daemon.now_ms()).map(|entry| &*entry.name);
     let is_first = rank_within("snapshot", &daemon.config.name, names, 1).is_some();
-    if !is_first || daemon.life.get() != Life::Ready {
+    if !is_first || daemon.phase.get() != Phase::Ready {
         return;
     }
     daemon
--- a/crates/borageshore_daemon/src/daemon.rs
+++ b/crates/borageshore_daemon/src/daemon.rs
@@ -40,7 +40,7 @@
 
 /// Where a daemon is in its life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Life {
+pub enum Phase {
     /// It has no settings yet.
     Starting,
     /// It serves.
@@ -74,7 +74,7 @@
     pub(crate) peers: PeerClient,
     pub(crate) log: HttpLog,
     pub(crate) metrics: Rc<Metrics>,
-    pub(crate) life: Cell<Life>,
+    pub(crate) phase: Cell<Phase>,
     pub(crate) in_flight: Cell<u64>,
     pub(crate) vm_list_version: Cell<u64>,
     pub(crate) member_sync: Cell<MemberSync>,
@@ -144,7 +144,7 @@
             log: HttpLog::open(config.log_address.clone(), http.clone(), metrics.clone()),
             http,
             metrics,
-            life: Cell::new(Life::Starting),
+            phase: Cell::new(Phase::Starting),
             in_flight: Cell::new(0),
             vm_list_version: Cell::new(0),
             member_sync: Cell::new(MemberSync::Pending),
@@ -174,8 +174,8 @@
     }
 
     /// Where the daemon is in its life.
-    pub fn life(&self) -> Life {
-        self.life.get()
+    pub fn phase(&self) -> Phase {
+        self.phase.get()
     }
 
     pub(crate) fn now_ms(&self) -> u64 {
--- a/crates/borageshore_daemon/src/drain.rs
+++ b/crates/borageshore_daemon/src/drain.rs
@@ -13,7 +13,7 @@
 use borageshore_net::sleep_ms;
 
 use crate::{
-    daemon::{Daemon, Life},
+    daemon::{Daemon, Phase},
     gossip, jobs,
 };
 
@@ -32,7 +32,7 @@
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
         signal_hook::flag::register(signal, signalled.clone())?;
     }
-    while !signalled.load(Ordering::Relaxed) && daemon.life() != Life::Draining {
+    while !signalled.load(Ordering::Relaxed) && daemon.phase() != Phase::Draining {
         sleep_ms(POLL_MS).await;
     }
     Ok(())
@@ -41,7 +41,7 @@
 /// Stops without cutting anything: is no longer listed, hands its leases over, serves callers whose
 /// address list may still name it, lets every request end, says goodbye.
 pub(crate) async fn drain(daemon: &Rc<Daemon>) {
-    daemon.life.set(Life::Draining);
+    daemon.phase.set(Phase::Draining);
     log::info!("daemon {} drains", daemon.session);
     // Other daemons list us until our leaving reaches them, and their callers keep that list.
     let listed_until_ms =
@@ -56,7 +56,7 @@
         server.close();
     }
     wait_for_requests(daemon).await;
-    daemon.life.set(Life::Stopped);
+    daemon.phase.set(Phase::Stopped);
     daemon.membership.borrow_mut().stop();
     announce(daemon).await;
     log::info!("daemon {} stopped", daemon.session);
--- a/crates/borageshore_daemon/src/edge/answer.rs
+++ b/crates/borageshore_daemon/src/edge/answer.rs
@@ -14,7 +14,7 @@
 };
 use serde::Serialize;
 
-use crate::daemon::{Daemon, Life};
+use crate::daemon::{Daemon, Phase};
 
 /// The header that names the settings node a request runs under.
 const NODE_HEADER: &str = "x-node";
@@ -175,7 +175,7 @@
 }
 
 pub(super) fn terms(daemon: &Daemon, service: &str, headers: &HeaderMap) -> Result<Terms, Answer> {
-    if daemon.life() == Life::Starting {
+    if daemon.phase() == Phase::Starting {
         return Err(Answer::refused(ResultCode::NotReady, "no settings yet"));
     }
     let node = text_header(headers, NODE_HEADER).unwrap_or_else(|| service.into());
--- a/crates/borageshore_daemon/src/edge/mod.rs
+++ b/crates/borageshore_daemon/src/edge/mod.rs
@@ -15,7 +15,7 @@
 use self::answer::{JSON, respond, set_header, text_header};
 use crate::{
     addresses, admin,
-    daemon::{Daemon, InFlight, Life},
+    daemon::{Daemon, InFlight, Phase},
 };
 
 /// The handler of the edge.
@@ -43,7 +43,7 @@
             .metrics
             .on_request(route, code, daemon.now_ms() - started_at_ms);
         set_header(response.headers_mut(), "x-request-id", &request_id);
-        if daemon.life() == Life::Draining {
+        if daemon.phase() == Phase::Draining {
             // Moves the caller to another address before the connection is closed under it.
             set_header(response.headers_mut(), "connection", "close");
         }
@@ -122,15 +122,15 @@
 }
 
 fn readiness(daemon: &Daemon) -> Answer {
-    match daemon.life() {
-        Life::Ready => Answer::done("text/plain", "ready\n"),
-        Life::Starting => Answer::refused(ResultCode::NotReady, "no settings yet"),
-        Life::Draining | Life::Stopped => Answer::refused(ResultCode::Draining, "leaving"),
+    match daemon.phase() {
+        Phase::Ready => Answer::done("text/plain", "ready\n"),
+        Phase::Starting => Answer::refused(ResultCode::NotReady, "no settings yet"),
+        Phase::Draining | Phase::Stopped => Answer::refused(ResultCode::Draining, "leaving"),
     }
 }
 
 async fn on_addresses(daemon: &Rc<Daemon>, request: &EdgeRequest, remote: SocketAddr) -> Answer {
-    if daemon.life() == Life::Starting {
+    if daemon.phase() == Phase::Starting {
         return Answer::refused(ResultCode::NotReady, "no settings yet");
     }
     let caller = query(request, "caller").map_or_else(|| remote.ip().to_string(), str::to_owned);
--- a/crates/borageshore_daemon/src/edge/trainer.rs
+++ b/crates/borageshore_daemon/src/edge/trainer.rs
@@ -9,7 +9,7 @@
 use super::answer::{Answer, JSON, json_of, query_number};
 use crate::{
     admin,
-    daemon::{Daemon, Life},
+    daemon::{Daemon, Phase},
     jobs,
 };
 
@@ -46,7 +46,7 @@
 
 fn pull_of(daemon: &Daemon, job: &str, request: &EdgeRequest) -> Result<jobs::Pull, Answer> {
     is_trainer(daemon, request)?;
-    if daemon.life() == Life::Starting {
+    if daemon.phase() == Phase::Starting {
         return Err(Answer::refused(ResultCode::NotReady, "no settings yet"));
     }
     Ok(jobs::Pull {
--- a/crates/borageshore_daemon/src/jobs.rs
+++ b/crates/borageshore_daemon/src/jobs.rs
@@ -17,7 +17,7 @@
 use borageshore_wire::{PeerReply, PeerRequest, PullReply, PullRequest, SampleRequest};
 
 use crate::{
-    daemon::{Daemon, Life},
+    daemon::{Daemon, Phase},
     peer_server::failed_pull,
     samples::{GeneratedSample, SampleTask, generate_sample, sample_from_reply},
     stream::{SharedStream, Source, append_proposals, follow},
@@ -54,7 +54,7 @@
 
 /// Opens jobs that were won, closes jobs that were lost, and orders what is to be generated.
 pub(crate) fn tick(daemon: &Rc<Daemon>) {
-    if daemon.life() == Life::Draining {
+    if daemon.phase() == Phase::Draining {
         // All jobs were given up; until the log knows it, they still look like ours.
         return;
     }
--- a/crates/borageshore_daemon/src/lib.rs
+++ b/crates/borageshore_daemon/src/lib.rs
@@ -33,6 +33,6 @@
 
 pub use self::{
     config::Config,
-    daemon::{Daemon, Life},
+    daemon::{Daemon, Phase},
     platform::engine,
 };
--- a/crates/borageshore_daemon/src/samples.rs
+++ b/crates/borageshore_daemon/src/samples.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     calls::{ServiceCall, call_service},
-    daemon::{Daemon, InFlight, Life},
+    daemon::{Daemon, InFlight, Phase},
     generation::{Generation, Gone, OnSwap, Token, TokenSink, generate},
     peer_server::failed_sample,
 };
@@ -164,7 +164,7 @@
 
 /// Answers a peer that orders a sample.
 pub(crate) async fn on_peer_sample(daemon: &Rc<Daemon>, request: SampleRequest) -> SampleReply {
-    if daemon.life.get() != Life::Ready {
+    if daemon.phase.get() != Phase::Ready {
         return failed_sample(Fault::new(ResultCode::Draining, &*daemon.config.name));
     }
     let task = SampleTask {
--- a/crates/borageshore_daemon/tests/support/mod.rs
+++ b/crates/borageshore_daemon/tests/support/mod.rs
@@ -5,7 +5,7 @@
 
 use std::{sync::mpsc, thread};
 
-use borageshore_daemon::{Config, Daemon, Life};
+use borageshore_daemon::{Config, Daemon, Phase};
 use borageshore_net::{run_event_loop, sleep_ms};
 use borageshore_standins::{
     log::LogStandin,
@@ -39,7 +39,7 @@
         list.address()
     );
     let daemon = Daemon::spawn(Config::parse("test", &config).unwrap()).unwrap();
-    while daemon.life() != Life::Ready {
+    while daemon.phase() != Phase::Ready {
         sleep_ms(5).await;
     }
     let address = daemon.http_address().to_string();
