--- a/crates/borageshore_daemon/src/daemon.rs
+++ b/crates/borageshore_daemon/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The state of a daemon and its start.
+//! The state of a daemon, its startup and its lifecycle.
 
 use std::{
     cell::{Cell, RefCell},
@@ -31,23 +31,23 @@
     stream::SharedStream,
 };
 
-/// The stream of settings changes.
+/// Log stream of settings changes.
 const SETTINGS_STREAM: &str = "settings";
-/// The stream of sessions and claims.
+/// Log stream of sessions and lease claims.
 const LEASES_STREAM: &str = "leases";
-/// Memory for request keys and the answers kept for them.
+/// Memory limit for request keys and their cached answers.
 const KEY_MEMORY_BYTES: usize = 64 * 1024 * 1024;
 
-/// Where a daemon is in its life.
+/// Lifecycle phase of a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// It has no settings yet.
+    /// The settings and lease streams are not yet read to their ends.
     Starting,
-    /// It serves.
+    /// It accepts requests and claims leases.
     Ready,
-    /// It serves what it has, and callers whose address list still names it.
+    /// It is no longer listed and claims no leases, but still answers callers with a cached address list.
     Draining,
-    /// It has stopped.
+    /// The drain is complete.
     Stopped,
 }
 
@@ -67,7 +67,7 @@
     pub(crate) keys_answered: tokio::sync::Notify,
     pub(crate) retry_budget: RefCell<RetryBudget>,
     pub(crate) jobs: RefCell<SortedMap<Arc<str>, Rc<JobRuntime>>>,
-    /// How often a job was opened, so that each opening has names of its own.
+    /// Number of times that a job was opened; makes writer names and sample ids unique.
     pub(crate) jobs_opened: Cell<u64>,
     pub(crate) http: HttpClient,
     pub(crate) engine: HttpEngine,
@@ -85,7 +85,7 @@
 }
 
 impl Daemon {
-    /// Binds the addresses of a configuration and starts the daemon on the present event loop.
+    /// Binds the configured addresses and starts the daemon on the current event loop.
     pub fn spawn(config: Config) -> io::Result<Rc<Self>> {
         let daemon = Rc::new(Self::open(config));
         let edge = Edge::open(daemon.clone());
@@ -101,7 +101,7 @@
         *daemon.gossip_socket.borrow_mut() = Some(socket);
         control::spawn(&daemon);
         log::info!(
-            "daemon {} of zone {} listens at {}",
+            "daemon {} in zone {} is listening on {}",
             daemon.session,
             daemon.config.zone,
             daemon.config.http_address
@@ -110,7 +110,7 @@
     }
 
     fn open(config: Config) -> Self {
-        // Rises with every start, as long as the VM's clock is not set back by more than a life.
+        // Increases with every start unless the VM's clock was set back past the previous start.
         let incarnation = jiff::Timestamp::now().as_millisecond() as u64;
         let session: Arc<str> = format!("{}.{incarnation}", config.name).into();
         let metrics = Rc::new(Metrics::open());
@@ -158,14 +158,14 @@
         }
     }
 
-    /// Serves until SIGTERM, SIGINT or an operator's drain, then stops gracefully.
+    /// Serves until SIGTERM, SIGINT or a drain request by an operator, then stops gracefully.
     pub async fn run_until_stopped(self: &Rc<Self>) -> io::Result<()> {
         drain::wait_for_stop(self).await?;
         drain::drain(self).await;
         Ok(())
     }
 
-    /// Where callers connect; differs from the configuration when that asks for any free port.
+    /// The bound HTTP address; differs from the configured one if that has port 0.
     pub fn http_address(&self) -> Arc<str> {
         match self.server() {
             Some(server) => server.address().to_string().into(),
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Where the daemon is in its life.
+    /// The current lifecycle phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
@@ -182,7 +182,7 @@
         self.clock.now_ms()
     }
 
-    /// A random number below a bound.
+    /// Returns a random number below `bound`, or 0 if `bound` is 0.
     pub(crate) fn random_below(&self, bound: u64) -> u64 {
         self.random.borrow_mut().next_u64() % bound.max(1)
     }
@@ -194,23 +194,23 @@
         draw(&mut self.random.borrow_mut())
     }
 
-    /// A whole number in force at a node.
+    /// The effective integer value of `key` at `node`.
     pub(crate) fn setting(&self, node: &str, key: &str) -> u64 {
         self.settings
             .with_fold(|fold| fold.tree().integer(node, key))
     }
 
-    /// A whole number in force at the root.
+    /// The effective integer value of `key` at the root node.
     pub(crate) fn root_setting(&self, key: &str) -> u64 {
         self.setting(ROOT, key)
     }
 
-    /// A text in force at a node.
+    /// The effective text value of `key` at `node`.
     pub(crate) fn setting_text(&self, node: &str, key: &str) -> Option<Arc<str>> {
         self.settings.with_fold(|fold| fold.tree().text(node, key))
     }
 
-    /// The gate of a service.
+    /// The admission gate of a service, created on first use.
     pub(crate) fn gate(&self, service: &Arc<str>) -> Rc<Gate> {
         let mut gates = self.gates.borrow_mut();
         let initial_limits = AdmissionLimits {
@@ -237,19 +237,20 @@
         http_address: config.http_address.clone(),
         peer_address: config.peer_address.clone(),
         gossip_address: config.gossip_address.clone(),
-        // Not listed before it is ready.
+        // Keeps the daemon out of address lists until it is ready.
         state: MemberState::Leaving,
     }
 }
 
-/// Counts work in flight while it lives, so that a drain knows when nothing is left.
+/// Guard that counts a unit of work as in flight until it is dropped; a drain waits for the count
+/// to reach 0.
 #[derive(Debug)]
 pub(crate) struct InFlight {
     daemon: Rc<Daemon>,
 }
 
 impl InFlight {
-    /// Begins a piece of work.
+    /// Increments the daemon's in-flight count.
     pub(crate) fn open(daemon: &Rc<Daemon>) -> Self {
         daemon.in_flight.set(daemon.in_flight.get() + 1);
         Self {
