--- a/crates/borageshore_daemon/src/control.rs
+++ b/crates/borageshore_daemon/src/control.rs
@@ -1,4 +1,4 @@
-//! The tasks that keep a daemon's view current: streams, VM list, load reports, leases, limits.
+//! Background tasks that update a daemon's state: streams, VM list, load reports, leases, limits.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -19,20 +19,20 @@
     swaps,
 };
 
-/// The pace of leases, limits and jobs.
+/// Interval of the periodic work on leases, limits and jobs.
 const TICK_MS: u64 = 100;
-/// The pace of the VM list.
+/// Interval between reads of the VM list.
 const VM_LIST_POLL_MS: u64 = 1_000;
-/// An endpoint whose last report is older than this is asked, as far as the pace allows.
+/// Age beyond which a load report is requested again.
 const REPORT_MAX_AGE_MS: u64 = 1_000;
-/// The pace of asking for reports.
+/// Interval at which load reports are requested.
 const REPORT_TICK_MS: u64 = 500;
-/// How many endpoints are asked in a tick. Answers bring reports along; asking is for idle endpoints
-/// and must not grow with their number.
+/// Report requests per tick. Bounds the load, which must not grow with the number of endpoints;
+/// busy endpoints attach reports to their answers.
 const REPORTS_PER_TICK: usize = 4;
-/// How many daemons of a zone observe each endpoint of a large deployment.
+/// Daemons of a zone that observe the same endpoint of a large deployment.
 const OBSERVERS_PER_ENDPOINT: usize = 8;
-/// Daemons beyond this rank do not claim: others are closer at hand.
+/// Daemons that may claim a shard, in rendezvous order; the others do not compete for it.
 const CANDIDATES_PER_SHARD: usize = 4;
 
 /// Starts all control tasks.
@@ -57,7 +57,8 @@
     monoio::spawn(swaps::swap_loop(daemon.clone()));
 }
 
-/// Where to read a stream: by the zone's tree of relays, or from any peer when the zone has none.
+/// Selects where to read a stream from, by the relay tree of the zone; after a failure without peers
+/// in the zone, by the tree of all zones.
 fn stream_source(daemon: &Daemon, failures: u32) -> Source {
     let membership = daemon.membership.borrow();
     let now_ms = daemon.now_ms();
@@ -86,7 +87,7 @@
     let lag_ms = wall_ms.saturating_sub(record.at_ms);
     let SettingsChange { actor, reason, .. } = change;
     log::info!(
-        "settings record {} by {actor} after {lag_ms} ms: {reason}",
+        "processed settings record {} by {actor}, {lag_ms} ms after it was appended: {reason}",
         record.offset
     );
     if daemon.phase.get() != Phase::Starting {
@@ -101,7 +102,7 @@
         .on_applied(record.offset, envelope, daemon.now_ms());
 }
 
-/// The VM list as last read, and the peers that it was shared out among.
+/// The endpoints of the last VM list, and the peers among which they were distributed.
 #[derive(Debug, Default)]
 struct VmListState {
     endpoints: Vec<EndpointListing>,
@@ -123,8 +124,7 @@
                 vm_list_state.endpoints = list.into_endpoints();
             }
             Ok((None, _)) => {}
-            // Without the list the daemon goes on with the endpoints that it knows.
-            Err(error) => log::debug!("VM list: {error}"),
+            Err(error) => log::debug!("VM list not read, keeping the last one: {error}"),
         }
         let peers = zone_peers(&daemon);
         if is_new || peers != vm_list_state.peers {
@@ -141,7 +141,7 @@
     peers.map(|entry| entry.name.clone()).collect()
 }
 
-/// Observes all endpoints of a small list, this daemon's share of a large one.
+/// Selects the endpoints to observe: all of a small list, this daemon's subset of a large one.
 fn update_observed_endpoints(daemon: &Daemon, vm_list_state: &VmListState) {
     let peers: Vec<&str> = vm_list_state.peers.iter().map(|name| &**name).collect();
     let (own, zone) = (&daemon.config.name, &daemon.config.zone);
@@ -155,7 +155,7 @@
     daemon.endpoints.borrow_mut().on_listing(observed);
 }
 
-/// Asks endpoints for their load when no answer brought it along lately.
+/// Requests load reports of endpoints whose last report is missing or out of date.
 async fn report_loop(daemon: Rc<Daemon>) {
     loop {
         let now_ms = daemon.now_ms();
@@ -224,7 +224,7 @@
     }
 }
 
-/// The shards that somebody should own: one a job, one for the weights of each service.
+/// The shards that need an owner: one per job, and one per service for its weights.
 fn shards(daemon: &Daemon) -> Vec<Arc<str>> {
     daemon.settings.with_fold(|fold| {
         let jobs = fold
@@ -311,7 +311,8 @@
     }
 }
 
-/// The first daemon by rendezvous order keeps snapshots young enough for retention.
+/// Proposes due snapshots if this daemon is first in rendezvous order, so that a snapshot precedes
+/// every record that the log's retention keeps.
 fn snapshot_if_due(daemon: &Rc<Daemon>) {
     let membership = daemon.membership.borrow();
     let names = membership.usable(daemon.now_ms()).map(|entry| &*entry.name);
