--- a/crates/borageshore_daemon/src/admin.rs
+++ b/crates/borageshore_daemon/src/admin.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a daemon.
+//! Handlers of the operators' endpoints under `/v1/admin`.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -20,13 +20,13 @@
     jobs,
 };
 
-/// How long a change may take to be folded before its writer is told that nobody knows.
+/// Timeout for the verdict on a settings change; its outcome is then reported as unknown.
 const VERDICT_WAIT_MS: u64 = 15_000;
 const VERDICT_POLL_MS: u64 = 100;
-/// How often a publication of weights is tried again after losing a race.
+/// Attempts to publish a weights version when concurrent changes cause revision conflicts.
 const PUBLISH_ATTEMPTS: u32 = 5;
 
-/// The token of an `authorization: Bearer` header, empty without one.
+/// The token of the `authorization: Bearer` header, or an empty slice if there is none.
 pub(crate) fn bearer_token(request: &EdgeRequest) -> &[u8] {
     let header = request
         .headers()
@@ -66,7 +66,8 @@
     }
 }
 
-/// All own values, unset ones included: an operator needs their revision to set them again.
+/// Lists the values set at each node. Unset ones are included, since setting them again needs
+/// their revision.
 fn get_settings(daemon: &Daemon) -> Answer {
     let nodes = daemon.settings.with_fold(|fold| {
         let tree = fold.tree();
@@ -92,7 +93,7 @@
     })
 }
 
-/// Every key in force at a node, with the ancestor that it comes from.
+/// Lists the effective value of every key at a node, with the node that it is inherited from.
 fn explain(daemon: &Daemon, request: &EdgeRequest) -> Answer {
     let node = query(request, "node").unwrap_or(ROOT);
     if !daemon.settings.with_fold(|fold| fold.tree().exists(node)) {
@@ -136,7 +137,8 @@
     Answer::json(&entries)
 }
 
-/// Appends a change and waits for the fold's verdict: accepted means folded, never only sent.
+/// Appends a change and waits for the verdict of the fold; a change that was only sent is not
+/// reported as accepted.
 async fn change_settings(daemon: &Rc<Daemon>, change: SettingsChange) -> Answer {
     if let Err(fault) = daemon.settings.with_fold(|fold| fold.check(&change)) {
         return Answer::fault(&fault, Outcome::NotRun);
@@ -171,7 +173,7 @@
     ))
 }
 
-/// Makes a version the target of a job's engines, unless a newer one already is.
+/// Sets the target weights version of a job, unless the current target is the same or newer.
 pub(crate) async fn publish_weights(daemon: &Rc<Daemon>, job: &str, version: u64) -> Answer {
     let is_job = daemon
         .settings
