--- a/crates/borageshore_daemon/src/jobs.rs
+++ b/crates/borageshore_daemon/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that this daemon owns, and pulls of trainers for any job.
+//! Jobs that this daemon owns, and sample pulls by trainers for any job.
 
 use std::{
     cell::{Cell, RefCell},
@@ -24,18 +24,18 @@
     swaps,
 };
 
-/// The longest time that a sample may take.
+/// Timeout for generating and scoring a sample.
 const SAMPLE_TIMEOUT_MS: u64 = 120_000;
-/// How much longer than the deadline a peer may take to answer.
+/// Time added to the timeout of a request that a peer carries out.
 const PEER_TIMEOUT_MARGIN_MS: u64 = 2_000;
-/// How long a pull waits for the ledger or for samples before it looks again.
+/// Interval at which a waiting pull checks for an owner, the ledger or samples.
 const PULL_POLL_MS: u64 = 50;
-/// The longest wait that a trainer may ask for.
+/// Upper bound on the wait that a trainer can request.
 const MAX_PULL_WAIT_MS: u64 = 30_000;
-/// The most samples in one delivery.
+/// Upper bound on the samples in a delivery.
 const MAX_SAMPLES_PER_PULL: u64 = 4_096;
 
-/// A job that this daemon owns.
+/// State of a job that this daemon owns.
 #[derive(Debug)]
 pub(crate) struct JobRuntime {
     job: Arc<str>,
@@ -47,15 +47,15 @@
     is_closed: Cell<bool>,
 }
 
-/// The shard that the owner of a job holds.
+/// Name of the lease shard of a job.
 pub(crate) fn shard_of(job: &str) -> Arc<str> {
     format!("job/{job}").into()
 }
 
-/// Opens jobs that were won, closes jobs that were lost, and orders what is to be generated.
+/// Opens newly owned jobs, closes those no longer owned, and orders the samples to generate.
 pub(crate) fn tick(daemon: &Rc<Daemon>) {
     if daemon.phase() == Phase::Draining {
-        // All jobs were given up; until the log knows it, they still look like ours.
+        // A drain closes all jobs, but the lease table shows them as owned until the release is applied.
         return;
     }
     let jobs: Vec<Arc<str>> = daemon
@@ -66,7 +66,7 @@
         let known = daemon.jobs.borrow().get(job).cloned();
         match (owned, known) {
             (Some(epoch), Some(runtime)) if runtime.controller.borrow().epoch() == epoch => {
-                // A lease that has run out may be renewed yet: the job waits with all that it has.
+                // An expired lease may still be renewed, so the job keeps its state and only pauses.
                 if active_epoch(daemon, job).is_some() {
                     tick_job(daemon, &runtime);
                 }
@@ -88,7 +88,7 @@
     }
 }
 
-/// The epoch under which the log says that a job is ours, whether or not we may act now.
+/// The epoch with which this daemon owns a job according to the log, even if the lease has expired.
 fn owned_epoch(daemon: &Daemon, job: &str) -> Option<u64> {
     let agent = daemon.lease_agent.borrow();
     daemon
@@ -96,7 +96,7 @@
         .with_fold(|table| agent.owned_epoch(table, &shard_of(job)))
 }
 
-/// The epoch under which we may act for a job now.
+/// The epoch of a job's lease if this daemon holds it and it has not expired.
 fn active_epoch(daemon: &Daemon, job: &str) -> Option<u64> {
     let agent = daemon.lease_agent.borrow();
     daemon
@@ -106,10 +106,10 @@
 
 fn open_job(daemon: &Rc<Daemon>, job: &Arc<str>, epoch: u64) {
     close_job(daemon, job);
-    log::info!("job {job} is owned under epoch {epoch}");
-    // A job that is removed and comes back is opened again under the same epoch. Sequences start anew
-    // with a proposer, so without a writer name of its own the fold would take all its records for
-    // repeated ones; sample names must not come twice either.
+    log::info!("opening job {job} with epoch {epoch}");
+    // A job that is removed and added again is opened twice in one epoch. Sequence numbers restart
+    // with each proposer, so a reused writer name would make the fold drop new records as duplicates;
+    // sample ids must be unique as well.
     let opening = daemon.jobs_opened.get() + 1;
     daemon.jobs_opened.set(opening);
     let writer: Arc<str> = format!("{}/{epoch}/{opening}", daemon.session).into();
@@ -141,10 +141,10 @@
     daemon.jobs.borrow_mut().insert(job.clone(), runtime);
 }
 
-/// Gives up a job; also done for all jobs when the daemon drains.
+/// Closes a job; results of its samples in progress are ignored.
 pub(crate) fn close_job(daemon: &Daemon, job: &Arc<str>) {
     if let Some(runtime) = daemon.jobs.borrow_mut().remove(job) {
-        log::info!("job {job} is given up");
+        log::info!("closed job {job}");
         runtime.is_closed.set(true);
         runtime.ledger.close();
     }
@@ -174,7 +174,8 @@
         });
 }
 
-/// The versions in force; a new target begins to be watched.
+/// Returns the target version and the oldest version still served; starts a watch of the engines for
+/// a new target.
 fn watched_versions(daemon: &Rc<Daemon>, runtime: &Rc<JobRuntime>) -> WeightVersions {
     let target = daemon.setting(&runtime.job, "weights_version");
     let before = runtime.versions.get();
@@ -184,7 +185,7 @@
         monoio::spawn(async move {
             let report = |oldest_served| {
                 let known = runtime.versions.get();
-                // An older watch says nothing of a newer target.
+                // Ignores the watch of a previous target.
                 if known.target == target {
                     runtime.versions.set(WeightVersions {
                         oldest_served,
@@ -213,7 +214,7 @@
     })
 }
 
-/// Has a sample generated by the daemon that its group is placed with.
+/// Generates a sample on the daemon that its group is placed on, and reports it to the controller.
 async fn run_sample_order(daemon: Rc<Daemon>, runtime: Rc<JobRuntime>, order: SampleOrder) {
     let started_at_ms = daemon.now_ms();
     let task = sample_task(&daemon, &runtime, &order);
@@ -233,7 +234,7 @@
             let (id, group) = (order.id, order.group);
             let versions: Vec<u64> = segments.iter().map(|segment| segment.version).collect();
             let took_ms = now_ms - started_at_ms;
-            log::debug!("sample {id} took {took_ms} ms, versions {versions:?}");
+            log::debug!("generated sample {id} in {took_ms} ms with weight versions {versions:?}");
             let sample = Sample {
                 id,
                 group,
@@ -331,7 +332,7 @@
     }
 }
 
-/// A trainer's pull.
+/// A trainer's request for samples.
 #[derive(Debug, Clone)]
 pub(crate) struct Pull {
     pub(crate) job: Arc<str>,
@@ -341,7 +342,7 @@
     pub(crate) wait_ms: u64,
 }
 
-/// Answers a pull here or through the owner of the job; waits for an owner while there is none.
+/// Answers a pull as the owner of the job, or forwards it to the owner; waits until there is one.
 pub(crate) async fn pull(daemon: &Rc<Daemon>, pull: Pull) -> Result<String, ResultCode> {
     let is_job = daemon.settings.with_fold(|fold| {
         fold.tree().exists(&pull.job) && fold.tree().kind(&pull.job) == NodeKind::Job
@@ -414,7 +415,7 @@
     }
 }
 
-/// Answers a peer that forwards a pull to us.
+/// Answers a pull that a peer forwards.
 pub(crate) async fn on_peer_pull(daemon: &Rc<Daemon>, request: PullRequest) -> PullReply {
     let pull = Pull {
         job: request.job.into(),
@@ -433,10 +434,10 @@
     }
 }
 
-/// Answers as the owner.
+/// Answers a pull as the owner of the job.
 ///
-/// The lease is checked at each step, but safety does not rest on it: what is handed over was first
-/// accepted by the ledger's fold under this epoch.
+/// The lease is checked in each iteration, but correctness does not depend on it: samples are
+/// delivered only after the ledger's fold accepted them in this epoch.
 async fn pull_locally(
     daemon: &Rc<Daemon>,
     pull: &Pull,
@@ -491,7 +492,7 @@
     serde_json::to_string(delivery).expect("deliveries are plain data")
 }
 
-/// Counts of a job for `status`, when this daemon owns it.
+/// Sample counts and the number of buffered samples of a job, if this daemon owns it.
 pub(crate) fn counts(
     daemon: &Daemon,
     job: &str,
@@ -501,7 +502,7 @@
     Some((controller.counts(), controller.buffered()))
 }
 
-/// Gives up all jobs.
+/// Closes all jobs, before a drain releases their leases.
 pub(crate) fn close_all(daemon: &Daemon) {
     let jobs: Vec<Arc<str>> = daemon.jobs.borrow().keys().cloned().collect();
     for job in jobs {
