--- a/crates/borageshore_daemon/src/samples.rs
+++ b/crates/borageshore_daemon/src/samples.rs
@@ -1,4 +1,4 @@
-//! Making one sample: tokens from an engine, then the scorer's verdict.
+//! Generation of a sample: tokens from an engine, then a score from the scorer.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -15,7 +15,7 @@
     peer_server::failed_sample,
 };
 
-/// A sample as the worker generated it.
+/// A generated sample, before the job's owner records it.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct GeneratedSample {
     pub(crate) tokens: Vec<String>,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Makes a sample on an engine that this daemon observes.
+/// Generates a sample on an engine that this daemon observes, and scores it if the job has a scorer.
 pub(crate) async fn generate_sample(
     daemon: &Rc<Daemon>,
     task: &SampleTask,
@@ -103,10 +103,9 @@
     })
 }
 
-/// Folds the versions that the engine reported with each token into segments.
+/// Groups consecutive tokens of the same weight version into segments.
 ///
-/// Guards against a wrong attribution: a token without a version means that the engine itself did
-/// not know, so the whole sample is given up rather than guessed at.
+/// Fails if a token has no version, since its segment would be attributed to a wrong version.
 fn segments_by_version(tokens: &[Token]) -> Result<Vec<Segment>, Fault> {
     let mut segments: Vec<Segment> = Vec::new();
     for token in tokens {
@@ -162,7 +161,7 @@
     Ok(Some(response.score))
 }
 
-/// Answers a peer that orders a sample.
+/// Generates a sample for a peer.
 pub(crate) async fn on_peer_sample(daemon: &Rc<Daemon>, request: SampleRequest) -> SampleReply {
     if daemon.phase.get() != Phase::Ready {
         return failed_sample(Fault::new(ResultCode::Draining, &*daemon.config.name));
@@ -190,7 +189,7 @@
     WireSegment::new(segment.version as i64, segment.token_count as i64)
 }
 
-/// Reads a peer's sample.
+/// Converts a peer's reply to a sample or to the fault that it reports.
 pub(crate) fn sample_from_reply(reply: SampleReply) -> Result<GeneratedSample, Fault> {
     if reply.code != i32::from(ResultCode::Done.number()) {
         let code =
