--- a/crates/borageshore_daemon/src/swaps.rs
+++ b/crates/borageshore_daemon/src/swaps.rs
@@ -1,4 +1,4 @@
-//! Orders to load new weights, given by the owner of a service's weights.
+//! Weight swaps: orders to load new weights, sent by the owner of a service's weights.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -11,23 +11,22 @@
     platform::engine::{Engine, EngineOrder, EngineReport, OrderAnswer},
 };
 
-/// The pace of read-back while all replicas are at their versions.
+/// Interval between reads of the replicas' versions while all are up to date.
 const SETTLED_TICK_MS: u64 = 250;
-/// The pace while some are behind: each wave waits for the read-back of the one before, and samples of
-/// replicas that are behind are soon too old.
+/// Interval while some replicas are behind. Short, since a wave of orders is sent only after a read
+/// shows that the previous wave has loaded, and samples of outdated replicas soon become stale.
 const SWAPPING_TICK_MS: u64 = 20;
-
-/// The pace at which the owner of a job watches its engines load.
+/// Interval at which the owner of a job reads the versions of its engines during a swap.
 const WATCH_TICK_MS: u64 = 50;
-/// Work ahead is held back for loading engines no longer than this.
+/// Timeout of that watch; generation ahead is then no longer limited by engines that are behind.
 const WATCH_TIMEOUT_MS: u64 = 5_000;
 
-/// The shard that the owner of a service's weights holds.
+/// Name of the lease shard of a service's weights.
 pub(crate) fn shard_of(service: &str) -> Arc<str> {
     format!("weights/{service}").into()
 }
 
-/// A job whose weights its service's engines should have.
+/// The weights version of a job that its service's engines should load.
 #[derive(Debug, Clone)]
 struct Target {
     job: Arc<str>,
@@ -35,7 +34,7 @@
     limits: SwapLimits,
 }
 
-/// An engine with its last report.
+/// An engine and its report, which is `None` if the engine did not answer.
 #[derive(Debug)]
 struct Replica {
     name: Arc<str>,
@@ -43,7 +42,7 @@
     report: Option<EngineReport>,
 }
 
-/// Brings engines to the versions in force, for the services whose weights this daemon owns.
+/// Orders engines to load the target versions, for the services whose weights this daemon owns.
 pub(crate) async fn swap_loop(daemon: Rc<Daemon>) {
     loop {
         let mut progress = Progress::Settled;
@@ -53,7 +52,7 @@
             }
         }
         match progress {
-            // A new version comes as a settings change.
+            // A new version arrives as a settings change, which ends the wait early.
             Progress::Settled => daemon.settings.wait_progress(SETTLED_TICK_MS).await,
             Progress::Swapping => sleep_ms(SWAPPING_TICK_MS).await,
         }
@@ -99,7 +98,7 @@
     })
 }
 
-/// Whether all replicas that answer are at their versions.
+/// Whether all replicas that answered serve their target versions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
     Settled,
@@ -165,8 +164,8 @@
     replicas
 }
 
-/// Watches how far the engines of a job are behind a new target, and calls `report` with the oldest
-/// version that one still serves, until none is behind or it has taken too long to wait for.
+/// Calls `report` with the oldest version that an engine of the job serves, until all serve `target`;
+/// on a timeout reports `target`.
 pub(crate) async fn watch_oldest_served<Report>(
     daemon: &Rc<Daemon>,
     job: &Arc<str>,
@@ -194,9 +193,9 @@
     report(target);
 }
 
-/// How a replica stands with one job's weights. An engine that does not know an adapter yet serves
-/// the base model, version 0; one that lost its weights in a failed swap reports no version and is
-/// ordered again like one far behind.
+/// The state of a replica for one job. Version 0 is the base model, served by an engine without the
+/// job's adapter; an engine that lost its weights in a failed swap also counts as version 0, so that
+/// it is ordered to load again.
 fn replica_view(replica: &Replica, job: &Arc<str>) -> ReplicaView {
     let name = replica.name.clone();
     let Some(report) = &replica.report else {
@@ -222,11 +221,11 @@
     }
 }
 
-/// Gives one order.
+/// Sends an order to load weights.
 ///
-/// Guards against an owner that lost its lease while it was paused: the lease is checked just before
-/// the order, the order carries the epoch as fencing number, and for engines that ignore the number
-/// it names a state to be in, which the true owner's read-back corrects.
+/// Guards against an owner that lost its lease during a pause: the lease is checked immediately
+/// before the order, and the order carries the epoch as a fencing token. Engines that ignore the token
+/// are corrected by the new owner, since an order states the version to serve.
 async fn send_order(daemon: &Rc<Daemon>, service: &str, replica: &Replica, target: &Target) {
     let Some(epoch) = active_epoch(daemon, service) else {
         return;
@@ -239,16 +238,19 @@
     match daemon.engine.order(&replica.address, &order).await {
         Ok(OrderAnswer::Taken) => {
             log::info!(
-                "{} loads version {} of {}",
+                "{} is loading weights version {} of job {}",
                 replica.name,
                 target.version,
                 target.job
             );
         }
         Ok(OrderAnswer::StaleEpoch) => {
-            log::info!("{} knows a newer owner of {service}", replica.name);
+            log::info!(
+                "{} rejected an order for {service}: epoch {epoch} is out of date",
+                replica.name
+            );
         }
-        // Lost answers need no care: the next read-back shows what became of the order.
-        Err(error) => log::debug!("order to {}: {error}", replica.name),
+        // No retry: the next read of the replicas shows whether the order took effect.
+        Err(error) => log::debug!("order to {} was not confirmed: {error}", replica.name),
     }
 }
