--- a/crates/borageshore_daemon/src/gossip.rs
+++ b/crates/borageshore_daemon/src/gossip.rs
@@ -1,4 +1,4 @@
-//! Heartbeats over UDP.
+//! Membership gossip over UDP, authenticated with the peers' shared token.
 
 use std::{io, net::SocketAddr, rc::Rc, sync::Arc};
 
@@ -12,14 +12,14 @@
 
 use crate::{daemon::Daemon, metrics::Direction};
 
-/// The largest datagram.
+/// Receive buffer size, which limits the length of a datagram.
 const DATAGRAM_BYTES: usize = 8 * 1024;
-/// The length of the keyed hash in front of each datagram.
+/// Length of the truncated keyed hash that precedes the payload of each datagram.
 const TAG_BYTES: usize = 16;
 const MEMBERS_TIMEOUT_MS: u64 = 2_000;
 const KEY_CONTEXT: &str = "borageshore gossip datagrams v1";
 
-/// Binds the gossip socket and starts to send and receive.
+/// Binds the gossip socket and starts the send and receive loops.
 pub(crate) fn bind(daemon: &Rc<Daemon>) -> io::Result<Rc<UdpSocket>> {
     let socket = Rc::new(UdpSocket::bind(&*daemon.config.gossip_address)?);
     let key = blake3::derive_key(KEY_CONTEXT, daemon.config.peer_token.as_bytes());
@@ -42,7 +42,7 @@
     }
 }
 
-/// Tells the zone of a change of this daemon's own state at once.
+/// Sends a change of this daemon's own state immediately instead of at the next tick.
 pub(crate) async fn announce(daemon: &Rc<Daemon>, socket: &Rc<UdpSocket>) {
     let key = blake3::derive_key(KEY_CONTEXT, daemon.config.peer_token.as_bytes());
     let messages = daemon.membership.borrow().final_messages(daemon.now_ms());
@@ -87,8 +87,9 @@
     }
 }
 
-/// Takes in a datagram whose keyed hash shows that a peer sent it; a stranger's could otherwise
-/// declare daemons dead or draw callers to an address of its own.
+/// Handles a datagram; drops it unless its keyed hash is valid.
+///
+/// Guards against forged gossip that declares daemons dead or redirects callers.
 fn on_datagram(daemon: &Rc<Daemon>, key: &[u8; 32], datagram: &[u8]) {
     let Some((offered, payload)) = datagram.split_at_checked(TAG_BYTES) else {
         return;
@@ -114,14 +115,15 @@
     }
 }
 
-/// Whether a peer was asked for all daemons.
+/// Whether the full member list was requested from a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum MemberSync {
     Pending,
     Started,
 }
 
-/// Learns all daemons from the first peer heard of: datagrams tell of them only by and by.
+/// Requests all members from the first peer that sent gossip, since datagrams carry only a few each.
+/// A failed request is repeated with the sender of the next datagram.
 async fn sync_members(daemon: Rc<Daemon>, address: Arc<str>) {
     let request = PeerRequest::Members(MembersRequest::new());
     match daemon
@@ -140,7 +142,7 @@
     }
 }
 
-/// Answers a peer that has just started.
+/// Answers a peer's request for all members.
 pub(crate) fn on_peer_members(daemon: &Daemon) -> MembersReply {
     let membership = daemon.membership.borrow();
     let entries = membership.entries(daemon.now_ms());
