--- a/crates/borageshore_daemon/src/drain.rs
+++ b/crates/borageshore_daemon/src/drain.rs
@@ -1,4 +1,4 @@
-//! The graceful stop.
+//! Graceful shutdown of a daemon.
 
 use std::{
     io,
@@ -17,16 +17,16 @@
     gossip, jobs,
 };
 
-/// The pace at which the stop signal and the last requests are looked at.
+/// Interval between checks of the stop signal, of in-flight requests and of released leases.
 const POLL_MS: u64 = 50;
-/// Work that is still in flight after this time is abandoned; callers' deadlines lie well below it.
+/// Timeout after which in-flight work is abandoned; longer than the deadlines of callers.
 const DRAIN_TIMEOUT_MS: u64 = 180_000;
-/// By this time every daemon of the zone knows that we leave.
+/// Upper bound on the time in which the leave reaches every daemon of the zone.
 const LEAVE_PROPAGATION_MS: u64 = 3_000;
-/// How long the released leases may take to reach the log.
+/// Timeout for appending the release of the leases to the log.
 const RELEASE_TIMEOUT_MS: u64 = 3_000;
 
-/// Waits for SIGTERM, SIGINT or an operator's drain.
+/// Waits for SIGTERM, SIGINT or a drain request by an operator.
 pub(crate) async fn wait_for_stop(daemon: &Rc<Daemon>) -> io::Result<()> {
     let signalled = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
@@ -38,12 +38,12 @@
     Ok(())
 }
 
-/// Stops without cutting anything: is no longer listed, hands its leases over, serves callers whose
-/// address list may still name it, lets every request end, says goodbye.
+/// Shuts down without interrupting requests: announces the leave, releases the leases, serves until
+/// cached address lists have expired, waits for requests in flight, and announces the stop.
 pub(crate) async fn drain(daemon: &Rc<Daemon>) {
     daemon.phase.set(Phase::Draining);
-    log::info!("daemon {} drains", daemon.session);
-    // Other daemons list us until our leaving reaches them, and their callers keep that list.
+    log::info!("daemon {} is draining", daemon.session);
+    // Other daemons list this one until the leave reaches them, and callers cache such a list.
     let listed_until_ms =
         daemon.now_ms() + LEAVE_PROPAGATION_MS + daemon.root_setting("address_ttl_ms");
     daemon.membership.borrow_mut().leave();
