--- a/crates/borageshore_daemon/src/config.rs
+++ b/crates/borageshore_daemon/src/config.rs
@@ -1,4 +1,4 @@
-//! The settings of one process: its addresses, its availability zone and its tokens.
+//! Configuration file of a daemon process: addresses, availability zone and tokens.
 
 use std::{fmt, sync::Arc};
 
@@ -7,18 +7,18 @@
 use serde::Deserialize;
 use subtle::ConstantTimeEq;
 
-/// A secret that never shows in logs.
+/// A secret whose `Debug` output is redacted.
 #[derive(Clone, Deserialize)]
 #[serde(transparent)]
 pub struct Secret(Arc<str>);
 
 impl Secret {
-    /// Compares in constant time, so that the time of a refusal tells nothing of the secret.
+    /// Compares in constant time, which prevents timing attacks.
     pub fn matches(&self, offered: &[u8]) -> bool {
         bool::from(self.0.as_bytes().ct_eq(offered))
     }
 
-    /// The bytes, for keyed hashes and for showing them to a peer.
+    /// The bytes, for keyed hashes and for authentication to a peer.
     pub fn as_bytes(&self) -> &[u8] {
         self.0.as_bytes()
     }
@@ -30,37 +30,37 @@
     }
 }
 
-/// The settings of one daemon process, read once at its start.
+/// Configuration of a daemon process, read once at startup.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Config {
-    /// The daemon's name, unique among daemons.
+    /// Name of the daemon, unique among daemons.
     pub name: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone of the daemon.
     pub zone: Arc<str>,
-    /// Where callers, trainers and operators connect.
+    /// Listen address for callers, trainers and operators.
     pub http_address: Arc<str>,
-    /// Where peers connect.
+    /// Listen address for peer connections.
     pub peer_address: Arc<str>,
-    /// Where gossip arrives.
+    /// UDP address for gossip.
     pub gossip_address: Arc<str>,
-    /// Gossip addresses of some other daemons.
+    /// Gossip addresses of other daemons, contacted to join the cluster.
     #[serde(default)]
     pub gossip_seeds: Vec<Arc<str>>,
-    /// The platform's log service.
+    /// Address of the platform's log service.
     pub log_address: Arc<str>,
-    /// The platform's VM list.
+    /// Address of the platform's VM list.
     pub vm_list_address: Arc<str>,
-    /// What operators present; without it nothing can be changed through this daemon.
+    /// Token of operators; without it the daemon refuses all admin requests.
     pub operator_token: Option<Secret>,
-    /// What trainers present.
+    /// Token of trainers.
     pub trainer_token: Option<Secret>,
-    /// What peers present to each other.
+    /// Token shared by all daemons, for peer connections and gossip.
     pub peer_token: Secret,
-    /// Open connections of callers.
+    /// Maximum number of open caller connections.
     #[serde(default = "default_connections")]
     pub connection_limit: usize,
-    /// How long a connection may take for the head of a request.
+    /// Timeout for receiving the head of a request.
     #[serde(default = "default_head_timeout_ms")]
     pub head_timeout_ms: u64,
 }
@@ -74,7 +74,8 @@
 }
 
 impl Config {
-    /// Reads and checks the text of a file; a fault names the file, the line and the field.
+    /// Parses and validates the text of a file; a fault names the file and the field, and the line if
+    /// it is known.
     pub fn parse(file: &str, text: &str) -> Result<Self, FileFault> {
         let config: Config =
             serde_saphyr::from_str(text).map_err(|error| malformed(file, &error))?;
@@ -100,7 +101,7 @@
         for seed in &self.gossip_seeds {
             check_address("gossip_seeds", seed)?;
         }
-        // A name goes into request keys and sessions, where a point separates the parts.
+        // The name becomes part of request keys and session names, where '.' is the separator.
         if self.name.is_empty()
             || !self
                 .name
@@ -120,7 +121,7 @@
         Ok(_) => Ok(()),
         Err(_) => Err(Fault::new(
             ResultCode::WrongType,
-            format!("{field}: '{address}' is no IP and port"),
+            format!("{field}: '{address}' is not an IP address and port"),
         )),
     }
 }
