--- a/crates/borageshore_daemon/src/metrics.rs
+++ b/crates/borageshore_daemon/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics by opentelemetry, read as Prometheus text.
+//! OpenTelemetry metrics, exposed in the Prometheus text format.
 
 use borageshore_base::ResultCode;
 use borageshore_diagnostics::Exposition;
@@ -7,7 +7,7 @@
     metrics::{Counter, Gauge, Histogram},
 };
 
-/// The instruments of a daemon.
+/// Metric instruments of a daemon.
 #[derive(Debug)]
 pub(crate) struct Metrics {
     exposition: Exposition,
@@ -20,7 +20,7 @@
     gauges: Gauge<u64>,
 }
 
-/// Which way control traffic went.
+/// Direction of control traffic.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum Direction {
     Sent,
@@ -28,7 +28,7 @@
 }
 
 impl Metrics {
-    /// Opens the instruments.
+    /// Creates the instruments.
     pub(crate) fn open() -> Self {
         let exposition = Exposition::open();
         let meter = exposition.meter();
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Counts an answered request.
+    /// Records an answered request and its duration.
     pub(crate) fn on_request(&self, route: &'static str, code: ResultCode, duration_ms: u64) {
         let labels = [
             KeyValue::new("route", route),
@@ -63,17 +63,17 @@
         self.retries.add(1, &[]);
     }
 
-    /// Counts a chunk that belonged to another request or came out of order.
+    /// Counts a chunk dropped because it belongs to another request or is out of order.
     pub(crate) fn on_dropped_chunk(&self) {
         self.dropped_chunks.add(1, &[]);
     }
 
-    /// Notes how long a settings change took from the log to this daemon.
+    /// Records the time between the append of a settings change and its processing here.
     pub(crate) fn on_settings_in_force(&self, lag_ms: u64) {
         self.settings_lag_ms.record(lag_ms, &[]);
     }
 
-    /// Counts bytes of control traffic: gossip, streams, lists and load reports.
+    /// Counts bytes of control traffic: gossip, streams, VM lists and load reports.
     pub(crate) fn on_control_bytes(
         &self,
         channel: &'static str,
@@ -91,12 +91,12 @@
         self.control_bytes.add(bytes as u64, &labels);
     }
 
-    /// Sets a gauge.
+    /// Sets the state gauge with the label `what`.
     pub(crate) fn set_state(&self, what: &'static str, value: u64) {
         self.gauges.record(value, &[KeyValue::new("what", what)]);
     }
 
-    /// All instruments as Prometheus text.
+    /// Encodes all instruments in the Prometheus text format.
     pub(crate) fn to_text(&self) -> Vec<u8> {
         self.exposition.to_text()
     }
