--- a/crates/borageshore_daemon/src/lib.rs
+++ b/crates/borageshore_daemon/src/lib.rs
@@ -1,8 +1,8 @@
-//! The daemon: one event loop that joins the decision core to sockets, timers and the platform.
+//! The daemon: an event loop that connects the decision crates to sockets, timers and the platform.
 //!
-//! [`Daemon::spawn`] returns a running daemon; [`Daemon::run_until_stopped`] follows its life from
-//! start to graceful stop. The modules under `platform` speak to outside systems, each behind one
-//! small trait or function, so that a change of an outside protocol stays in one file.
+//! [`Daemon::spawn`] returns a running daemon; [`Daemon::run_until_stopped`] completes after its
+//! graceful stop. Each module under `platform` is the client of one external system, so that a change
+//! of that system's protocol is confined to one file.
 //!
 //! ```
 //! use borageshore_daemon::Config;
