--- a/crates/borageshore_daemon/tests/openapi.rs
+++ b/crates/borageshore_daemon/tests/openapi.rs
@@ -1,4 +1,4 @@
-//! Every path of `docs/openapi.yaml` is known to a running daemon.
+//! Every path and method of `docs/openapi.yaml` has a route in a running daemon.
 
 mod support;
 
