--- a/crates/borageshore_daemon/src/admin.rs
+++ b/crates/borageshore_daemon/src/admin.rs
@@ -21,7 +21,7 @@
 };
 
 /// Timeout for the verdict on a settings change; its outcome is then reported as unknown.
-const VERDICT_WAIT_MS: u64 = 15_000;
+const VERDICT_TIMEOUT_MS: u64 = 15_000;
 const VERDICT_POLL_MS: u64 = 100;
 /// Attempts to publish a weights version when concurrent changes cause revision conflicts.
 const PUBLISH_ATTEMPTS: u32 = 5;
@@ -157,7 +157,7 @@
     change: SettingsChange,
 ) -> Result<AuditEntry, Fault> {
     let sequence = daemon.settings.propose(SettingsRecord::Change(change));
-    let until_ms = daemon.now_ms() + VERDICT_WAIT_MS;
+    let until_ms = daemon.now_ms() + VERDICT_TIMEOUT_MS;
     while daemon.now_ms() < until_ms {
         let verdict = daemon
             .settings
--- a/crates/borageshore_daemon/src/daemon.rs
+++ b/crates/borageshore_daemon/src/daemon.rs
@@ -67,7 +67,7 @@
     pub(crate) keys_answered: tokio::sync::Notify,
     pub(crate) retry_budget: RefCell<RetryBudget>,
     pub(crate) jobs: RefCell<SortedMap<Arc<str>, Rc<JobRuntime>>>,
-    /// Number of times that a job was opened; makes writer names and sample ids unique.
+    /// Number of jobs opened, including reopened ones; makes writer names and sample ids unique.
     pub(crate) jobs_opened: Cell<u64>,
     pub(crate) http: HttpClient,
     pub(crate) engine: HttpEngine,
--- a/crates/borageshore_daemon/src/jobs.rs
+++ b/crates/borageshore_daemon/src/jobs.rs
@@ -63,8 +63,8 @@
         .with_fold(|fold| fold.tree().nodes_of_kind(NodeKind::Job).cloned().collect());
     for job in &jobs {
         let owned = owned_epoch(daemon, job);
-        let known = daemon.jobs.borrow().get(job).cloned();
-        match (owned, known) {
+        let opened = daemon.jobs.borrow().get(job).cloned();
+        match (owned, opened) {
             (Some(epoch), Some(runtime)) if runtime.controller.borrow().epoch() == epoch => {
                 // An expired lease may still be renewed, so the job keeps its state and only pauses.
                 if active_epoch(daemon, job).is_some() {
@@ -178,22 +178,22 @@
 /// a new target.
 fn watched_versions(daemon: &Rc<Daemon>, runtime: &Rc<JobRuntime>) -> WeightVersions {
     let target = daemon.setting(&runtime.job, "weights_version");
-    let before = runtime.versions.get();
-    if target > before.target {
-        runtime.versions.set(WeightVersions { target, ..before });
+    let previous = runtime.versions.get();
+    if target > previous.target {
+        runtime.versions.set(WeightVersions { target, ..previous });
         let (daemon, runtime) = (daemon.clone(), runtime.clone());
         monoio::spawn(async move {
-            let report = |oldest_served| {
-                let known = runtime.versions.get();
+            let on_version = |oldest_served| {
+                let current = runtime.versions.get();
                 // Ignores the watch of a previous target.
-                if known.target == target {
+                if current.target == target {
                     runtime.versions.set(WeightVersions {
                         oldest_served,
-                        ..known
+                        ..current
                     });
                 }
             };
-            swaps::watch_oldest_served(&daemon, &runtime.job, target, report).await;
+            swaps::watch_oldest_served(&daemon, &runtime.job, target, on_version).await;
         });
     }
     runtime.versions.get()
--- a/crates/borageshore_daemon/src/swaps.rs
+++ b/crates/borageshore_daemon/src/swaps.rs
@@ -143,7 +143,7 @@
             .map(|e| (e.listing.name.clone(), e.listing.address.clone()))
             .collect()
     };
-    let requests: Vec<_> = listed
+    let tasks: Vec<_> = listed
         .into_iter()
         .map(|(name, address)| {
             let engine = daemon.engine.clone();
@@ -157,22 +157,22 @@
             })
         })
         .collect();
-    let mut replicas = Vec::with_capacity(requests.len());
-    for replica in requests {
+    let mut replicas = Vec::with_capacity(tasks.len());
+    for replica in tasks {
         replicas.push(replica.await);
     }
     replicas
 }
 
-/// Calls `report` with the oldest version that an engine of the job serves, until all serve `target`;
-/// on a timeout reports `target`.
-pub(crate) async fn watch_oldest_served<Report>(
+/// Calls `on_version` with the oldest version that an engine of the job serves, until all serve `target`;
+/// on a timeout, calls it with `target`.
+pub(crate) async fn watch_oldest_served<OnVersion>(
     daemon: &Rc<Daemon>,
     job: &Arc<str>,
     target: u64,
-    report: Report,
+    on_version: OnVersion,
 ) where
-    Report: Fn(u64),
+    OnVersion: Fn(u64),
 {
     let until_ms = daemon.now_ms() + WATCH_TIMEOUT_MS;
     let service = daemon.setting_text(job, "service");
@@ -184,13 +184,13 @@
             .iter()
             .filter_map(|replica| replica_view(replica, job).version);
         let oldest_served = versions.min().unwrap_or(target);
-        report(oldest_served);
+        on_version(oldest_served);
         if oldest_served >= target {
             return;
         }
         sleep_ms(WATCH_TICK_MS).await;
     }
-    report(target);
+    on_version(target);
 }
 
 /// The state of a replica for one job. Version 0 is the base model, served by an engine without the
