--- a/crates/borageshore_daemon/src/admin.rs
+++ b/crates/borageshore_daemon/src/admin.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a daemon.
+//! Handlers of the operators' endpoints under `/v1/admin`.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -15,19 +15,19 @@
 use hyper::Method;
 
 use crate::{
-    daemon::{Daemon, Life},
+    daemon::{Daemon, Phase},
     edge::{Answer, json_of, query},
     jobs,
 };
 
-/// How long a change may take to be folded before its writer is told that nobody knows.
-const VERDICT_WAIT_MS: u64 = 15_000;
-const VERDICT_STEP_MS: u64 = 100;
-/// How often a publication of weights is tried again after losing a race.
+/// Timeout for the verdict on a settings change; its outcome is then reported as unknown.
+const VERDICT_TIMEOUT_MS: u64 = 15_000;
+const VERDICT_POLL_MS: u64 = 100;
+/// Attempts to publish a weights version when concurrent changes cause revision conflicts.
 const PUBLISH_ATTEMPTS: u32 = 5;
 
-/// The token of an `authorization: Bearer` header, empty without one.
-pub(crate) fn bearer(request: &EdgeRequest) -> &[u8] {
+/// The token of the `authorization: Bearer` header, or an empty slice if there is none.
+pub(crate) fn bearer_token(request: &EdgeRequest) -> &[u8] {
     let header = request
         .headers()
         .get("authorization")
@@ -37,7 +37,7 @@
 
 /// Answers a request under `/v1/admin`.
 pub(crate) async fn handle(daemon: &Rc<Daemon>, path: &[&str], request: EdgeRequest) -> Answer {
-    let offered = bearer(&request);
+    let offered = bearer_token(&request);
     let is_operator = daemon
         .config
         .operator_token
@@ -46,7 +46,7 @@
     if !is_operator {
         return Answer::refused(ResultCode::Unauthorized, "operator token");
     }
-    if daemon.life() == Life::Starting {
+    if daemon.phase() == Phase::Starting {
         return Answer::refused(ResultCode::NotReady, "no settings yet");
     }
     match (request.method(), path) {
@@ -59,14 +59,15 @@
         (&Method::GET, ["audit"]) => get_audit(daemon, &request),
         (&Method::GET, ["status"]) => Answer::json(&status(daemon)),
         (&Method::POST, ["drain"]) => {
-            daemon.life.set(Life::Draining);
+            daemon.phase.set(Phase::Draining);
             Answer::json(&"draining")
         }
         _ => Answer::refused(ResultCode::UnknownRoute, path.join("/")),
     }
 }
 
-/// All own values, unset ones included: an operator needs their revision to set them again.
+/// Lists the values set at each node. Unset ones are included, since setting them again needs
+/// their revision.
 fn get_settings(daemon: &Daemon) -> Answer {
     let nodes = daemon.settings.with_fold(|fold| {
         let tree = fold.tree();
@@ -92,13 +93,13 @@
     })
 }
 
-/// Every key in force at a node, with the ancestor that it comes from.
+/// Lists the effective value of every key at a node, with the node that it is inherited from.
 fn explain(daemon: &Daemon, request: &EdgeRequest) -> Answer {
     let node = query(request, "node").unwrap_or(ROOT);
     if !daemon.settings.with_fold(|fold| fold.tree().exists(node)) {
         return Answer::refused(ResultCode::MissingNode, node);
     }
-    let explained: Vec<Explanation> = daemon.settings.with_fold(|fold| {
+    let explanations: Vec<Explanation> = daemon.settings.with_fold(|fold| {
         let explain_key = |spec: &'static borageshore_settings::KeySpec| {
             let found = fold.tree().effective(node, spec.name)?;
             Some(Explanation {
@@ -114,7 +115,7 @@
             .filter_map(explain_key)
             .collect()
     });
-    Answer::json(&explained)
+    Answer::json(&explanations)
 }
 
 fn get_audit(daemon: &Daemon, request: &EdgeRequest) -> Answer {
@@ -136,7 +137,8 @@
     Answer::json(&entries)
 }
 
-/// Appends a change and waits for the fold's verdict: accepted means folded, never only sent.
+/// Appends a change and waits for the verdict of the fold; a change that was only sent is not
+/// reported as accepted.
 async fn change_settings(daemon: &Rc<Daemon>, change: SettingsChange) -> Answer {
     if let Err(fault) = daemon.settings.with_fold(|fold| fold.check(&change)) {
         return Answer::fault(&fault, Outcome::NotRun);
@@ -155,7 +157,7 @@
     change: SettingsChange,
 ) -> Result<AuditEntry, Fault> {
     let sequence = daemon.settings.propose(SettingsRecord::Change(change));
-    let until_ms = daemon.now_ms() + VERDICT_WAIT_MS;
+    let until_ms = daemon.now_ms() + VERDICT_TIMEOUT_MS;
     while daemon.now_ms() < until_ms {
         let verdict = daemon
             .settings
@@ -163,7 +165,7 @@
         if let Some(entry) = verdict {
             return Ok(entry);
         }
-        daemon.settings.wait_progress(VERDICT_STEP_MS).await;
+        daemon.settings.wait_progress(VERDICT_POLL_MS).await;
     }
     Err(Fault::new(
         ResultCode::LogUnavailable,
@@ -171,7 +173,7 @@
     ))
 }
 
-/// Makes a version the target of a job's engines, unless a newer one already is.
+/// Sets the target weights version of a job, unless the current target is the same or newer.
 pub(crate) async fn publish_weights(daemon: &Rc<Daemon>, job: &str, version: u64) -> Answer {
     let is_job = daemon
         .settings
@@ -180,14 +182,14 @@
         return Answer::refused(ResultCode::UnknownJob, job);
     }
     for _ in 0..PUBLISH_ATTEMPTS {
-        let (present, based_on) = daemon.settings.with_fold(|fold| {
+        let (current_version, based_on) = daemon.settings.with_fold(|fold| {
             (
                 fold.tree().integer(job, "weights_version"),
                 fold.tree().revision(job, "weights_version"),
             )
         });
-        if present >= version {
-            return Answer::json(&present);
+        if current_version >= version {
+            return Answer::json(&current_version);
         }
         let edit = Edit {
             node: job.into(),
@@ -219,7 +221,7 @@
         daemon: daemon.config.name.clone(),
         incarnation: daemon.incarnation,
         zone: daemon.config.zone.clone(),
-        life: format!("{:?}", daemon.life()),
+        life: format!("{:?}", daemon.phase()),
         streams: vec![
             stream_status(&daemon.settings.name, daemon.settings.offsets()),
             stream_status(&daemon.leases.name, daemon.leases.offsets()),
--- a/crates/borageshore_daemon/src/control.rs
+++ b/crates/borageshore_daemon/src/control.rs
@@ -1,4 +1,4 @@
-//! The tasks that keep a daemon's view current: streams, VM list, load reports, leases, limits.
+//! Background tasks that update a daemon's state: streams, VM list, load reports, leases, limits.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -11,7 +11,7 @@
 use borageshore_settings::{NodeKind, ROOT, SettingsChange, SettingsRecord};
 
 use crate::{
-    daemon::{Daemon, Life},
+    daemon::{Daemon, Phase},
     jobs,
     metrics::Direction,
     platform::{engine::Engine, vm_list::read_vm_list},
@@ -19,21 +19,21 @@
     swaps,
 };
 
-/// The pace of leases, limits and jobs.
+/// Interval of the periodic work on leases, limits and jobs.
 const TICK_MS: u64 = 100;
-/// The pace of the VM list.
-const VM_LIST_MS: u64 = 1_000;
-/// An endpoint whose last report is older than this is asked, as far as the pace allows.
-const REPORT_AGE_MS: u64 = 1_000;
-/// The pace of asking for reports.
+/// Interval between reads of the VM list.
+const VM_LIST_POLL_MS: u64 = 1_000;
+/// Age beyond which a load report is requested again.
+const REPORT_MAX_AGE_MS: u64 = 1_000;
+/// Interval at which load reports are requested.
 const REPORT_TICK_MS: u64 = 500;
-/// How many endpoints are asked in a tick. Answers bring reports along; asking is for idle endpoints
-/// and must not grow with their number.
+/// Report requests per tick. Bounds the load, which must not grow with the number of endpoints;
+/// busy endpoints attach reports to their answers.
 const REPORTS_PER_TICK: usize = 4;
-/// How many daemons of a zone observe each endpoint of a large deployment.
-const OBSERVERS: usize = 8;
-/// Daemons beyond this rank do not claim: others are closer at hand.
-const CANDIDATES: usize = 4;
+/// Daemons of a zone that observe the same endpoint of a large deployment.
+const OBSERVERS_PER_ENDPOINT: usize = 8;
+/// Daemons that may claim a shard, in rendezvous order; the others do not compete for it.
+const CANDIDATES_PER_SHARD: usize = 4;
 
 /// Starts all control tasks.
 pub(crate) fn spawn(daemon: &Rc<Daemon>) {
@@ -57,7 +57,8 @@
     monoio::spawn(swaps::swap_loop(daemon.clone()));
 }
 
-/// Where to read a stream: by the zone's tree of relays, or from any peer when the zone has none.
+/// Selects where to read a stream from, by the relay tree of the zone; after a failure without peers
+/// in the zone, by the tree of all zones.
 fn stream_source(daemon: &Daemon, failures: u32) -> Source {
     let membership = daemon.membership.borrow();
     let now_ms = daemon.now_ms();
@@ -86,10 +87,10 @@
     let lag_ms = wall_ms.saturating_sub(record.at_ms);
     let SettingsChange { actor, reason, .. } = change;
     log::info!(
-        "settings record {} by {actor} after {lag_ms} ms: {reason}",
+        "processed settings record {} by {actor}, {lag_ms} ms after it was appended: {reason}",
         record.offset
     );
-    if daemon.life.get() != Life::Starting {
+    if daemon.phase.get() != Phase::Starting {
         daemon.metrics.on_settings_in_force(lag_ms);
     }
 }
@@ -101,18 +102,18 @@
         .on_applied(record.offset, envelope, daemon.now_ms());
 }
 
-/// The VM list as last read, and the peers that it was shared out among.
+/// The endpoints of the last VM list, and the peers among which they were distributed.
 #[derive(Debug, Default)]
-struct Listed {
+struct VmListState {
     endpoints: Vec<EndpointListing>,
     peers: Vec<Arc<str>>,
 }
 
 async fn vm_list_loop(daemon: Rc<Daemon>) {
-    let mut listed = Listed::default();
+    let mut vm_list_state = VmListState::default();
     loop {
-        let known = daemon.vm_list_version.get();
-        let read = read_vm_list(&daemon.http, &daemon.config.vm_list_address, known).await;
+        let known_version = daemon.vm_list_version.get();
+        let read = read_vm_list(&daemon.http, &daemon.config.vm_list_address, known_version).await;
         let is_new = matches!(read, Ok((Some(_), _)));
         match read {
             Ok((Some(list), bytes)) => {
@@ -120,18 +121,17 @@
                     .metrics
                     .on_control_bytes("vm_list", Direction::Received, bytes);
                 daemon.vm_list_version.set(list.version);
-                listed.endpoints = list.into_endpoints();
+                vm_list_state.endpoints = list.into_endpoints();
             }
             Ok((None, _)) => {}
-            // Without the list the daemon goes on with the endpoints that it knows.
-            Err(error) => log::debug!("VM list: {error}"),
+            Err(error) => log::debug!("VM list not read, keeping the last one: {error}"),
         }
         let peers = zone_peers(&daemon);
-        if is_new || peers != listed.peers {
-            listed.peers = peers;
-            observe_share(&daemon, &listed);
+        if is_new || peers != vm_list_state.peers {
+            vm_list_state.peers = peers;
+            update_observed_endpoints(&daemon, &vm_list_state);
         }
-        sleep_ms(VM_LIST_MS).await;
+        sleep_ms(VM_LIST_POLL_MS).await;
     }
 }
 
@@ -141,30 +141,36 @@
     peers.map(|entry| entry.name.clone()).collect()
 }
 
-/// Observes all endpoints of a small list, this daemon's share of a large one.
-fn observe_share(daemon: &Daemon, listed: &Listed) {
-    let peers: Vec<&str> = listed.peers.iter().map(|name| &**name).collect();
+/// Selects the endpoints to observe: all of a small list, this daemon's subset of a large one.
+fn update_observed_endpoints(daemon: &Daemon, vm_list_state: &VmListState) {
+    let peers: Vec<&str> = vm_list_state.peers.iter().map(|name| &**name).collect();
     let (own, zone) = (&daemon.config.name, &daemon.config.zone);
-    let share = subset_of(listed.endpoints.clone(), own, zone, &peers, OBSERVERS);
-    daemon.endpoints.borrow_mut().on_listing(share);
+    let observed = subset_of(
+        vm_list_state.endpoints.clone(),
+        own,
+        zone,
+        &peers,
+        OBSERVERS_PER_ENDPOINT,
+    );
+    daemon.endpoints.borrow_mut().on_listing(observed);
 }
 
-/// Asks endpoints for their load when no answer brought it along lately.
+/// Requests load reports of endpoints whose last report is missing or out of date.
 async fn report_loop(daemon: Rc<Daemon>) {
     loop {
         let now_ms = daemon.now_ms();
-        let due = oldest_reports(&daemon, now_ms);
+        let due = endpoints_due_for_report(&daemon, now_ms);
         for (name, address) in due {
-            monoio::spawn(ask_report(daemon.clone(), name, address));
+            monoio::spawn(fetch_report(daemon.clone(), name, address));
         }
         sleep_ms(REPORT_TICK_MS).await;
     }
 }
 
-fn oldest_reports(daemon: &Daemon, now_ms: u64) -> Vec<(Arc<str>, Arc<str>)> {
+fn endpoints_due_for_report(daemon: &Daemon, now_ms: u64) -> Vec<(Arc<str>, Arc<str>)> {
     let endpoints = daemon.endpoints.borrow();
     let is_due = |endpoint: &&Endpoint| {
-        endpoint.report.is_none() || endpoint.reported_at_ms() + REPORT_AGE_MS <= now_ms
+        endpoint.report.is_none() || endpoint.reported_at_ms() + REPORT_MAX_AGE_MS <= now_ms
     };
     let mut due: Vec<&Endpoint> = endpoints.iter().filter(is_due).collect();
     due.sort_by_key(|endpoint| endpoint.reported_at_ms());
@@ -178,7 +184,7 @@
     due.into_iter().map(address).collect()
 }
 
-async fn ask_report(daemon: Rc<Daemon>, name: Arc<str>, address: Arc<str>) {
+async fn fetch_report(daemon: Rc<Daemon>, name: Arc<str>, address: Arc<str>) {
     if let Ok((report, bytes)) = daemon.engine.report(&address).await {
         daemon
             .metrics
@@ -197,7 +203,7 @@
 
 async fn tick_loop(daemon: Rc<Daemon>) {
     loop {
-        become_ready(&daemon);
+        become_ready_if_caught_up(&daemon);
         tick_leases(&daemon);
         refresh_limits(&daemon);
         jobs::tick(&daemon);
@@ -207,18 +213,18 @@
     }
 }
 
-fn become_ready(daemon: &Rc<Daemon>) {
-    if daemon.life.get() != Life::Starting {
+fn become_ready_if_caught_up(daemon: &Rc<Daemon>) {
+    if daemon.phase.get() != Phase::Starting {
         return;
     }
     if daemon.settings.is_caught_up() && daemon.leases.is_caught_up() {
-        daemon.life.set(Life::Ready);
+        daemon.phase.set(Phase::Ready);
         daemon.membership.borrow_mut().enter();
         log::info!("daemon {} is ready", daemon.session);
     }
 }
 
-/// The shards that somebody should own: one a job, one for the weights of each service.
+/// The shards that need an owner: one per job, and one per service for its weights.
 fn shards(daemon: &Daemon) -> Vec<Arc<str>> {
     daemon.settings.with_fold(|fold| {
         let jobs = fold
@@ -232,17 +238,17 @@
 }
 
 fn tick_leases(daemon: &Rc<Daemon>) {
-    if daemon.life.get() == Life::Draining || daemon.life.get() == Life::Starting {
+    if daemon.phase.get() == Phase::Draining || daemon.phase.get() == Phase::Starting {
         return;
     }
     let now_ms = daemon.now_ms();
-    let wants = wanted_shards(daemon, now_ms);
+    let candidacies = own_candidacies(daemon, now_ms);
     let ttl_ms = daemon.root_setting("lease_ttl_ms");
     let mut agent = daemon.lease_agent.borrow_mut();
     agent.on_contact(daemon.leases.heard_at_ms());
     let records = daemon
         .leases
-        .with_fold(|table| agent.tick(table, &wants, ttl_ms, now_ms));
+        .with_fold(|table| agent.tick(table, &candidacies, ttl_ms, now_ms));
     for record in records {
         let is_renewal = matches!(record, LeaseRecord::Renew { .. });
         let sequence = daemon.leases.propose(record);
@@ -252,7 +258,7 @@
     }
 }
 
-fn wanted_shards(daemon: &Daemon, now_ms: u64) -> Vec<Candidacy> {
+fn own_candidacies(daemon: &Daemon, now_ms: u64) -> Vec<Candidacy> {
     let membership = daemon.membership.borrow();
     let names: Vec<&str> = membership
         .usable(now_ms)
@@ -262,7 +268,7 @@
         &daemon.config.name,
         &shards(daemon),
         names.iter().copied(),
-        CANDIDATES,
+        CANDIDATES_PER_SHARD,
     )
 }
 
@@ -305,12 +311,13 @@
     }
 }
 
-/// The first daemon by rendezvous order keeps snapshots young enough for retention.
+/// Proposes due snapshots if this daemon is first in rendezvous order, so that a snapshot precedes
+/// every record that the log's retention keeps.
 fn snapshot_if_due(daemon: &Rc<Daemon>) {
     let membership = daemon.membership.borrow();
     let names = membership.usable(daemon.now_ms()).map(|entry| &*entry.name);
     let is_first = rank_within("snapshot", &daemon.config.name, names, 1).is_some();
-    if !is_first || daemon.life.get() != Life::Ready {
+    if !is_first || daemon.phase.get() != Phase::Ready {
         return;
     }
     daemon
--- a/crates/borageshore_daemon/src/drain.rs
+++ b/crates/borageshore_daemon/src/drain.rs
@@ -1,4 +1,4 @@
-//! The graceful stop.
+//! Graceful shutdown of a daemon.
 
 use std::{
     io,
@@ -13,39 +13,39 @@
 use borageshore_net::sleep_ms;
 
 use crate::{
-    daemon::{Daemon, Life},
+    daemon::{Daemon, Phase},
     gossip, jobs,
 };
 
-/// The pace at which the stop signal and the last requests are looked at.
+/// Interval between checks of the stop signal, of in-flight requests and of released leases.
 const POLL_MS: u64 = 50;
-/// Work that is still in flight after this time is abandoned; callers' deadlines lie well below it.
-const LONGEST_DRAIN_MS: u64 = 180_000;
-/// By this time every daemon of the zone knows that we leave.
-const LEAVING_KNOWN_MS: u64 = 3_000;
-/// How long the released leases may take to reach the log.
-const RELEASE_WAIT_MS: u64 = 3_000;
+/// Timeout after which in-flight work is abandoned; longer than the deadlines of callers.
+const DRAIN_TIMEOUT_MS: u64 = 180_000;
+/// Upper bound on the time in which the leave reaches every daemon of the zone.
+const LEAVE_PROPAGATION_MS: u64 = 3_000;
+/// Timeout for appending the release of the leases to the log.
+const RELEASE_TIMEOUT_MS: u64 = 3_000;
 
-/// Waits for SIGTERM, SIGINT or an operator's drain.
+/// Waits for SIGTERM, SIGINT or a drain request by an operator.
 pub(crate) async fn wait_for_stop(daemon: &Rc<Daemon>) -> io::Result<()> {
     let signalled = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT] {
         signal_hook::flag::register(signal, signalled.clone())?;
     }
-    while !signalled.load(Ordering::Relaxed) && daemon.life() != Life::Draining {
+    while !signalled.load(Ordering::Relaxed) && daemon.phase() != Phase::Draining {
         sleep_ms(POLL_MS).await;
     }
     Ok(())
 }
 
-/// Stops without cutting anything: is no longer listed, hands its leases over, serves callers whose
-/// address list may still name it, lets every request end, says goodbye.
+/// Shuts down without interrupting requests: announces the leave, releases the leases, serves until
+/// cached address lists have expired, waits for requests in flight, and announces the stop.
 pub(crate) async fn drain(daemon: &Rc<Daemon>) {
-    daemon.life.set(Life::Draining);
-    log::info!("daemon {} drains", daemon.session);
-    // Other daemons list us until our leaving reaches them, and their callers keep that list.
+    daemon.phase.set(Phase::Draining);
+    log::info!("daemon {} is draining", daemon.session);
+    // Other daemons list this one until the leave reaches them, and callers cache such a list.
     let listed_until_ms =
-        daemon.now_ms() + LEAVING_KNOWN_MS + daemon.root_setting("address_ttl_ms");
+        daemon.now_ms() + LEAVE_PROPAGATION_MS + daemon.root_setting("address_ttl_ms");
     daemon.membership.borrow_mut().leave();
     announce(daemon).await;
     release_leases(daemon).await;
@@ -56,7 +56,7 @@
         server.close();
     }
     wait_for_requests(daemon).await;
-    daemon.life.set(Life::Stopped);
+    daemon.phase.set(Phase::Stopped);
     daemon.membership.borrow_mut().stop();
     announce(daemon).await;
     log::info!("daemon {} stopped", daemon.session);
@@ -80,21 +80,21 @@
     let sequence = daemon.leases.propose(LeaseRecord::End {
         session: daemon.session.clone(),
     });
-    let until_ms = daemon.now_ms() + RELEASE_WAIT_MS;
+    let until_ms = daemon.now_ms() + RELEASE_TIMEOUT_MS;
     while daemon.leases.is_pending(sequence) && daemon.now_ms() < until_ms {
         sleep_ms(POLL_MS).await;
     }
 }
 
 async fn wait_for_requests(daemon: &Rc<Daemon>) {
-    let until_ms = daemon.now_ms() + LONGEST_DRAIN_MS;
-    let mut idle_rounds = 0;
-    while idle_rounds < 2 && daemon.now_ms() < until_ms {
+    let until_ms = daemon.now_ms() + DRAIN_TIMEOUT_MS;
+    let mut idle_polls = 0;
+    while idle_polls < 2 && daemon.now_ms() < until_ms {
         let connections = daemon
             .server()
             .map_or(0, |server| server.open_connections());
         let is_idle = daemon.in_flight.get() == 0 && connections == 0;
-        idle_rounds = if is_idle { idle_rounds + 1 } else { 0 };
+        idle_polls = if is_idle { idle_polls + 1 } else { 0 };
         sleep_ms(POLL_MS).await;
     }
 }
--- a/crates/borageshore_daemon/src/jobs.rs
+++ b/crates/borageshore_daemon/src/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that this daemon owns, and pulls of trainers for any job.
+//! Jobs that this daemon owns, and sample pulls by trainers for any job.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,25 +17,25 @@
 use borageshore_wire::{PeerReply, PeerRequest, PullReply, PullRequest, SampleRequest};
 
 use crate::{
-    daemon::{Daemon, Life},
+    daemon::{Daemon, Phase},
     peer_server::failed_pull,
-    samples::{MadeSample, SampleJob, from_reply, make_sample},
+    samples::{GeneratedSample, SampleTask, generate_sample, sample_from_reply},
     stream::{SharedStream, Source, append_proposals, follow},
     swaps,
 };
 
-/// The longest time that a sample may take.
-const SAMPLE_DEADLINE_MS: u64 = 120_000;
-/// How much longer than the deadline a peer may take to answer.
-const PEER_SLACK_MS: u64 = 2_000;
-/// How long a pull waits for the ledger or for samples before it looks again.
-const PULL_STEP_MS: u64 = 50;
-/// The longest wait that a trainer may ask for.
-const PULL_WAIT_MS: u64 = 30_000;
-/// The most samples in one delivery.
-const PULL_SAMPLES: u64 = 4_096;
+/// Timeout for generating and scoring a sample.
+const SAMPLE_TIMEOUT_MS: u64 = 120_000;
+/// Time added to the timeout of a request that a peer carries out.
+const PEER_TIMEOUT_MARGIN_MS: u64 = 2_000;
+/// Interval at which a waiting pull checks for an owner, the ledger or samples.
+const PULL_POLL_MS: u64 = 50;
+/// Upper bound on the wait that a trainer can request.
+const MAX_PULL_WAIT_MS: u64 = 30_000;
+/// Upper bound on the samples in a delivery.
+const MAX_SAMPLES_PER_PULL: u64 = 4_096;
 
-/// A job that this daemon owns.
+/// State of a job that this daemon owns.
 #[derive(Debug)]
 pub(crate) struct JobRuntime {
     job: Arc<str>,
@@ -47,15 +47,15 @@
     is_closed: Cell<bool>,
 }
 
-/// The shard that the owner of a job holds.
+/// Name of the lease shard of a job.
 pub(crate) fn shard_of(job: &str) -> Arc<str> {
     format!("job/{job}").into()
 }
 
-/// Opens jobs that were won, closes jobs that were lost, and orders what is to be generated.
+/// Opens newly owned jobs, closes those no longer owned, and orders the samples to generate.
 pub(crate) fn tick(daemon: &Rc<Daemon>) {
-    if daemon.life() == Life::Draining {
-        // All jobs were given up; until the log knows it, they still look like ours.
+    if daemon.phase() == Phase::Draining {
+        // A drain closes all jobs, but the lease table shows them as owned until the release is applied.
         return;
     }
     let jobs: Vec<Arc<str>> = daemon
@@ -63,11 +63,11 @@
         .with_fold(|fold| fold.tree().nodes_of_kind(NodeKind::Job).cloned().collect());
     for job in &jobs {
         let owned = owned_epoch(daemon, job);
-        let known = daemon.jobs.borrow().get(job).cloned();
-        match (owned, known) {
+        let opened = daemon.jobs.borrow().get(job).cloned();
+        match (owned, opened) {
             (Some(epoch), Some(runtime)) if runtime.controller.borrow().epoch() == epoch => {
-                // A lease that has run out may be renewed yet: the job waits with all that it has.
-                if own_epoch(daemon, job).is_some() {
+                // An expired lease may still be renewed, so the job keeps its state and only pauses.
+                if active_epoch(daemon, job).is_some() {
                     tick_job(daemon, &runtime);
                 }
             }
@@ -88,7 +88,7 @@
     }
 }
 
-/// The epoch under which the log says that a job is ours, whether or not we may act now.
+/// The epoch with which this daemon owns a job according to the log, even if the lease has expired.
 fn owned_epoch(daemon: &Daemon, job: &str) -> Option<u64> {
     let agent = daemon.lease_agent.borrow();
     daemon
@@ -96,8 +96,8 @@
         .with_fold(|table| agent.owned_epoch(table, &shard_of(job)))
 }
 
-/// The epoch under which we may act for a job now.
-fn own_epoch(daemon: &Daemon, job: &str) -> Option<u64> {
+/// The epoch of a job's lease if this daemon holds it and it has not expired.
+fn active_epoch(daemon: &Daemon, job: &str) -> Option<u64> {
     let agent = daemon.lease_agent.borrow();
     daemon
         .leases
@@ -106,12 +106,12 @@
 
 fn open_job(daemon: &Rc<Daemon>, job: &Arc<str>, epoch: u64) {
     close_job(daemon, job);
-    log::info!("job {job} is owned under epoch {epoch}");
-    // A job that is removed and comes back is opened again under the same epoch. Sequences start anew
-    // with a proposer, so without a writer name of its own the fold would take all its records for
-    // repeated ones; sample names must not come twice either.
-    let opening = daemon.job_openings.get() + 1;
-    daemon.job_openings.set(opening);
+    log::info!("opening job {job} with epoch {epoch}");
+    // A job that is removed and added again is opened twice in one epoch. Sequence numbers restart
+    // with each proposer, so a reused writer name would make the fold drop new records as duplicates;
+    // sample ids must be unique as well.
+    let opening = daemon.jobs_opened.get() + 1;
+    daemon.jobs_opened.set(opening);
     let writer: Arc<str> = format!("{}/{epoch}/{opening}", daemon.session).into();
     let id_prefix: Arc<str> = format!("{job}.{opening}").into();
     let ledger = Rc::new(SharedStream::open(
@@ -141,10 +141,10 @@
     daemon.jobs.borrow_mut().insert(job.clone(), runtime);
 }
 
-/// Gives up a job; also done for all jobs when the daemon drains.
+/// Closes a job; results of its samples in progress are ignored.
 pub(crate) fn close_job(daemon: &Daemon, job: &Arc<str>) {
     if let Some(runtime) = daemon.jobs.borrow_mut().remove(job) {
-        log::info!("job {job} is given up");
+        log::info!("closed job {job}");
         runtime.is_closed.set(true);
         runtime.ledger.close();
     }
@@ -161,10 +161,10 @@
         .ledger
         .with_fold(|ledger| controller.on_ledger(ledger));
     let versions = watched_versions(daemon, runtime);
-    let orders = controller.tick(&plan_of(daemon, &runtime.job), versions, daemon.now_ms());
+    let orders = controller.tick(&job_plan(daemon, &runtime.job), versions, daemon.now_ms());
     drop(controller);
     for order in orders {
-        monoio::spawn(carry_out(daemon.clone(), runtime.clone(), order));
+        monoio::spawn(run_sample_order(daemon.clone(), runtime.clone(), order));
     }
     runtime
         .ledger
@@ -174,31 +174,32 @@
         });
 }
 
-/// The versions in force; a new target begins to be watched.
+/// Returns the target version and the oldest version still served; starts a watch of the engines for
+/// a new target.
 fn watched_versions(daemon: &Rc<Daemon>, runtime: &Rc<JobRuntime>) -> WeightVersions {
     let target = daemon.setting(&runtime.job, "weights_version");
-    let before = runtime.versions.get();
-    if target > before.target {
-        runtime.versions.set(WeightVersions { target, ..before });
+    let previous = runtime.versions.get();
+    if target > previous.target {
+        runtime.versions.set(WeightVersions { target, ..previous });
         let (daemon, runtime) = (daemon.clone(), runtime.clone());
         monoio::spawn(async move {
-            let report = |oldest_served| {
-                let known = runtime.versions.get();
-                // An older watch says nothing of a newer target.
-                if known.target == target {
+            let on_version = |oldest_served| {
+                let current = runtime.versions.get();
+                // Ignores the watch of a previous target.
+                if current.target == target {
                     runtime.versions.set(WeightVersions {
                         oldest_served,
-                        ..known
+                        ..current
                     });
                 }
             };
-            swaps::watch_floor(&daemon, &runtime.job, target, report).await;
+            swaps::watch_oldest_served(&daemon, &runtime.job, target, on_version).await;
         });
     }
     runtime.versions.get()
 }
 
-fn plan_of(daemon: &Daemon, job: &str) -> JobPlan {
+fn job_plan(daemon: &Daemon, job: &str) -> JobPlan {
     daemon.settings.with_fold(|fold| {
         let number = |key: &str| fold.tree().integer(job, key);
         JobPlan {
@@ -213,19 +214,19 @@
     })
 }
 
-/// Has a sample made by the daemon that its group is placed with.
-async fn carry_out(daemon: Rc<Daemon>, runtime: Rc<JobRuntime>, order: SampleOrder) {
+/// Generates a sample on the daemon that its group is placed on, and reports it to the controller.
+async fn run_sample_order(daemon: Rc<Daemon>, runtime: Rc<JobRuntime>, order: SampleOrder) {
     let started_at_ms = daemon.now_ms();
-    let job = sample_job(&daemon, &runtime, &order);
-    let prompt = job.prompt.clone();
-    let made = place(&daemon, &runtime, &job, &order).await;
+    let task = sample_task(&daemon, &runtime, &order);
+    let prompt = task.prompt.clone();
+    let generated = generate_on_worker(&daemon, &runtime, &task, &order).await;
     if runtime.is_closed.get() {
         return;
     }
     let now_ms = daemon.now_ms();
     let mut controller = runtime.controller.borrow_mut();
-    match made {
-        Ok(MadeSample {
+    match generated {
+        Ok(GeneratedSample {
             tokens,
             segments,
             score,
@@ -233,7 +234,7 @@
             let (id, group) = (order.id, order.group);
             let versions: Vec<u64> = segments.iter().map(|segment| segment.version).collect();
             let took_ms = now_ms - started_at_ms;
-            log::debug!("sample {id} took {took_ms} ms, versions {versions:?}");
+            log::debug!("generated sample {id} in {took_ms} ms with weight versions {versions:?}");
             let sample = Sample {
                 id,
                 group,
@@ -252,37 +253,37 @@
     }
 }
 
-fn sample_job(daemon: &Daemon, runtime: &JobRuntime, order: &SampleOrder) -> SampleJob {
+fn sample_task(daemon: &Daemon, runtime: &JobRuntime, order: &SampleOrder) -> SampleTask {
     let template = daemon.setting_text(&runtime.job, "prompt");
     let template = template.unwrap_or_else(|| "{job} group {group}".into());
     let prompt = template
         .replace("{job}", &runtime.job)
         .replace("{group}", &order.group.to_string());
-    SampleJob {
+    SampleTask {
         job: runtime.job.clone(),
         sample_id: order.id.clone(),
         prompt: prompt.into(),
         max_tokens: daemon.setting(&runtime.job, "max_tokens_per_sample"),
-        deadline_ms: daemon.now_ms() + SAMPLE_DEADLINE_MS,
+        deadline_ms: daemon.now_ms() + SAMPLE_TIMEOUT_MS,
     }
 }
 
-async fn place(
+async fn generate_on_worker(
     daemon: &Rc<Daemon>,
     runtime: &JobRuntime,
-    job: &SampleJob,
+    task: &SampleTask,
     order: &SampleOrder,
-) -> Result<MadeSample, Fault> {
+) -> Result<GeneratedSample, Fault> {
     let Some((name, address)) = choose_worker(daemon, runtime, order) else {
-        return make_sample(daemon, job).await;
+        return generate_sample(daemon, task).await;
     };
-    let made = if name == daemon.config.name {
-        make_sample(daemon, job).await
+    let generated = if name == daemon.config.name {
+        generate_sample(daemon, task).await
     } else {
-        make_at_peer(daemon, job, &name, &address).await
+        generate_on_peer(daemon, task, &name, &address).await
     };
     runtime.placement.borrow_mut().on_attempt_end(&name);
-    made
+    generated
 }
 
 fn choose_worker(
@@ -300,25 +301,29 @@
     Some((name, address))
 }
 
-async fn make_at_peer(
+async fn generate_on_peer(
     daemon: &Rc<Daemon>,
-    job: &SampleJob,
+    task: &SampleTask,
     name: &str,
     address: &str,
-) -> Result<MadeSample, Fault> {
+) -> Result<GeneratedSample, Fault> {
     let request = PeerRequest::Sample(SampleRequest {
-        job: job.job.to_string(),
-        sample_id: job.sample_id.to_string(),
-        prompt: job.prompt.to_string(),
-        max_tokens: job.max_tokens as i64,
-        deadline_ms: SAMPLE_DEADLINE_MS as i64,
+        job: task.job.to_string(),
+        sample_id: task.sample_id.to_string(),
+        prompt: task.prompt.to_string(),
+        max_tokens: task.max_tokens as i64,
+        deadline_ms: SAMPLE_TIMEOUT_MS as i64,
     });
     match daemon
         .peers
-        .call(address, &request, SAMPLE_DEADLINE_MS + PEER_SLACK_MS)
+        .call(
+            address,
+            &request,
+            SAMPLE_TIMEOUT_MS + PEER_TIMEOUT_MARGIN_MS,
+        )
         .await
     {
-        Ok(PeerReply::Sample(reply)) => from_reply(reply),
+        Ok(PeerReply::Sample(reply)) => sample_from_reply(reply),
         Ok(_) => Err(Fault::new(ResultCode::PeerUnavailable, name)),
         Err(error) => Err(Fault::new(
             ResultCode::PeerUnavailable,
@@ -327,7 +332,7 @@
     }
 }
 
-/// A trainer's pull.
+/// A trainer's request for samples.
 #[derive(Debug, Clone)]
 pub(crate) struct Pull {
     pub(crate) job: Arc<str>,
@@ -337,7 +342,7 @@
     pub(crate) wait_ms: u64,
 }
 
-/// Answers a pull here or through the owner of the job; waits for an owner while there is none.
+/// Answers a pull as the owner of the job, or forwards it to the owner; waits until there is one.
 pub(crate) async fn pull(daemon: &Rc<Daemon>, pull: Pull) -> Result<String, ResultCode> {
     let is_job = daemon.settings.with_fold(|fold| {
         fold.tree().exists(&pull.job) && fold.tree().kind(&pull.job) == NodeKind::Job
@@ -345,10 +350,10 @@
     if !is_job {
         return Err(ResultCode::UnknownJob);
     }
-    let until_ms = daemon.now_ms() + pull.wait_ms.min(PULL_WAIT_MS);
+    let until_ms = daemon.now_ms() + pull.wait_ms.min(MAX_PULL_WAIT_MS);
     loop {
-        if own_epoch(daemon, &pull.job).is_some() {
-            return pull_here(daemon, &pull, until_ms).await;
+        if active_epoch(daemon, &pull.job).is_some() {
+            return pull_locally(daemon, &pull, until_ms).await;
         }
         if let Some(address) = owner_address(daemon, &pull.job) {
             let remaining_ms = until_ms.saturating_sub(daemon.now_ms());
@@ -360,7 +365,7 @@
         if daemon.now_ms() >= until_ms {
             return Err(ResultCode::NotOwner);
         }
-        sleep_ms(PULL_STEP_MS).await;
+        sleep_ms(PULL_POLL_MS).await;
     }
 }
 
@@ -373,12 +378,12 @@
         return None;
     }
     let membership = daemon.membership.borrow();
-    let is_gone = membership.health(name, daemon.now_ms()) == Health::Dead;
+    let is_dead = membership.health(name, daemon.now_ms()) == Health::Dead;
     let entry = membership
         .entry(name)
         .filter(|entry| entry.incarnation.to_string() == incarnation);
     entry
-        .filter(|_| !is_gone)
+        .filter(|_| !is_dead)
         .map(|entry| entry.peer_address.clone())
 }
 
@@ -397,7 +402,7 @@
     });
     match daemon
         .peers
-        .call(address, &request, remaining_ms + PEER_SLACK_MS)
+        .call(address, &request, remaining_ms + PEER_TIMEOUT_MARGIN_MS)
         .await
     {
         Ok(PeerReply::Pull(reply)) if reply.code == i32::from(ResultCode::Done.number()) => {
@@ -410,7 +415,7 @@
     }
 }
 
-/// Answers a peer that forwards a pull to us.
+/// Answers a pull that a peer forwards.
 pub(crate) async fn on_peer_pull(daemon: &Rc<Daemon>, request: PullRequest) -> PullReply {
     let pull = Pull {
         job: request.job.into(),
@@ -419,8 +424,8 @@
         max_samples: request.max_samples.max(1) as u64,
         wait_ms: request.wait_ms.max(0) as u64,
     };
-    let until_ms = daemon.now_ms() + pull.wait_ms.min(PULL_WAIT_MS);
-    match pull_here(daemon, &pull, until_ms).await {
+    let until_ms = daemon.now_ms() + pull.wait_ms.min(MAX_PULL_WAIT_MS);
+    match pull_locally(daemon, &pull, until_ms).await {
         Ok(body) => PullReply {
             code: i32::from(ResultCode::Done.number()),
             body,
@@ -429,40 +434,44 @@
     }
 }
 
-/// Answers as the owner.
+/// Answers a pull as the owner of the job.
 ///
-/// The lease is checked at each step, but safety does not rest on it: what is handed over was first
-/// accepted by the ledger's fold under this epoch.
-async fn pull_here(daemon: &Rc<Daemon>, pull: &Pull, until_ms: u64) -> Result<String, ResultCode> {
+/// The lease is checked in each iteration, but correctness does not depend on it: samples are
+/// delivered only after the ledger's fold accepted them in this epoch.
+async fn pull_locally(
+    daemon: &Rc<Daemon>,
+    pull: &Pull,
+    until_ms: u64,
+) -> Result<String, ResultCode> {
     loop {
         let now_ms = daemon.now_ms();
         let runtime = daemon.jobs.borrow().get(&pull.job).cloned();
-        let Some(runtime) = runtime.filter(|_| own_epoch(daemon, &pull.job).is_some()) else {
+        let Some(runtime) = runtime.filter(|_| active_epoch(daemon, &pull.job).is_some()) else {
             return Err(ResultCode::NotOwner);
         };
-        match decide(daemon, &runtime, pull, now_ms) {
+        match decide_pull(daemon, &runtime, pull, now_ms) {
             PullDecision::Deliver(delivery) => return Ok(encode(&delivery)),
             PullDecision::Refuse(code) => return Err(code),
             PullDecision::Append(record) => {
                 runtime.ledger.propose(record);
             }
             PullDecision::Wait if now_ms >= until_ms => {
-                return Ok(encode(&nothing_yet(daemon, &runtime, pull)));
+                return Ok(encode(&empty_delivery(daemon, &runtime, pull)));
             }
             PullDecision::Wait => {}
         }
-        runtime.ledger.wait_progress(PULL_STEP_MS).await;
+        runtime.ledger.wait_progress(PULL_POLL_MS).await;
     }
 }
 
-fn decide(daemon: &Daemon, runtime: &JobRuntime, pull: &Pull, now_ms: u64) -> PullDecision {
+fn decide_pull(daemon: &Daemon, runtime: &JobRuntime, pull: &Pull, now_ms: u64) -> PullDecision {
     let view = PullView {
         cursor: pull.cursor,
         seen_epoch: pull.seen_epoch,
-        max_samples: pull.max_samples.min(PULL_SAMPLES),
+        max_samples: pull.max_samples.min(MAX_SAMPLES_PER_PULL),
         target_version: daemon.setting(&pull.job, "weights_version"),
     };
-    let plan = plan_of(daemon, &pull.job);
+    let plan = job_plan(daemon, &pull.job);
     let mut controller = runtime.controller.borrow_mut();
     runtime.ledger.with_fold(|ledger| {
         controller.on_ledger(ledger);
@@ -470,7 +479,7 @@
     })
 }
 
-fn nothing_yet(daemon: &Daemon, runtime: &JobRuntime, pull: &Pull) -> Delivery {
+fn empty_delivery(daemon: &Daemon, runtime: &JobRuntime, pull: &Pull) -> Delivery {
     Delivery {
         epoch: runtime.controller.borrow().epoch(),
         through: pull.cursor,
@@ -483,7 +492,7 @@
     serde_json::to_string(delivery).expect("deliveries are plain data")
 }
 
-/// Counts of a job for `status`, when this daemon owns it.
+/// Sample counts and the number of buffered samples of a job, if this daemon owns it.
 pub(crate) fn counts(
     daemon: &Daemon,
     job: &str,
@@ -493,7 +502,7 @@
     Some((controller.counts(), controller.buffered()))
 }
 
-/// Gives up all jobs.
+/// Closes all jobs, before a drain releases their leases.
 pub(crate) fn close_all(daemon: &Daemon) {
     let jobs: Vec<Arc<str>> = daemon.jobs.borrow().keys().cloned().collect();
     for job in jobs {
