--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -23,7 +23,7 @@
 use crate::{
     access::{CallerAccess, Denial, Pass},
     endpoints::Endpoints,
-    quarantine::{Held, Leave, Quarantine},
+    quarantine::{Held, Permit, Quarantine},
     usage::{RequestUse, UsageCounter},
 };
 
@@ -156,12 +156,12 @@
     /// Refuses a call that crashes endpoints, at once and with the time at which it may be tried again.
     fn refuse_held(&self, asked: &Asked, route: &Route, held: Held) -> EdgeResponse {
         let fault = Fault::new(ResultCode::HeldBack, asked.content().to_string());
-        let response = refusal(&fault, Some(held.again_ms));
+        let response = refusal(&fault, Some(held.retry_after_ms));
         self.instruments.count("quarantine", "refused");
         self.instruments.count("call", "not_run");
         log::info!(
             request = &*asked.outbound.id, route = &*route.name, content:% = asked.content(),
-            status = response.status().as_u16(), again_ms = held.again_ms;
+            status = response.status().as_u16(), again_ms = held.retry_after_ms;
             "call held back"
         );
         response
@@ -173,7 +173,7 @@
         route: &Route,
         service: &Arc<str>,
         asked: &Asked,
-        leave: &Leave,
+        leave: &Permit,
         deadline: Deadline,
         outcome: &mut CallOutcome,
     ) -> Option<EndpointResponse> {
@@ -233,7 +233,7 @@
         &'c self,
         service: &Arc<str>,
         asked: &'c Asked,
-        leave: &'c Leave,
+        leave: &'c Permit,
         deadline: Deadline,
         outcome: &mut CallOutcome,
     ) -> Option<impl Future<Output = (usize, Result<EndpointResponse, AttemptError>)> + use<'c>>
@@ -255,7 +255,7 @@
         Some(async move {
             let outbound = &asked.outbound;
             let content = || asked.content();
-            let mut sent = self.quarantine.send(content, &target.instance, leave);
+            let mut sent = self.quarantine.track_send(content, &target.instance, leave);
             let attempt = asked.request_use.on_attempt();
             let called = self.client.call(&target, outbound, deadline).await;
             sent.on_outcome(&called);
--- a/crates/borageshore_gateway/src/item/mod.rs
+++ b/crates/borageshore_gateway/src/item/mod.rs
@@ -22,7 +22,7 @@
     ledger_view::LedgerView,
     mechanisms::{Mechanism, Mechanisms},
     progress::{Progress, Saving},
-    quarantine::{Leave, Quarantine},
+    quarantine::{Permit, Quarantine},
     rewards::{Reward, Rewards},
     routes::Routes,
     texts::Texts,
@@ -244,7 +244,7 @@
     }
 
     /// Leave to go to an engine; `None` after a wait if the item is held back.
-    async fn leave(&self, route: &Route) -> Option<Leave> {
+    async fn leave(&self, route: &Route) -> Option<Permit> {
         let context = self.context;
         match context.quarantine.admit(|| self.content()).await {
             Ok(leave) => Some(leave),
@@ -252,7 +252,7 @@
                 let give_up_ms = self.seen_at_ms.saturating_add(route.retention_ms);
                 let left_ms = give_up_ms.saturating_sub(context.clock.now_ms());
                 context.instruments.count("quarantine", "waits");
-                log::info!(item = &*self.item.id, content:% = self.content(), again_ms = held.again_ms; "item held back");
+                log::info!(item = &*self.item.id, content:% = self.content(), again_ms = held.retry_after_ms; "item held back");
                 let content = self.content();
                 context.quarantine.wait(content, held, left_ms).await;
                 None
--- a/crates/borageshore_gateway/src/item/stay.rs
+++ b/crates/borageshore_gateway/src/item/stay.rs
@@ -10,7 +10,7 @@
 use crate::{
     dispatch::{Place, PlaceRequest},
     mechanisms::Mechanism,
-    quarantine::{Leave, Sent},
+    quarantine::{Permit, SentRequest},
 };
 
 /// An engine answers within some ms of its slot being free; a line of its own lasts half a second.
@@ -48,7 +48,7 @@
     pub(super) async fn stay(
         &self,
         place: Place,
-        leave: &Leave,
+        leave: &Permit,
         route: &Route,
         request: &PlaceRequest,
         text: &mut Text,
@@ -66,7 +66,7 @@
         let mut sent = self
             .context
             .quarantine
-            .send(|| self.content(), &instance, leave);
+            .track_send(|| self.content(), &instance, leave);
         let started = self
             .context
             .client
@@ -88,7 +88,12 @@
         stay
     }
 
-    fn lose<Content>(&self, place: Place, error: &AttemptError, sent: &mut Sent<Content>) -> Stay
+    fn lose<Content>(
+        &self,
+        place: Place,
+        error: &AttemptError,
+        sent: &mut SentRequest<Content>,
+    ) -> Stay
     where
         Content: Fn() -> Fingerprint,
     {
@@ -118,7 +123,7 @@
         mut generation: Generation,
         request: &PlaceRequest,
         text: &mut Text,
-        sent: &mut Sent<Content>,
+        sent: &mut SentRequest<Content>,
     ) -> Stay
     where
         Content: Fn() -> Fingerprint,
--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -28,9 +28,9 @@
 use self::records::{Told, crash_key, decode_record, trial_key};
 pub(crate) use self::{
     records::KEY_PREFIX,
-    sent::Sent,
+    sent::SentRequest,
     telling::{CLEARED_PATH, CRASHES_PATH},
-    trials::Leave,
+    trials::Permit,
 };
 use crate::{endpoints::Endpoints, follow::Fold, members::Members, store_path::Store};
 
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Held {
     /// When to come back.
-    pub(crate) again_ms: u64,
+    pub(crate) retry_after_ms: u64,
 }
 
 /// The requests that all daemons hold back, as this one knows them.
@@ -133,20 +133,18 @@
 
     /// Says whether a request may be sent, and waits for the claim of its trial if one is due. `content` is not
     /// called as long as nothing is suspected.
-    pub(crate) async fn admit<Content>(self: &Rc<Self>, content: Content) -> Result<Leave, Held>
+    pub(crate) async fn admit<Content>(self: &Rc<Self>, content: Content) -> Result<Permit, Held>
     where
         Content: FnOnce() -> Fingerprint,
     {
         self.known().await;
         if self.table.borrow().is_empty() {
-            return Ok(Leave { trial: None });
+            return Ok(Permit { trial: None });
         }
         let content = content();
         match self.verdict(&content) {
-            Verdict::Allowed => Ok(Leave { trial: None }),
-            Verdict::Held { retry_after_ms } => Err(Held {
-                again_ms: retry_after_ms,
-            }),
+            Verdict::Allowed => Ok(Permit { trial: None }),
+            Verdict::Held { retry_after_ms } => Err(Held { retry_after_ms }),
             Verdict::TrialDue => self.claim(content).await,
         }
     }
@@ -155,7 +153,7 @@
     pub(crate) async fn wait(&self, content: Fingerprint, held: Held, most_ms: u64) {
         let until_ms = self.clock.now_ms().saturating_add(most_ms);
         // A trial that cannot be claimed is due all the while.
-        sleep_ms(held.again_ms.min(CLAIM_MS).min(most_ms)).await;
+        sleep_ms(held.retry_after_ms.min(CLAIM_MS).min(most_ms)).await;
         loop {
             let left_ms = until_ms.saturating_sub(self.clock.now_ms());
             match self.verdict(&content) {
--- a/crates/borageshore_gateway/src/quarantine/sent.rs
+++ b/crates/borageshore_gateway/src/quarantine/sent.rs
@@ -5,14 +5,14 @@
 use borageshore_platform::{AttemptError, EndpointResponse};
 use borageshore_routing::Fingerprint;
 
-use super::{Leave, Quarantine};
+use super::{Permit, Quarantine};
 
 /// A request that is at an endpoint.
 ///
 /// Guards against a request whose caller leaves before its endpoint crashes: what is dropped without an outcome counts
 /// as given up in silence, or 26 endpoints of six crashed in 16 s without an attempt that was lost.
 #[derive(Debug)]
-pub(crate) struct Sent<Content>
+pub(crate) struct SentRequest<Content>
 where
     Content: Fn() -> Fingerprint,
 {
@@ -26,26 +26,26 @@
 
 impl Quarantine {
     /// Notes that a request goes to an endpoint; `content` is called only where the outcome asks for it.
-    pub(crate) fn send<Content>(
+    pub(crate) fn track_send<Content>(
         self: &Rc<Self>,
         content: Content,
         instance: &Arc<str>,
-        leave: &Leave,
-    ) -> Sent<Content>
+        leave: &Permit,
+    ) -> SentRequest<Content>
     where
         Content: Fn() -> Fingerprint,
     {
-        Sent {
+        SentRequest {
             quarantine: self.clone(),
             content,
             instance: instance.clone(),
-            trial: leave.mark(),
+            trial: leave.sent_flag(),
             has_outcome: false,
         }
     }
 }
 
-impl<Content> Sent<Content>
+impl<Content> SentRequest<Content>
 where
     Content: Fn() -> Fingerprint,
 {
@@ -104,7 +104,7 @@
     }
 }
 
-impl<Content> Drop for Sent<Content>
+impl<Content> Drop for SentRequest<Content>
 where
     Content: Fn() -> Fingerprint,
 {
--- a/crates/borageshore_gateway/src/quarantine/telling.rs
+++ b/crates/borageshore_gateway/src/quarantine/telling.rs
@@ -190,7 +190,7 @@
     }
 
     /// Takes over what a peer tells.
-    pub(crate) async fn on_told(&self, request: EdgeRequest) -> EdgeResponse {
+    pub(crate) async fn on_crash_reports(&self, request: EdgeRequest) -> EdgeResponse {
         let body = read_body(request.into_body(), server_limits()).await;
         let reports = body.ok().and_then(|body| decode_reports(&body));
         let Some(reports) = reports else {
--- a/crates/borageshore_gateway/src/quarantine/trials.rs
+++ b/crates/borageshore_gateway/src/quarantine/trials.rs
@@ -14,11 +14,11 @@
 
 /// Leave to send a request: as often as its route permits, or once on trial.
 #[derive(Debug)]
-pub(crate) struct Leave {
+pub(crate) struct Permit {
     pub(super) trial: Option<Trial>,
 }
 
-impl Leave {
+impl Permit {
     /// Says whether the request may be sent once only, to show whether it crashes endpoints still.
     pub(crate) fn is_trial(&self) -> bool {
         self.trial.is_some()
@@ -31,7 +31,7 @@
     }
 
     /// Where a send notes that the trial is made.
-    pub(super) fn mark(&self) -> Option<Rc<Cell<bool>>> {
+    pub(super) fn sent_flag(&self) -> Option<Rc<Cell<bool>>> {
         let trial = self.trial.as_ref();
         trial.map(|trial| trial.is_sent.clone())
     }
@@ -54,7 +54,7 @@
 
 impl Quarantine {
     /// Claims the trial of a request: of all daemons that do, the one whose record comes first in the log makes it.
-    pub(super) async fn claim(self: &Rc<Self>, content: Fingerprint) -> Result<Leave, Held> {
+    pub(super) async fn claim(self: &Rc<Self>, content: Fingerprint) -> Result<Permit, Held> {
         let count = self.claims.replace(self.claims.get() + 1);
         let (name, incarnation) = self.members.own_life();
         let note = TrialNote {
@@ -84,19 +84,19 @@
         if matches!(claimed, Some(Ok(()))) && self.table.borrow().has_trial(&note.claim) {
             log::info!(content:%; "a request that is held back is tried");
             self.instruments.count("quarantine", "tried");
-            return Ok(Leave { trial: Some(trial) });
+            return Ok(Permit { trial: Some(trial) });
         }
         match self.verdict(&content) {
-            Verdict::Allowed => Ok(Leave { trial: None }),
-            Verdict::Held { retry_after_ms } => Err(Held {
-                again_ms: retry_after_ms,
-            }),
+            Verdict::Allowed => Ok(Permit { trial: None }),
+            Verdict::Held { retry_after_ms } => Err(Held { retry_after_ms }),
             Verdict::TrialDue if self.members.is_first_for(&content.to_string()) => {
                 Ok(self.try_without_the_store(trial))
             }
             Verdict::TrialDue => {
                 log::info!(content:%, claimed:?; "the trial of a request cannot be claimed");
-                Err(Held { again_ms: CLAIM_MS })
+                Err(Held {
+                    retry_after_ms: CLAIM_MS,
+                })
             }
         }
     }
@@ -105,7 +105,7 @@
     ///
     /// Guards against an outage of the store that begins as a proper request is held back: it was refused for as long as
     /// the outage lasted. One daemon for each request tries, as far as the daemons agree on who lives.
-    fn try_without_the_store(&self, trial: Trial) -> Leave {
+    fn try_without_the_store(&self, trial: Trial) -> Permit {
         let note = &trial.note;
         log::info!(content:% = note.content; "a request that is held back is tried without the store");
         self.instruments.count("quarantine", "tried");
@@ -117,7 +117,7 @@
             self.unix_ms(),
         );
         self.note_change();
-        Leave { trial: Some(trial) }
+        Permit { trial: Some(trial) }
     }
 
     /// The endpoints that a trial must not go to: it would be lost with one that another request is crashing.
--- a/crates/borageshore_gateway/src/rewards.rs
+++ b/crates/borageshore_gateway/src/rewards.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     endpoints::Endpoints,
-    quarantine::{Leave, Quarantine},
+    quarantine::{Permit, Quarantine},
     routes::Routes,
 };
 
@@ -102,7 +102,7 @@
                     if left_ms == 0 {
                         return Reward::Failed;
                     }
-                    log::info!(call = &*call.id, content:% = scoring.content(), again_ms = held.again_ms; "reward call held back");
+                    log::info!(call = &*call.id, content:% = scoring.content(), again_ms = held.retry_after_ms; "reward call held back");
                     quarantine.wait(scoring.content(), held, left_ms).await;
                     continue;
                 }
@@ -127,7 +127,7 @@
         &self,
         route: &Route,
         scoring: &mut Scoring,
-        leave: &Leave,
+        leave: &Permit,
     ) -> Option<Result<Arc<str>, u16>> {
         let parts = &self.parts;
         let service = route.service_for(parts.endpoints.random())?;
@@ -144,7 +144,9 @@
         let deadline = Deadline::after(parts.clock, route.timeout_ms.min(TIMEOUT_MS));
         let called = {
             let content = || scoring.content();
-            let mut sent = parts.quarantine.send(content, &target.instance, leave);
+            let mut sent = parts
+                .quarantine
+                .track_send(content, &target.instance, leave);
             let called = parts
                 .client
                 .call(&target, &scoring.outbound, deadline)
--- a/crates/borageshore_gateway/src/store_path.rs
+++ b/crates/borageshore_gateway/src/store_path.rs
@@ -238,7 +238,7 @@
 impl Handler for StoreRelay {
     async fn handle(&self, request: EdgeRequest, _remote: SocketAddr) -> EdgeResponse {
         if request.uri().path() == CRASHES_PATH {
-            return self.quarantine.on_told(request).await;
+            return self.quarantine.on_crash_reports(request).await;
         }
         if request.uri().path() == CLEARED_PATH {
             return self.quarantine.on_cleared(request).await;
