--- a/crates/borageshore_gateway/src/dispatch.rs
+++ b/crates/borageshore_gateway/src/dispatch.rs
@@ -17,7 +17,7 @@
 
 /// What an item needs.
 #[derive(Debug, Clone)]
-pub(crate) struct PlaceRequest {
+pub(crate) struct SlotRequest {
     pub(crate) service: Arc<str>,
     pub(crate) model: Option<Arc<str>>,
     pub(crate) min_version: u64,
@@ -30,15 +30,15 @@
 
 /// A slot at an engine, held until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Place {
+pub(crate) struct EngineSlot {
     pub(crate) target: EndpointTarget,
     pub(crate) in_flight: InFlight,
 }
 
 #[derive(Debug)]
 struct Waiter {
-    request: PlaceRequest,
-    give: oneshot::Sender<Place>,
+    request: SlotRequest,
+    sender: oneshot::Sender<EngineSlot>,
 }
 
 /// The engines of a service with the versions of one model.
@@ -69,30 +69,30 @@
     }
 
     /// Waits for a slot.
-    pub(crate) async fn place(&self, request: PlaceRequest) -> Place {
+    pub(crate) async fn wait_for_slot(&self, request: SlotRequest) -> EngineSlot {
         loop {
-            let (give, given) = oneshot::channel();
+            let (sender, receiver) = oneshot::channel();
             {
                 let mut waiting = self.waiting.borrow_mut();
                 let at = waiting.partition_point(|waiter| waiter.request.rank <= request.rank);
                 let request = request.clone();
-                waiting.insert(at, Waiter { request, give });
+                waiting.insert(at, Waiter { request, sender });
             }
             self.endpoints.changed.notify_waiters();
-            if let Ok(place) = given.await {
-                return place;
+            if let Ok(slot) = receiver.await {
+                return slot;
             }
         }
     }
 
     /// Takes a slot at a better engine for a running item, if one is free.
-    pub(crate) fn take_better(&self, request: &PlaceRequest, item: RunningItem) -> Option<Place> {
+    pub(crate) fn try_move(&self, request: &SlotRequest, item: RunningItem) -> Option<EngineSlot> {
         let engines = self
             .endpoints
             .engines(&request.service, request.model.as_ref());
         let chosen = choose_better_engine(&engines, placement(request), item)?;
         let (target, in_flight) = self.endpoints.start(&chosen.instance)?;
-        Some(Place { target, in_flight })
+        Some(EngineSlot { target, in_flight })
     }
 
     async fn run(self: Rc<Self>) {
@@ -104,55 +104,59 @@
                 within_ms(RECHECK_MS, changed).await;
             }
             self.endpoints.expire_lapsed();
-            self.give_places();
+            self.assign_slots();
         }
     }
 
     /// Goes through the line once; what finds no slot keeps its place.
-    fn give_places(&self) {
+    fn assign_slots(&self) {
         let mut waiting = std::mem::take(&mut *self.waiting.borrow_mut());
-        let mut known: Vec<ServiceEngines> = Vec::new();
-        waiting.retain(|waiter| !waiter.give.is_closed());
-        let mut left = Vec::new();
+        let mut looked_up: Vec<ServiceEngines> = Vec::new();
+        waiting.retain(|waiter| !waiter.sender.is_closed());
+        let mut unserved = Vec::new();
         for waiter in waiting {
             let request = &waiter.request;
-            let engines = self.engines_for(request, &mut known);
-            match self.take_place(request, engines) {
-                Some(place) => {
+            let engines = self.engines_for(request, &mut looked_up);
+            match self.try_take_slot(request, engines) {
+                Some(slot) => {
                     // Whoever stopped waiting drops the place, and the slot is free again.
-                    let _ = waiter.give.send(place);
+                    let _ = waiter.sender.send(slot);
                 }
-                None => left.push(waiter),
+                None => unserved.push(waiter),
             }
         }
         let mut waiting = self.waiting.borrow_mut();
-        left.append(&mut waiting);
-        *waiting = left;
+        unserved.append(&mut waiting);
+        *waiting = unserved;
     }
 
     /// The engines of a request's service, looked up once a round.
     fn engines_for<'k>(
         &self,
-        request: &PlaceRequest,
-        known: &'k mut Vec<ServiceEngines>,
+        request: &SlotRequest,
+        looked_up: &'k mut Vec<ServiceEngines>,
     ) -> &'k mut [EngineView] {
         let is_same = |other: &ServiceEngines| {
             other.service == request.service && other.model == request.model
         };
-        let at = known.iter().position(is_same).unwrap_or_else(|| {
-            known.push(ServiceEngines {
+        let at = looked_up.iter().position(is_same).unwrap_or_else(|| {
+            looked_up.push(ServiceEngines {
                 service: request.service.clone(),
                 model: request.model.clone(),
                 engines: self
                     .endpoints
                     .engines(&request.service, request.model.as_ref()),
             });
-            known.len() - 1
+            looked_up.len() - 1
         });
-        &mut known[at].engines
+        &mut looked_up[at].engines
     }
 
-    fn take_place(&self, request: &PlaceRequest, engines: &mut [EngineView]) -> Option<Place> {
+    fn try_take_slot(
+        &self,
+        request: &SlotRequest,
+        engines: &mut [EngineView],
+    ) -> Option<EngineSlot> {
         let placement = placement(request);
         // Hundreds of items wait at the start of a step: most find no engine, and are done with here.
         if !engines.iter().any(|engine| can_take(engine, placement)) {
@@ -170,11 +174,11 @@
             .find(|engine| engine.instance == chosen)?;
         engine.load += 1;
         placed.record(&request.group, &chosen);
-        Some(Place { target, in_flight })
+        Some(EngineSlot { target, in_flight })
     }
 }
 
-fn placement(request: &PlaceRequest) -> PlacementRequest<'_> {
+fn placement(request: &SlotRequest) -> PlacementRequest<'_> {
     PlacementRequest {
         min_version: request.min_version,
         max_version: request.max_version,
--- a/crates/borageshore_gateway/src/item/mod.rs
+++ b/crates/borageshore_gateway/src/item/mod.rs
@@ -17,7 +17,7 @@
 
 use self::stay::Stay;
 use crate::{
-    dispatch::{Dispatch, Place, PlaceRequest},
+    dispatch::{Dispatch, EngineSlot, SlotRequest},
     endpoints::Endpoints,
     ledger_view::LedgerView,
     mechanisms::{Mechanism, Mechanisms},
@@ -286,11 +286,11 @@
         }
     }
 
-    fn place_request(&self, route: &Route, text: &Text, avoid: Vec<Arc<str>>) -> PlaceRequest {
+    fn place_request(&self, route: &Route, text: &Text, avoid: Vec<Arc<str>>) -> SlotRequest {
         let made_under = text.versions().last().copied();
         let only = made_under.filter(|_| route.is_single_version);
         let service = route.service_for(self.context.endpoints.random()).cloned();
-        PlaceRequest {
+        SlotRequest {
             service: service.unwrap_or_default(),
             model: self.submission.model.clone(),
             min_version: only.unwrap_or(self.submission.min_version),
@@ -301,21 +301,23 @@
         }
     }
 
-    async fn place(&self, request: PlaceRequest) -> Place {
+    async fn place(&self, request: SlotRequest) -> EngineSlot {
         let dispatch = &self.context.dispatch;
         let is_on = self.context.mechanisms.has(Mechanism::Avoidance);
         if request.avoid.is_empty() || !is_on {
-            let request = PlaceRequest {
+            let request = SlotRequest {
                 avoid: Vec::new(),
                 ..request
             };
-            return dispatch.place(request).await;
+            return dispatch.wait_for_slot(request).await;
         }
-        if let Some(place) = within_ms(AVOID_MS, dispatch.place(request.clone())).await {
+        if let Some(place) = within_ms(AVOID_MS, dispatch.wait_for_slot(request.clone())).await {
             return place;
         }
         let avoid = Vec::new();
-        dispatch.place(PlaceRequest { avoid, ..request }).await
+        dispatch
+            .wait_for_slot(SlotRequest { avoid, ..request })
+            .await
     }
 
     /// A text under one version cannot go on once no engine has that version any more.
--- a/crates/borageshore_gateway/src/item/stay.rs
+++ b/crates/borageshore_gateway/src/item/stay.rs
@@ -8,7 +8,7 @@
 
 use super::ItemRun;
 use crate::{
-    dispatch::{Place, PlaceRequest},
+    dispatch::{EngineSlot, SlotRequest},
     mechanisms::Mechanism,
     quarantine::{Permit, SentRequest},
 };
@@ -34,7 +34,7 @@
     /// The text is complete.
     Complete,
     /// It goes on at a better engine, where it has a slot.
-    Move(Place),
+    Move(EngineSlot),
     /// It goes on elsewhere: the engine refused or was lost.
     GoOn { is_refused: bool },
     /// The engine failed at it.
@@ -47,10 +47,10 @@
     /// Sends the item to an engine and reads until it leaves there.
     pub(super) async fn stay(
         &self,
-        place: Place,
+        place: EngineSlot,
         leave: &Permit,
         route: &Route,
-        request: &PlaceRequest,
+        request: &SlotRequest,
         text: &mut Text,
     ) -> Stay {
         let organisation = self.submission.organisation.as_deref();
@@ -90,7 +90,7 @@
 
     fn lose<Content>(
         &self,
-        place: Place,
+        place: EngineSlot,
         error: &AttemptError,
         sent: &mut SentRequest<Content>,
     ) -> Stay
@@ -119,9 +119,9 @@
     /// Reads events until the text is complete or the engine is given up.
     async fn read<Content>(
         &self,
-        place: Place,
+        place: EngineSlot,
         mut generation: Generation,
-        request: &PlaceRequest,
+        request: &SlotRequest,
         text: &mut Text,
         sent: &mut SentRequest<Content>,
     ) -> Stay
@@ -184,8 +184,8 @@
         &self,
         instance: &Arc<str>,
         events: u64,
-        request: &PlaceRequest,
-    ) -> Option<Place> {
+        request: &SlotRequest,
+    ) -> Option<EngineSlot> {
         let is_on = self.context.mechanisms.has(Mechanism::MovesToBetterEngines);
         if !is_on || !events.is_multiple_of(LOOK_EVERY_EVENTS) {
             return None;
@@ -197,7 +197,7 @@
         if item.latency_percent < SLOW_PERCENT {
             return None;
         }
-        let better = self.context.dispatch.take_better(request, item)?;
+        let better = self.context.dispatch.try_move(request, item)?;
         log::info!(
             item = &*self.item.id, instance = &**instance, pace_percent = item.latency_percent, events,
             to = &*better.target.instance;
