--- a/crates/borageshore_gateway/src/access.rs
+++ b/crates/borageshore_gateway/src/access.rs
@@ -12,20 +12,20 @@
 use crate::{follow::Follow, routes::Routes};
 
 /// The store answers in 5 ms, and through a peer in twice that; a caller is not kept waiting for longer.
-const CONFIRM_MS: u64 = 250;
+const CONFIRM_TIMEOUT_MS: u64 = 250;
 /// After a confirmation that failed, callers are turned away at once for this long.
-const CONFIRM_AGAIN_MS: u64 = 1_000;
+const CONFIRM_RETRY_MS: u64 = 1_000;
 /// Callers whose key cannot be relied on come back after this time, most of them at another daemon.
-const AGAIN_MS: u64 = 300;
+const RETRY_AFTER_MS: u64 = 300;
 
 /// A caller that may ask.
 #[derive(Debug, Clone)]
-pub(crate) struct Pass {
-    asked: Credentials,
+pub(crate) struct AuthorizedCaller {
+    credentials: Credentials,
     organisation: Option<Arc<Organisation>>,
 }
 
-impl Pass {
+impl AuthorizedCaller {
     /// In whose name it asks.
     pub(crate) fn organisation(&self) -> Option<&Arc<str>> {
         self.organisation.as_ref().map(|owner| &owner.name)
@@ -43,10 +43,13 @@
 
 impl Denial {
     /// The answer for the caller.
-    pub(crate) fn answer(self) -> EdgeResponse {
+    pub(crate) fn response(self) -> EdgeResponse {
         match self {
             Denial::Unauthorized => refusal(&Fault::new(ResultCode::UnknownCaller, ""), None),
-            Denial::ViewTooOld => refusal(&Fault::new(ResultCode::KeysTooOld, ""), Some(AGAIN_MS)),
+            Denial::ViewTooOld => refusal(
+                &Fault::new(ResultCode::KeysTooOld, ""),
+                Some(RETRY_AFTER_MS),
+            ),
         }
     }
 }
@@ -57,7 +60,7 @@
     routes: Rc<Routes>,
     follow: Rc<Follow<Routes>>,
     /// A key is good while the view that has it was asked for within this time.
-    most_age_ms: Option<u64>,
+    max_age_ms: Option<u64>,
     /// One confirmation at a time serves all that wait for one.
     confirming: Mutex<()>,
     failed_at_ms: Cell<Option<u64>>,
@@ -68,13 +71,13 @@
     pub(crate) fn open(
         routes: Rc<Routes>,
         follow: Rc<Follow<Routes>>,
-        most_age_ms: Option<u64>,
+        max_age_ms: Option<u64>,
         instruments: Rc<Instruments>,
     ) -> Rc<Self> {
         Rc::new(Self {
             routes,
             follow,
-            most_age_ms,
+            max_age_ms,
             confirming: Mutex::new(()),
             failed_at_ms: Cell::new(None),
             instruments,
@@ -82,18 +85,18 @@
     }
 
     /// Decides about a caller; a view that is too old to tell is confirmed first, if the store answers at once.
-    pub(crate) async fn admit(&self, asked: Credentials) -> Result<Pass, Denial> {
-        let access = match self.decide(asked) {
+    pub(crate) async fn admit(&self, credentials: Credentials) -> Result<AuthorizedCaller, Denial> {
+        let access = match self.decide(credentials) {
             Access::Unconfirmed | Access::ViewTooOld => {
-                self.confirm(asked).await;
-                self.decide(asked)
+                self.confirm(credentials).await;
+                self.decide(credentials)
             }
             access => access,
         };
         let denial = match access {
             Access::Granted(organisation) => {
-                return Ok(Pass {
-                    asked,
+                return Ok(AuthorizedCaller {
+                    credentials,
                     organisation,
                 });
             }
@@ -101,29 +104,29 @@
             Access::Unconfirmed | Access::ViewTooOld => Denial::ViewTooOld,
         };
         let age_ms = self.view().age_ms;
-        let what = match denial {
+        let reason = match denial {
             Denial::Unauthorized => "unauthorized",
             Denial::ViewTooOld => "view_too_old",
         };
-        self.instruments.count("caller", what);
-        log::info!(denial = what, age_ms:?; "a caller is turned away");
+        self.instruments.count("caller", reason);
+        log::info!(denial = reason, age_ms:?; "a caller is turned away");
         Err(denial)
     }
 
     /// Says whether a caller that was admitted may still ask, before each attempt: its key may have been taken away,
     /// or the VM suspended, since then.
-    pub(crate) fn is_good(&self, pass: &Pass) -> bool {
-        match self.decide(pass.asked) {
+    pub(crate) fn is_still_authorized(&self, caller: &AuthorizedCaller) -> bool {
+        match self.decide(caller.credentials) {
             Access::Granted(organisation) => {
-                organisation.as_ref().map(|now| &now.name) == pass.organisation()
+                organisation.as_ref().map(|now| &now.name) == caller.organisation()
             }
             Access::Denied | Access::Unconfirmed | Access::ViewTooOld => false,
         }
     }
 
-    fn decide(&self, asked: Credentials) -> Access {
+    fn decide(&self, credentials: Credentials) -> Access {
         self.routes
-            .with_organisations(|organisations| authorize(organisations, asked, self.view()))
+            .with_organisations(|organisations| authorize(organisations, credentials, self.view()))
     }
 
     fn view(&self) -> KeyView {
@@ -133,22 +136,25 @@
             .filter(|_| self.routes.is_readable());
         KeyView {
             age_ms: asked_at_ms.map(|asked_at_ms| boot_time_ms().saturating_sub(asked_at_ms)),
-            max_age_ms: self.most_age_ms,
+            max_age_ms: self.max_age_ms,
         }
     }
 
-    async fn confirm(&self, asked: Credentials) {
+    async fn confirm(&self, credentials: Credentials) {
         let now_ms = boot_time_ms();
         let failed_at_ms = self.failed_at_ms.get();
-        if failed_at_ms.is_some_and(|failed_at_ms| now_ms < failed_at_ms + CONFIRM_AGAIN_MS) {
+        if failed_at_ms.is_some_and(|failed_at_ms| now_ms < failed_at_ms + CONFIRM_RETRY_MS) {
             return;
         }
         let confirming = async {
-            let _only = self.confirming.lock().await;
-            let is_open = matches!(self.decide(asked), Access::Unconfirmed | Access::ViewTooOld);
-            !is_open || self.follow.confirm_now().await
+            let _guard = self.confirming.lock().await;
+            let is_undecided = matches!(
+                self.decide(credentials),
+                Access::Unconfirmed | Access::ViewTooOld
+            );
+            !is_undecided || self.follow.confirm_now().await
         };
-        let is_confirmed = within_ms(CONFIRM_MS, confirming).await == Some(true);
+        let is_confirmed = within_ms(CONFIRM_TIMEOUT_MS, confirming).await == Some(true);
         self.failed_at_ms.set((!is_confirmed).then(boot_time_ms));
     }
 }
--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -21,7 +21,7 @@
 use futures_util::stream::{FuturesUnordered, StreamExt};
 
 use crate::{
-    access::{CallerAccess, Denial, Pass},
+    access::{AuthorizedCaller, CallerAccess, Denial},
     endpoints::Endpoints,
     quarantine::{Held, Permit, Quarantine},
     usage::{RequestUse, UsageCounter},
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 struct Asked {
     outbound: OutboundRequest,
-    pass: Pass,
+    pass: AuthorizedCaller,
     request_use: RequestUse,
     content: OnceCell<Fingerprint>,
 }
@@ -101,7 +101,7 @@
     pub(crate) async fn forward(
         &self,
         head: CallHead,
-        pass: Pass,
+        pass: AuthorizedCaller,
         route: &Route,
         body: Bytes,
     ) -> EdgeResponse {
@@ -138,8 +138,10 @@
         self.instruments.record_ms("call", took_ms);
         let response = match answered {
             Some(whole) => forwarded_response(whole),
-            None if outcome.attempts.tried().is_empty() && !self.access.is_good(&asked.pass) => {
-                Denial::ViewTooOld.answer()
+            None if outcome.attempts.tried().is_empty()
+                && !self.access.is_still_authorized(&asked.pass) =>
+            {
+                Denial::ViewTooOld.response()
             }
             None => give_up(&outcome, deadline),
         };
@@ -238,7 +240,7 @@
         outcome: &mut CallOutcome,
     ) -> Option<impl Future<Output = (usize, Result<EndpointResponse, AttemptError>)> + use<'c>>
     {
-        if !self.access.is_good(&asked.pass) {
+        if !self.access.is_still_authorized(&asked.pass) {
             log::info!(request = &*asked.outbound.id; "a call is not sent any more, its key is not good now");
             return None;
         }
--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -130,7 +130,7 @@
         };
         let pass = match self.access.admit(credentials).await {
             Ok(pass) => pass,
-            Err(denial) => return denial.answer(),
+            Err(denial) => return denial.response(),
         };
         let Some(id) = scoped(pass.organisation().map(|name| &**name), id) else {
             return refusal(&Fault::new(ResultCode::UnknownSubmission, &**id), None);
@@ -203,7 +203,7 @@
         // Before the body is read: what may not run need not be sent.
         let pass = match self.access.admit(credentials).await {
             Ok(pass) => pass,
-            Err(denial) => return denial.answer(),
+            Err(denial) => return denial.response(),
         };
         if self
             .routes
