--- a/crates/borageshore_gateway/src/access.rs
+++ b/crates/borageshore_gateway/src/access.rs
@@ -133,7 +133,7 @@
         let asked_at_ms = self
             .follow
             .asked_at_ms()
-            .filter(|_| self.routes.is_readable());
+            .filter(|_| self.routes.is_latest_readable());
         KeyView {
             age_ms: asked_at_ms.map(|asked_at_ms| boot_time_ms().saturating_sub(asked_at_ms)),
             max_age_ms: self.max_age_ms,
--- a/crates/borageshore_gateway/src/endpoints/in_flight.rs
+++ b/crates/borageshore_gateway/src/endpoints/in_flight.rs
@@ -30,8 +30,8 @@
     }
 
     /// Ends it with an answer, which speaks for the endpoint or against it.
-    pub(crate) fn end(self, is_sound: bool) {
-        if is_sound {
+    pub(crate) fn end(self, is_healthy: bool) {
+        if is_healthy {
             self.succeed();
         } else {
             self.fail();
--- a/crates/borageshore_gateway/src/endpoints/listing.rs
+++ b/crates/borageshore_gateway/src/endpoints/listing.rs
@@ -17,12 +17,12 @@
 
 impl Endpoints {
     fn on_entry(&self, id: &Arc<str>, entry: EndpointEntry) {
-        let known = self.register.borrow().get(id).cloned();
-        let registered = {
-            let mut register = self.register.borrow_mut();
-            register.on_entry(id, entry.started_at_ms, entry.clone())
+        let known = self.registry.borrow().get(id).cloned();
+        let effect = {
+            let mut registry = self.registry.borrow_mut();
+            registry.on_entry(id, entry.started_at_ms, entry.clone())
         };
-        match registered {
+        match effect {
             EntryEffect::Accepted => {}
             EntryEffect::Restarted => {
                 let before = known.as_ref().map_or("", |known| &*known.listing.address);
@@ -45,35 +45,36 @@
                 .borrow_mut()
                 .observe(instance, model, *version);
         }
-        let is_news = known.is_none_or(|known| known.listing != entry.listing);
-        if is_news {
+        let is_new_listing = known.is_none_or(|known| known.listing != entry.listing);
+        if is_new_listing {
             log::info!(instance = &**instance, service = &*entry.listing.service, address = &*entry.listing.address, state:? = entry.listing.state; "endpoint listed");
         }
-        self.is_changed.set(self.is_changed.get() || is_news);
+        self.has_changed_entries
+            .set(self.has_changed_entries.get() || is_new_listing);
     }
 
     /// Takes an id out of use whose entry is not its endpoint's: at once, without the grace of an entry
     /// that lapsed.
     fn on_foreign(&self, id: &Arc<str>, why: &str) {
         self.lapsed.borrow_mut().remove(id);
-        if self.register.borrow_mut().on_foreign(id) {
+        if self.registry.borrow_mut().on_foreign(id) {
             log::warn!(id = &**id, why; "an entry of another writer names no endpoint to use");
-            self.is_changed.set(true);
+            self.has_changed_entries.set(true);
         }
     }
 
     /// Takes the entries over into the table that choices are made from, once for all records that came
     /// together: once for each of 3,000 endpoints, a start took minutes of processor time.
-    fn relist(&self) {
-        if !self.is_changed.replace(false) {
+    fn rebuild_table(&self) {
+        if !self.has_changed_entries.replace(false) {
             return;
         }
-        let register = self.register.borrow();
-        let listings = register.values().map(|entry| entry.listing.clone());
+        let registry = self.registry.borrow();
+        let listings = registry.values().map(|entry| entry.listing.clone());
         let mut table = self.table.borrow_mut();
         table.on_listing(listings.collect());
         let now_ms = self.clock.now_ms();
-        for entry in register.values() {
+        for entry in registry.values() {
             let instance = &entry.listing.name;
             let is_new = table
                 .get(instance)
@@ -88,8 +89,8 @@
         }
         let is_known = |instance: &Arc<str>| table.get(instance).is_some();
         self.versions.borrow_mut().retain(is_known);
-        self.paces.borrow_mut().retain(is_known);
-        let targets = register
+        self.latencies.borrow_mut().retain(is_known);
+        let targets = registry
             .values()
             .map(|entry| (entry.listing.name.clone(), target(entry)));
         *self.targets.borrow_mut() = targets.collect();
@@ -98,7 +99,7 @@
 
     fn on_removed(&self, instance: &Arc<str>) {
         let now_ms = self.clock.now_ms();
-        let grace_until_ms = self.outage_ended_ms.get().map(|at| at + LAPSE_GRACE_MS);
+        let grace_until_ms = self.outage_ended_at_ms.get().map(|at| at + LAPSE_GRACE_MS);
         match grace_until_ms {
             Some(until_ms) if now_ms < until_ms => {
                 log::info!(instance = &**instance, until_ms; "entry lapsed around an outage, kept for now");
@@ -109,13 +110,13 @@
     }
 
     fn remove(&self, instance: &Arc<str>) {
-        let known = self.register.borrow().get(instance).cloned();
+        let known = self.registry.borrow().get(instance).cloned();
         if let Some(known) = &known {
             self.note_ended(&known.listing);
         }
-        if self.register.borrow_mut().remove(instance) {
+        if self.registry.borrow_mut().remove(instance) {
             log::info!(instance = &**instance; "endpoint gone");
-            self.is_changed.set(true);
+            self.has_changed_entries.set(true);
         }
     }
 
@@ -144,7 +145,7 @@
         for instance in gone {
             self.remove(&instance);
         }
-        self.relist();
+        self.rebuild_table();
     }
 }
 
@@ -161,21 +162,21 @@
             }
         }
         self.remove_unconfirmed(records);
-        self.relist();
+        self.rebuild_table();
     }
 
     /// The removal of an entry may be among the records that were missed.
     fn on_gap(&self) {
-        let known = self.register.borrow().ids().cloned().collect();
+        let known = self.registry.borrow().ids().cloned().collect();
         *self.unconfirmed.borrow_mut() = Some(known);
     }
 
     fn on_fresh(&self) {
         let now_ms = self.clock.now_ms();
-        if now_ms > self.read_at_ms.get() + OUTAGE_GAP_MS {
-            self.outage_ended_ms.set(Some(now_ms));
+        if now_ms > self.last_read_at_ms.get() + OUTAGE_GAP_MS {
+            self.outage_ended_at_ms.set(Some(now_ms));
         }
-        self.read_at_ms.set(now_ms);
+        self.last_read_at_ms.set(now_ms);
         self.expire_lapsed();
     }
 }
--- a/crates/borageshore_gateway/src/endpoints/mod.rs
+++ b/crates/borageshore_gateway/src/endpoints/mod.rs
@@ -28,7 +28,7 @@
 
 /// An order that is not reported done by then is taken for lost. A load takes about a second, four
 /// at once some more.
-const LOADING_AT_MOST_MS: u64 = 3_000;
+const LOAD_TIMEOUT_MS: u64 = 3_000;
 /// What an engine was told to load.
 #[derive(Debug, Clone)]
 struct Loading {
@@ -45,7 +45,7 @@
     mechanisms: Rc<Mechanisms>,
     routes: Rc<Routes>,
     client: EndpointClient,
-    register: RefCell<EndpointRegistry<EndpointEntry>>,
+    registry: RefCell<EndpointRegistry<EndpointEntry>>,
     /// After a gap: endpoints that were known before and have not been listed since.
     unconfirmed: RefCell<Option<Vec<Arc<str>>>>,
     /// Entries that lapsed during or right after an outage, with when they count as gone.
@@ -55,11 +55,11 @@
     targets: RefCell<SortedMap<Arc<str>, EndpointTarget>>,
     versions: RefCell<EngineVersions>,
     loading: RefCell<SortedMap<Arc<str>, Loading>>,
-    paces: RefCell<EventLatencies>,
+    latencies: RefCell<EventLatencies>,
     /// Whether an entry changed since the table was brought up to date.
-    is_changed: Cell<bool>,
-    read_at_ms: Cell<u64>,
-    outage_ended_ms: Cell<Option<u64>>,
+    has_changed_entries: Cell<bool>,
+    last_read_at_ms: Cell<u64>,
+    outage_ended_at_ms: Cell<Option<u64>>,
     random: RefCell<Pcg64Mcg>,
     /// The instances that ended without having said that they leave, since they were last taken.
     ended: RefCell<Vec<Arc<str>>>,
@@ -84,17 +84,17 @@
             mechanisms,
             routes,
             client,
-            register: RefCell::default(),
+            registry: RefCell::default(),
             unconfirmed: RefCell::default(),
             lapsed: RefCell::default(),
             table: RefCell::default(),
             targets: RefCell::default(),
             versions: RefCell::default(),
             loading: RefCell::default(),
-            paces: RefCell::default(),
-            is_changed: Cell::new(false),
-            read_at_ms: Cell::new(0),
-            outage_ended_ms: Cell::new(None),
+            latencies: RefCell::default(),
+            has_changed_entries: Cell::new(false),
+            last_read_at_ms: Cell::new(0),
+            outage_ended_at_ms: Cell::new(None),
             random: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
             ended: RefCell::default(),
             has_ended: Notify::new(),
@@ -116,7 +116,7 @@
 
     /// Says whether any endpoint is known.
     pub(crate) fn is_known(&self) -> bool {
-        !self.register.borrow().is_empty()
+        !self.registry.borrow().is_empty()
     }
 
     /// A random number, for the choice among equals.
@@ -165,8 +165,8 @@
         let now_ms = self.clock.now_ms();
         let table = self.table.borrow();
         let versions = self.versions.borrow();
-        let paces = self.paces.borrow();
-        let median_us = paces.median_us(now_ms);
+        let latencies = self.latencies.borrow();
+        let median_us = latencies.median_us(now_ms);
         table
             .usable(service, now_ms)
             .map(|endpoint| {
@@ -177,7 +177,7 @@
                     load: endpoint.load(now_ms),
                     version: model.map_or(0, |model| versions.get(instance, model)),
                     is_loading: self.is_loading(instance),
-                    latency_percent: paces.percent_of_median(instance, median_us, now_ms),
+                    latency_percent: latencies.percent_of_median(instance, median_us, now_ms),
                     is_same_zone: endpoint.listing.zone == self.zone,
                     has_group: false,
                 }
@@ -187,8 +187,8 @@
 
     /// The instances that serve a model and take new work, by id, with where they listen.
     pub(crate) fn engine_targets(&self) -> Vec<EndpointTarget> {
-        let register = self.register.borrow();
-        let live = register.values().filter(|entry| {
+        let registry = self.registry.borrow();
+        let live = registry.values().filter(|entry| {
             entry.listing.state == EndpointState::Live
                 && !entry.models.is_empty()
                 && self.routes.names_service(&entry.listing.service)
@@ -198,9 +198,9 @@
 
     /// The models that engines serve, by name.
     pub(crate) fn models(&self) -> Vec<Arc<str>> {
-        let register = self.register.borrow();
+        let registry = self.registry.borrow();
         let named = |entry: &&EndpointEntry| self.routes.names_service(&entry.listing.service);
-        let models = register.values().filter(named);
+        let models = registry.values().filter(named);
         let models = models.flat_map(|entry| &entry.models);
         let mut models: Vec<Arc<str>> = models.map(|(model, _)| model.clone()).collect();
         models.sort_unstable();
@@ -210,19 +210,19 @@
 
     /// The sum of the slots of a service's endpoints.
     pub(crate) fn slots_of(&self, service: &str) -> u64 {
-        let register = self.register.borrow();
-        let of_service = register.values().filter(|entry| {
+        let registry = self.registry.borrow();
+        let of_service = registry.values().filter(|entry| {
             &*entry.listing.service == service && entry.listing.state == EndpointState::Live
         });
         of_service.map(|entry| entry.slots).sum()
     }
 
     /// Runs a function on what is known of versions.
-    pub(crate) fn with_versions<Use, Made>(&self, make: Use) -> Made
+    pub(crate) fn with_versions<Read, Output>(&self, read: Read) -> Output
     where
-        Use: FnOnce(&EngineVersions) -> Made,
+        Read: FnOnce(&EngineVersions) -> Output,
     {
-        make(&self.versions.borrow())
+        read(&self.versions.borrow())
     }
 
     /// Takes over the version of a model at an engine.
@@ -233,7 +233,7 @@
 
     /// Notes that an engine is told to load a version.
     pub(crate) fn on_load_ordered(&self, instance: &Arc<str>, target: ModelVersion) {
-        let until_ms = self.clock.now_ms() + LOADING_AT_MOST_MS;
+        let until_ms = self.clock.now_ms() + LOAD_TIMEOUT_MS;
         let loading = Loading { target, until_ms };
         self.loading.borrow_mut().insert(instance.clone(), loading);
     }
@@ -263,15 +263,15 @@
     pub(crate) fn on_event_gap(&self, instance: &Arc<str>, gap_us: u64) {
         if self.mechanisms.has(Mechanism::Pace) {
             let now_ms = self.clock.now_ms();
-            self.paces.borrow_mut().record(instance, gap_us, now_ms);
+            self.latencies.borrow_mut().record(instance, gap_us, now_ms);
         }
     }
 
     /// The pace of an engine, in percent of the median of all engines.
-    pub(crate) fn pace_of(&self, instance: &Arc<str>) -> u64 {
+    pub(crate) fn latency_percent_of(&self, instance: &Arc<str>) -> u64 {
         let now_ms = self.clock.now_ms();
-        let paces = self.paces.borrow();
-        paces.percent_of_median(instance, paces.median_us(now_ms), now_ms)
+        let latencies = self.latencies.borrow();
+        latencies.percent_of_median(instance, latencies.median_us(now_ms), now_ms)
     }
 }
 
--- a/crates/borageshore_gateway/src/item/stay.rs
+++ b/crates/borageshore_gateway/src/item/stay.rs
@@ -191,7 +191,7 @@
             return None;
         }
         let item = RunningItem {
-            latency_percent: self.context.endpoints.pace_of(instance),
+            latency_percent: self.context.endpoints.latency_percent_of(instance),
             events,
         };
         if item.latency_percent < SLOW_PERCENT {
--- a/crates/borageshore_gateway/src/orderer.rs
+++ b/crates/borageshore_gateway/src/orderer.rs
@@ -135,7 +135,7 @@
 
     /// All models that engines serve; one whose trainer has named no version yet wants none.
     fn models(&self) -> Vec<ModelTarget> {
-        let named = self.parts.routes.named();
+        let named = self.parts.routes.named_versions();
         let target = |model: Arc<str>| {
             let version = named.iter().find(|named| named.model == model);
             ModelTarget {
--- a/crates/borageshore_gateway/src/routes.rs
+++ b/crates/borageshore_gateway/src/routes.rs
@@ -15,7 +15,7 @@
 use crate::follow::Fold;
 
 /// The last rank that engines know.
-const LAST_PRIORITY: u64 = 9;
+const MAX_PRIORITY: u64 = 9;
 
 /// What operator and trainers ask for.
 #[derive(Debug, Default)]
@@ -24,7 +24,7 @@
     is_known: Cell<bool>,
     /// Whether the newest routes could not be read: what it changed of keys is not known.
     is_unreadable: Cell<bool>,
-    named: RefCell<Vec<ModelVersion>>,
+    named_versions: RefCell<Vec<ModelVersion>>,
     /// Told when a version is named.
     pub(crate) version_named: Notify,
 }
@@ -36,16 +36,16 @@
     }
 
     /// Says whether the newest routes could be read.
-    pub(crate) fn is_readable(&self) -> bool {
+    pub(crate) fn is_latest_readable(&self) -> bool {
         self.is_known() && !self.is_unreadable.get()
     }
 
     /// Runs a function on the organisations in force.
-    pub(crate) fn with_organisations<Use, Made>(&self, make: Use) -> Made
+    pub(crate) fn with_organisations<Read, Output>(&self, read: Read) -> Output
     where
-        Use: FnOnce(&Organisations) -> Made,
+        Read: FnOnce(&Organisations) -> Output,
     {
-        make(self.table.borrow().organisations())
+        read(self.table.borrow().organisations())
     }
 
     /// Says whether submissions for a host need no key.
@@ -58,7 +58,7 @@
         let table = self.table.borrow();
         let organisation = organisation.and_then(|name| table.organisations().named(name));
         let own = organisation.and_then(|organisation| organisation.priority);
-        own.unwrap_or(route.priority).min(LAST_PRIORITY)
+        own.unwrap_or(route.priority).min(MAX_PRIORITY)
     }
 
     /// The route of a request.
@@ -72,8 +72,8 @@
     }
 
     /// The newest named version of each model.
-    pub(crate) fn named(&self) -> Vec<ModelVersion> {
-        self.named.borrow().clone()
+    pub(crate) fn named_versions(&self) -> Vec<ModelVersion> {
+        self.named_versions.borrow().clone()
     }
 
     /// Takes over routes; they never go back to an older version within a process.
@@ -88,9 +88,9 @@
         *self.table.borrow_mut() = Rc::new(table);
     }
 
-    fn on_named(&self, named: ModelVersion) {
+    fn on_version_named(&self, named: ModelVersion) {
         log::info!(model = &*named.model, version = named.version; "version named");
-        let mut all = self.named.borrow_mut();
+        let mut all = self.named_versions.borrow_mut();
         match all.binary_search_by(|known| known.model.cmp(&named.model)) {
             Ok(at) => all[at].version = all[at].version.max(named.version),
             Err(at) => all.insert(at, named),
@@ -104,7 +104,7 @@
         for record in records {
             match decode_operator_record(record) {
                 Some(Ok(OperatorRecord::Routes(table))) => self.set(table),
-                Some(Ok(OperatorRecord::Version(named))) => self.on_named(named),
+                Some(Ok(OperatorRecord::Version(named))) => self.on_version_named(named),
                 Some(Err(error)) => {
                     self.is_unreadable.set(true);
                     log::error!(key = &*record.key, error:% = error; "a record of the operator cannot be read");
