--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -28,7 +28,7 @@
 };
 
 /// A final answer goes out this long before the caller stops waiting for it, so that it arrives.
-const ANSWER_MARGIN_MS: u64 = 25;
+const RESPONSE_MARGIN_MS: u64 = 25;
 /// A second endpoint is asked as well when the first takes this share of the route's objective: most
 /// calls take a sixth of it, the slowest in a hundred four fifths.
 const HEDGE_PERCENT: u64 = 55;
@@ -54,14 +54,14 @@
 
 /// A call on its way, with the name of its content once that was asked for.
 #[derive(Debug)]
-struct Asked {
+struct PendingCall {
     outbound: OutboundRequest,
-    pass: AuthorizedCaller,
+    caller: AuthorizedCaller,
     request_use: RequestUse,
     content: OnceCell<Fingerprint>,
 }
 
-impl Asked {
+impl PendingCall {
     fn content(&self) -> Fingerprint {
         *self.content.get_or_init(|| self.outbound.fingerprint())
     }
@@ -72,7 +72,7 @@
 struct CallOutcome {
     attempts: RequestAttempts,
     /// An endpoint's own failure, to be passed on if nothing better comes.
-    failure: Option<EndpointResponse>,
+    error_response: Option<EndpointResponse>,
 }
 
 impl Calls {
@@ -101,13 +101,13 @@
     pub(crate) async fn forward(
         &self,
         head: CallHead,
-        pass: AuthorizedCaller,
+        caller: AuthorizedCaller,
         route: &Route,
         body: Bytes,
     ) -> EdgeResponse {
         let started_ms = self.clock.now_ms();
         let wait_ms = head.deadline_ms.min(route.timeout_ms);
-        let deadline = Deadline::after(self.clock, wait_ms.saturating_sub(ANSWER_MARGIN_MS));
+        let deadline = Deadline::after(self.clock, wait_ms.saturating_sub(RESPONSE_MARGIN_MS));
         let outbound = OutboundRequest {
             id: head.id,
             host: head.host,
@@ -115,40 +115,40 @@
             target: head.target,
             headers: head.headers,
             body,
-            organisation: pass.organisation().cloned(),
+            organisation: caller.organisation().cloned(),
         };
-        let asked = Asked {
+        let call = PendingCall {
             outbound,
-            request_use: RequestUse::begin(self.usage.as_ref(), pass.organisation()),
-            pass,
+            request_use: RequestUse::begin(self.usage.as_ref(), caller.organisation()),
+            caller,
             content: OnceCell::new(),
         };
-        let leave = match self.quarantine.admit(|| asked.content()).await {
-            Ok(leave) => leave,
-            Err(held) => return self.refuse_held(&asked, route, held),
+        let permit = match self.quarantine.admit(|| call.content()).await {
+            Ok(permit) => permit,
+            Err(held) => return self.refuse_held(&call, route, held),
         };
         let Some(service) = route.service_for(self.endpoints.random()) else {
             let fault = Fault::new(ResultCode::NoEndpoint, "the route names no service");
             return refusal(&fault, Some(RETRY_AFTER_MS));
         };
         let mut outcome = CallOutcome::default();
-        let attempts = self.attempts(route, service, &asked, &leave, deadline, &mut outcome);
-        let answered = attempts.await.or(outcome.failure.take());
+        let attempts = self.run_attempts(route, service, &call, &permit, deadline, &mut outcome);
+        let endpoint_response = attempts.await.or(outcome.error_response.take());
         let took_ms = self.clock.now_ms() - started_ms;
         self.instruments.record_ms("call", took_ms);
-        let response = match answered {
-            Some(whole) => forwarded_response(whole),
+        let response = match endpoint_response {
+            Some(endpoint_response) => forwarded_response(endpoint_response),
             None if outcome.attempts.tried().is_empty()
-                && !self.access.is_still_authorized(&asked.pass) =>
+                && !self.access.is_still_authorized(&call.caller) =>
             {
                 Denial::ViewTooOld.response()
             }
-            None => give_up(&outcome, deadline),
+            None => failure_response(&outcome, deadline),
         };
         let status = response.status().as_u16();
         self.instruments.count("call", outcome_of(status));
         log::info!(
-            request = &*asked.outbound.id, route = &*route.name, status, took_ms, wait_ms,
+            request = &*call.outbound.id, route = &*route.name, status, took_ms, wait_ms,
             tried:? = outcome.attempts.tried(), outcome:? = outcome.attempts.outcome();
             "call answered"
         );
@@ -156,13 +156,13 @@
     }
 
     /// Refuses a call that crashes endpoints, at once and with the time at which it may be tried again.
-    fn refuse_held(&self, asked: &Asked, route: &Route, held: Held) -> EdgeResponse {
-        let fault = Fault::new(ResultCode::HeldBack, asked.content().to_string());
+    fn refuse_held(&self, call: &PendingCall, route: &Route, held: Held) -> EdgeResponse {
+        let fault = Fault::new(ResultCode::HeldBack, call.content().to_string());
         let response = refusal(&fault, Some(held.retry_after_ms));
         self.instruments.count("quarantine", "refused");
         self.instruments.count("call", "not_run");
         log::info!(
-            request = &*asked.outbound.id, route = &*route.name, content:% = asked.content(),
+            request = &*call.outbound.id, route = &*route.name, content:% = call.content(),
             status = response.status().as_u16(), again_ms = held.retry_after_ms;
             "call held back"
         );
@@ -170,12 +170,12 @@
     }
 
     /// Asks one endpoint after the other, and a second one beside a slow one, as the route permits.
-    async fn attempts(
+    async fn run_attempts(
         &self,
         route: &Route,
         service: &Arc<str>,
-        asked: &Asked,
-        leave: &Permit,
+        call: &PendingCall,
+        permit: &Permit,
         deadline: Deadline,
         outcome: &mut CallOutcome,
     ) -> Option<EndpointResponse> {
@@ -185,66 +185,66 @@
         };
         let hedge_ms = route.objective_ms * HEDGE_PERCENT / 100;
         self.hedges.borrow_mut().on_request();
-        let is_trial = leave.is_trial();
+        let is_trial = permit.is_trial();
         let may_try = |outcome: &CallOutcome| {
             let may_repeat = || match is_trial {
-                true => !leave.is_sent(),
-                false => self.quarantine.may_repeat(|| asked.content()),
+                true => !permit.is_sent(),
+                false => self.quarantine.may_repeat(|| call.content()),
             };
             outcome.attempts.may_try(idempotent, route.max_attempts)
                 && (outcome.attempts.tried().is_empty() || may_repeat())
         };
-        let mut under_way = FuturesUnordered::new();
+        let mut running = FuturesUnordered::new();
         let mut may_hedge = idempotent == Idempotent::Yes && !is_trial;
         loop {
             if deadline.is_over() {
                 return None;
             }
-            if under_way.is_empty() && may_try(outcome) {
-                match self.start(service, asked, leave, deadline, outcome) {
-                    Some(attempt) => under_way.push(attempt),
+            if running.is_empty() && may_try(outcome) {
+                match self.start_attempt(service, call, permit, deadline, outcome) {
+                    Some(attempt) => running.push(attempt),
                     None => return None,
                 }
-            } else if under_way.is_empty() {
+            } else if running.is_empty() {
                 return None;
             }
             let wait_ms = match may_hedge {
                 true => hedge_ms.min(deadline.left_ms()),
                 false => deadline.left_ms(),
             };
-            let Some(ended) = within_ms(wait_ms, under_way.next()).await else {
+            let Some(finished) = within_ms(wait_ms, running.next()).await else {
                 if std::mem::take(&mut may_hedge)
                     && may_try(outcome)
                     && self.hedges.borrow_mut().try_retry()
                 {
-                    let attempt = self.start(service, asked, leave, deadline, outcome);
-                    under_way.extend(attempt);
+                    let attempt = self.start_attempt(service, call, permit, deadline, outcome);
+                    running.extend(attempt);
                 }
                 continue;
             };
-            let Some((number, ended)) = ended else {
+            let Some((number, result)) = finished else {
                 continue;
             };
-            if let Some(answer) = note(number, ended, &asked.outbound, outcome) {
-                return Some(answer);
+            if let Some(response) = record_attempt(number, result, &call.outbound, outcome) {
+                return Some(response);
             }
         }
     }
 
-    fn start<'c>(
+    fn start_attempt<'c>(
         &'c self,
         service: &Arc<str>,
-        asked: &'c Asked,
-        leave: &'c Permit,
+        call: &'c PendingCall,
+        permit: &'c Permit,
         deadline: Deadline,
         outcome: &mut CallOutcome,
     ) -> Option<impl Future<Output = (usize, Result<EndpointResponse, AttemptError>)> + use<'c>>
     {
-        if !self.access.is_still_authorized(&asked.pass) {
-            log::info!(request = &*asked.outbound.id; "a call is not sent any more, its key is not good now");
+        if !self.access.is_still_authorized(&call.caller) {
+            log::info!(request = &*call.outbound.id; "a call is not sent any more, its key is not good now");
             return None;
         }
-        let (target, in_flight) = match leave.is_trial() {
+        let (target, in_flight) = match permit.is_trial() {
             true => self
                 .endpoints
                 .choose(service, &self.quarantine.crashed_lately())?,
@@ -255,33 +255,35 @@
         };
         let number = outcome.attempts.hand_over(target.instance.clone());
         Some(async move {
-            let outbound = &asked.outbound;
-            let content = || asked.content();
-            let mut sent = self.quarantine.track_send(content, &target.instance, leave);
-            let attempt = asked.request_use.on_attempt();
-            let called = self.client.call(&target, outbound, deadline).await;
-            sent.on_outcome(&called);
-            if let Err(AttemptError::NotSent(_) | AttemptError::Refused { .. }) = &called {
-                asked.request_use.on_not_run(attempt);
+            let outbound = &call.outbound;
+            let content = || call.content();
+            let mut sent = self
+                .quarantine
+                .track_send(content, &target.instance, permit);
+            let attempt = call.request_use.on_attempt();
+            let result = self.client.call(&target, outbound, deadline).await;
+            sent.on_outcome(&result);
+            if let Err(AttemptError::NotSent(_) | AttemptError::Refused { .. }) = &result {
+                call.request_use.on_not_run(attempt);
             }
-            match &called {
-                Ok(answer) => {
-                    in_flight.on_load(answer.load);
-                    in_flight.end(!answer.status.is_server_error());
+            match &result {
+                Ok(response) => {
+                    in_flight.on_load(response.load);
+                    in_flight.end(!response.status.is_server_error());
                 }
                 Err(AttemptError::Refused { load, .. }) => in_flight.on_load(*load),
                 Err(error) => {
-                    log::info!(request = &*outbound.id, content:% = asked.content(), instance = &*target.instance, error:% = error; "attempt lost");
+                    log::info!(request = &*outbound.id, content:% = call.content(), instance = &*target.instance, error:% = error; "attempt lost");
                     in_flight.fail();
                 }
             }
-            (number, called)
+            (number, result)
         })
     }
 }
 
 /// The final answer where no endpoint gave one.
-fn give_up(outcome: &CallOutcome, deadline: Deadline) -> EdgeResponse {
+fn failure_response(outcome: &CallOutcome, deadline: Deadline) -> EdgeResponse {
     if outcome.attempts.outcome() == Outcome::NotRun {
         let fault = Fault::new(ResultCode::NoEndpoint, "");
         return refusal(&fault, Some(RETRY_AFTER_MS));
@@ -302,29 +304,29 @@
 }
 
 /// Takes an attempt's end over; returns the answer for the caller if there is one.
-fn note(
+fn record_attempt(
     number: usize,
-    ended: Result<EndpointResponse, AttemptError>,
+    result: Result<EndpointResponse, AttemptError>,
     outbound: &OutboundRequest,
     outcome: &mut CallOutcome,
 ) -> Option<EndpointResponse> {
-    let event = match &ended {
+    let event = match &result {
         Ok(_) => AttemptEvent::Answered,
         Err(AttemptError::Lost(_) | AttemptError::Broken(_)) => AttemptEvent::Lost,
         Err(AttemptError::NotSent(_) | AttemptError::Refused { .. }) => AttemptEvent::Refused,
     };
     outcome.attempts.on_event(number, event);
-    let answer = ended.ok()?;
-    if answer.status.is_server_error() {
+    let response = result.ok()?;
+    if response.status.is_server_error() {
         // Without a signature it is no answer that the endpoint made.
-        if answer.stamp.is_some() {
-            outcome.failure = Some(answer);
+        if response.stamp.is_some() {
+            outcome.error_response = Some(response);
         }
         return None;
     }
-    if answer.status.is_success() && answer.stamp.is_none() {
+    if response.status.is_success() && response.stamp.is_none() {
         log::warn!(request = &*outbound.id; "a success without a signature is dropped");
         return None;
     }
-    Some(answer)
+    Some(response)
 }
--- a/crates/borageshore_gateway/src/rewards.rs
+++ b/crates/borageshore_gateway/src/rewards.rs
@@ -52,7 +52,7 @@
     outbound: OutboundRequest,
     content: OnceCell<Fingerprint>,
     /// The endpoint that had it last and brought no score.
-    last: Option<Arc<str>>,
+    last_failed: Option<Arc<str>>,
 }
 
 impl Scoring {
@@ -66,7 +66,7 @@
 pub(crate) struct Rewards {
     parts: RewardParts,
     in_flight: RefCell<SortedMap<Arc<str>, u64>>,
-    freed: Notify,
+    slot_freed: Notify,
 }
 
 impl Rewards {
@@ -74,7 +74,7 @@
         Rc::new(Self {
             parts,
             in_flight: RefCell::default(),
-            freed: Notify::new(),
+            slot_freed: Notify::new(),
         })
     }
 
@@ -84,7 +84,7 @@
         let mut scoring = Scoring {
             outbound: OutboundRequest::reward(call),
             content: OnceCell::new(),
-            last: None,
+            last_failed: None,
         };
         let mut failures = 0;
         loop {
@@ -95,8 +95,8 @@
                 continue;
             };
             let quarantine = &self.parts.quarantine;
-            let leave = match quarantine.admit(|| scoring.content()).await {
-                Ok(leave) => leave,
+            let permit = match quarantine.admit(|| scoring.content()).await {
+                Ok(permit) => permit,
                 Err(held) => {
                     let left_ms = give_up_ms.saturating_sub(self.parts.clock.now_ms());
                     if left_ms == 0 {
@@ -107,7 +107,7 @@
                     continue;
                 }
             };
-            match self.attempt(&route, &mut scoring, &leave).await {
+            match self.attempt(&route, &mut scoring, &permit).await {
                 Some(Ok(score)) => return Reward::Score(score),
                 Some(Err(status)) => {
                     failures += u64::from(status == 500);
@@ -127,56 +127,56 @@
         &self,
         route: &Route,
         scoring: &mut Scoring,
-        leave: &Permit,
+        permit: &Permit,
     ) -> Option<Result<Arc<str>, u16>> {
         let parts = &self.parts;
         let service = route.service_for(parts.endpoints.random())?;
         let _slot = self.slot(service).await;
         // The wait for a slot may have been long.
-        if !leave.is_trial() && !parts.quarantine.may_repeat(|| scoring.content()) {
+        if !permit.is_trial() && !parts.quarantine.may_repeat(|| scoring.content()) {
             return None;
         }
-        let mut avoided: Vec<Arc<str>> = scoring.last.take().into_iter().collect();
-        if leave.is_trial() {
+        let mut avoided: Vec<Arc<str>> = scoring.last_failed.take().into_iter().collect();
+        if permit.is_trial() {
             avoided.extend(parts.quarantine.crashed_lately());
         }
         let (target, in_flight) = parts.endpoints.choose(service, &avoided)?;
         let deadline = Deadline::after(parts.clock, route.timeout_ms.min(TIMEOUT_MS));
-        let called = {
+        let result = {
             let content = || scoring.content();
             let mut sent = parts
                 .quarantine
-                .track_send(content, &target.instance, leave);
-            let called = parts
+                .track_send(content, &target.instance, permit);
+            let result = parts
                 .client
                 .call(&target, &scoring.outbound, deadline)
                 .await;
-            sent.on_outcome(&called);
-            called
+            sent.on_outcome(&result);
+            result
         };
-        match called {
-            Ok(answer) => {
-                in_flight.on_load(answer.load);
-                let status = answer.status;
+        match result {
+            Ok(response) => {
+                in_flight.on_load(response.load);
+                let status = response.status;
                 in_flight.end(!status.is_server_error());
                 if !status.is_success() {
-                    scoring.last = Some(target.instance);
+                    scoring.last_failed = Some(target.instance);
                 }
-                Some(match answer.stamp {
+                Some(match response.stamp {
                     Some(score) if status.is_success() => Ok(score),
                     _ => Err(status.as_u16()),
                 })
             }
             Err(AttemptError::Refused { load, .. }) => {
                 in_flight.on_load(load);
-                scoring.last = Some(target.instance);
+                scoring.last_failed = Some(target.instance);
                 None
             }
             Err(error) => {
                 let content = scoring.content();
                 log::info!(call = &*scoring.outbound.id, content:%, instance = &*target.instance, error:% = error; "reward call lost");
                 in_flight.fail();
-                scoring.last = Some(target.instance);
+                scoring.last_failed = Some(target.instance);
                 None
             }
         }
@@ -184,11 +184,11 @@
 
     async fn slot(&self, service: &Arc<str>) -> Slot<'_> {
         loop {
-            let freed = self.freed.notified();
+            let slot_freed = self.slot_freed.notified();
             if let Some(slot) = self.try_slot(service) {
                 return slot;
             }
-            freed.await;
+            slot_freed.await;
         }
     }
 
@@ -218,6 +218,6 @@
         if let Some(count) = self.rewards.in_flight.borrow_mut().get_mut(&self.service) {
             *count -= 1;
         }
-        self.rewards.freed.notify_waiters();
+        self.rewards.slot_freed.notify_waiters();
     }
 }
--- a/crates/borageshore_gateway/src/watch.rs
+++ b/crates/borageshore_gateway/src/watch.rs
@@ -12,7 +12,7 @@
 /// A heartbeat is a name and two numbers.
 const DATAGRAM_BYTES: usize = 512;
 /// The pause after a failed read of the socket.
-const RECEIVE_AGAIN_MS: u64 = 10;
+const RECEIVE_RETRY_MS: u64 = 10;
 
 /// This daemon's part in watching.
 #[derive(Debug)]
@@ -31,12 +31,12 @@
             store,
             socket,
         });
-        monoio::spawn(watch.clone().look());
+        monoio::spawn(watch.clone().check_members());
         monoio::spawn(watch.receive());
         Ok(())
     }
 
-    async fn look(self: Rc<Self>) {
+    async fn check_members(self: Rc<Self>) {
         let mut counter = 0;
         loop {
             let look = self.members.look();
@@ -78,7 +78,7 @@
                 Ok((length, _)) => self.on_datagram(&buffer[..length]),
                 Err(error) => {
                     log::debug!(error:% = error; "heartbeats cannot be read");
-                    sleep_ms(RECEIVE_AGAIN_MS).await;
+                    sleep_ms(RECEIVE_RETRY_MS).await;
                 }
             }
         }
