--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -25,7 +25,7 @@
 use bytes::Bytes;
 use tokio::sync::Notify;
 
-use self::records::{Told, crash_key, decode_record, trial_key};
+use self::records::{QuarantineRecord, crash_key, decode_record, trial_key};
 pub(crate) use self::{
     records::KEY_PREFIX,
     sent::SentRequest,
@@ -35,10 +35,10 @@
 use crate::{endpoints::Endpoints, follow::Fold, members::Members, store_path::Store};
 
 /// A claim is in the store and read back in 60 ms; a caller is not kept waiting for longer.
-const CLAIM_MS: u64 = 400;
+const CLAIM_TIMEOUT_MS: u64 = 400;
 /// A daemon that cannot read what is held serves all the same after this time: in an outage of the store, calls that
 /// crash endpoints are few among those that would be refused.
-const KNOWN_WITHIN_MS: u64 = 1_000;
+const MAX_START_WAIT_MS: u64 = 1_000;
 
 /// A request may not be sent now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,32 +53,32 @@
     clock: Clock,
     /// The time of day when the clock began: holds outlast daemons, and a time of day that is set meanwhile
     /// neither ends nor lengthens one.
-    began_unix_ms: u64,
+    start_unix_ms: u64,
     store: Store,
     members: Rc<Members>,
     instruments: Rc<Instruments>,
     table: RefCell<Table>,
-    silent_losses: RefCell<AbandonedAttempts>,
+    abandoned_attempts: RefCell<AbandonedAttempts>,
     reports: RefCell<CrashReports>,
     /// Records for the store that no budget holds back; those without a value are removals.
-    notes: RefCell<Vec<(Arc<str>, Bytes)>>,
+    pending_records: RefCell<Vec<(Arc<str>, Bytes)>>,
     claims: Cell<u64>,
     is_known: Cell<bool>,
     /// Told when this daemon knows what is held.
-    has_read: Notify,
+    became_known: Notify,
     /// Whether records may have been missed; the next ones are the newest of each key.
     has_gap: Cell<bool>,
-    to_write: Notify,
+    write_requested: Notify,
     /// Whether the store has not taken the last records in time.
     is_store_late: Cell<bool>,
     /// What peers are yet to be told, and what they were told of what is suspected.
-    to_tell: RefCell<Vec<CrashReport>>,
-    told_peers: RefCell<Vec<CrashReport>>,
+    peer_reports: RefCell<Vec<CrashReport>>,
+    announced_to_peers: RefCell<Vec<CrashReport>>,
     /// The requests that are free, until the store has it or peers are to be told.
-    freed: RefCell<Vec<Fingerprint>>,
+    cleared: RefCell<Vec<Fingerprint>>,
     /// The requests of which peers are yet to be told that they are free.
-    to_clear: RefCell<Vec<Fingerprint>>,
-    peers_to_tell: Notify,
+    peer_clearances: RefCell<Vec<Fingerprint>>,
+    peer_queue_changed: Notify,
     changed: Notify,
 }
 
@@ -93,30 +93,30 @@
         let unix_ms = jiff::Timestamp::now().as_millisecond() as u64;
         let quarantine = Rc::new(Self {
             clock,
-            began_unix_ms: unix_ms.saturating_sub(clock.now_ms()),
+            start_unix_ms: unix_ms.saturating_sub(clock.now_ms()),
             store,
             members,
             instruments,
             table: RefCell::default(),
-            silent_losses: RefCell::default(),
+            abandoned_attempts: RefCell::default(),
             reports: RefCell::default(),
-            notes: RefCell::default(),
+            pending_records: RefCell::default(),
             claims: Cell::new(0),
             is_known: Cell::new(false),
-            has_read: Notify::new(),
+            became_known: Notify::new(),
             has_gap: Cell::new(false),
-            to_write: Notify::new(),
+            write_requested: Notify::new(),
             is_store_late: Cell::new(false),
-            to_tell: RefCell::default(),
-            told_peers: RefCell::default(),
-            freed: RefCell::default(),
-            to_clear: RefCell::default(),
-            peers_to_tell: Notify::new(),
+            peer_reports: RefCell::default(),
+            announced_to_peers: RefCell::default(),
+            cleared: RefCell::default(),
+            peer_clearances: RefCell::default(),
+            peer_queue_changed: Notify::new(),
             changed: Notify::new(),
         });
-        monoio::spawn(quarantine.clone().write());
-        monoio::spawn(quarantine.clone().tell_peers());
-        monoio::spawn(quarantine.clone().follow_ends(endpoints));
+        monoio::spawn(quarantine.clone().write_records());
+        monoio::spawn(quarantine.clone().notify_peers());
+        monoio::spawn(quarantine.clone().follow_endpoint_ends(endpoints));
         quarantine
     }
 
@@ -124,10 +124,10 @@
     ///
     /// The daemon is ready before: after a stop of all, others wait to see it ready, and later by 0.1 s in the
     /// middle and 0.3 s at most if it were not (84 VMs).
-    async fn known(&self) {
-        let left_ms = KNOWN_WITHIN_MS.saturating_sub(self.clock.now_ms());
+    async fn wait_until_known(&self) {
+        let left_ms = MAX_START_WAIT_MS.saturating_sub(self.clock.now_ms());
         if !self.is_known.get() && left_ms > 0 {
-            within_ms(left_ms, self.has_read.notified()).await;
+            within_ms(left_ms, self.became_known.notified()).await;
         }
     }
 
@@ -137,7 +137,7 @@
     where
         Content: FnOnce() -> Fingerprint,
     {
-        self.known().await;
+        self.wait_until_known().await;
         if self.table.borrow().is_empty() {
             return Ok(Permit { trial: None });
         }
@@ -150,10 +150,10 @@
     }
 
     /// Waits until a request that is held back may be tried, or is free, for so long at the most.
-    pub(crate) async fn wait(&self, content: Fingerprint, held: Held, most_ms: u64) {
-        let until_ms = self.clock.now_ms().saturating_add(most_ms);
+    pub(crate) async fn wait(&self, content: Fingerprint, held: Held, max_wait_ms: u64) {
+        let until_ms = self.clock.now_ms().saturating_add(max_wait_ms);
         // A trial that cannot be claimed is due all the while.
-        sleep_ms(held.retry_after_ms.min(CLAIM_MS).min(most_ms)).await;
+        sleep_ms(held.retry_after_ms.min(CLAIM_TIMEOUT_MS).min(max_wait_ms)).await;
         loop {
             let left_ms = until_ms.saturating_sub(self.clock.now_ms());
             match self.verdict(&content) {
@@ -174,13 +174,13 @@
     }
 
     /// Follows which endpoints end without a word: what they had not long before may have crashed them.
-    async fn follow_ends(self: Rc<Self>, endpoints: Rc<Endpoints>) {
+    async fn follow_endpoint_ends(self: Rc<Self>, endpoints: Rc<Endpoints>) {
         loop {
             endpoints.has_ended.notified().await;
             for instance in endpoints.take_ended() {
                 let now_ms = self.unix_ms();
                 let suspects = self
-                    .silent_losses
+                    .abandoned_attempts
                     .borrow_mut()
                     .on_endpoint_ended(&instance, now_ms);
                 for (content, is_trial) in suspects {
@@ -203,10 +203,10 @@
             log::info!(content:%, instance = &**instance, crashes; "a request is suspected of a crash");
         }
         if self.is_store_late.get() {
-            self.tell_on(std::slice::from_ref(&report));
+            self.queue_for_peers(std::slice::from_ref(&report));
         }
         self.reports.borrow_mut().push(report);
-        self.to_write.notify_one();
+        self.write_requested.notify_one();
     }
 
     /// Takes over that a request was answered with success.
@@ -222,44 +222,44 @@
         let Some(mut crashes) = self.table.borrow_mut().on_success(&content) else {
             return;
         };
-        let untold = self.reports.borrow_mut().drop_content(&content);
-        let is_told = |crash: &Crash| {
-            let to_peers = self.told_peers.borrow();
-            let mut to_peers = to_peers.iter().filter(|told| told.content == content);
-            !untold.contains(crash) || to_peers.any(|told| told.crash == *crash)
+        let unwritten = self.reports.borrow_mut().drop_content(&content);
+        let is_announced = |crash: &Crash| {
+            let announced = self.announced_to_peers.borrow();
+            let mut announced = announced.iter().filter(|report| report.content == content);
+            !unwritten.contains(crash) || announced.any(|report| report.crash == *crash)
         };
-        crashes.retain(is_told);
+        crashes.retain(is_announced);
         if was_held {
             log::info!(content:%; "a request that was held back is answered and free again");
             self.instruments.count("quarantine", "cleared");
         }
         if !crashes.is_empty() {
             match self.is_store_late.get() {
-                true => self.clear_at_peers(&[content]),
-                false => self.freed.borrow_mut().push(content),
+                true => self.queue_clearance_for_peers(&[content]),
+                false => self.cleared.borrow_mut().push(content),
             }
         }
         self.remove(content, &crashes);
-        self.note_change();
+        self.notify_change();
     }
 
     /// Forgets what ends by itself, and takes it out of the store if this daemon is the one to do so.
-    pub(crate) fn expire(&self, is_first: bool) {
+    pub(crate) fn expire(&self, is_responsible: bool) {
         if self.table.borrow().is_empty() {
             return;
         }
         let ended = self.table.borrow_mut().expire(self.unix_ms());
         for (content, crashes) in ended {
             log::info!(content:%, crashes = crashes.len(); "a request is no longer suspected");
-            if is_first {
+            if is_responsible {
                 self.remove(content, &crashes);
             }
         }
-        self.note_change();
+        self.notify_change();
     }
 
     fn unix_ms(&self) -> u64 {
-        self.began_unix_ms + self.clock.now_ms()
+        self.start_unix_ms + self.clock.now_ms()
     }
 
     fn verdict(&self, content: &Fingerprint) -> Verdict {
@@ -271,19 +271,19 @@
         // A clock that is ahead must not lengthen a hold.
         crash.at_ms = crash.at_ms.min(self.unix_ms());
         let instance = crash.instance.clone();
-        let news = self.table.borrow_mut().on_crash(content, crash);
-        if news == CrashEffect::Held {
+        let effect = self.table.borrow_mut().on_crash(content, crash);
+        if effect == CrashEffect::Held {
             let crashes = self.table.borrow().crashes(&content);
             log::warn!(content:%, instance = &*instance, crashes, verdict:? = self.verdict(&content); "a request is held back");
             self.instruments.count("quarantine", "held");
         }
-        if news != CrashEffect::Known {
-            self.note_change();
+        if effect != CrashEffect::Known {
+            self.notify_change();
         }
-        news
+        effect
     }
 
-    fn note_change(&self) {
+    fn notify_change(&self) {
         let table = self.table.borrow();
         self.instruments
             .set("requests_suspected", table.len() as u64);
@@ -301,26 +301,26 @@
             .map(|crash| crash_key(content, &crash.instance));
         let removals = keys.chain([trial_key(content)]);
         let removals = removals.map(|key| (key, Bytes::new()));
-        self.notes.borrow_mut().extend(removals);
-        self.to_write.notify_one();
+        self.pending_records.borrow_mut().extend(removals);
+        self.write_requested.notify_one();
     }
 
-    fn on_record(&self, told: Told) {
-        match told {
-            Told::Crash(report) => {
+    fn on_record(&self, record: QuarantineRecord) {
+        match record {
+            QuarantineRecord::Crash(report) => {
                 self.on_crash(report);
                 return;
             }
-            Told::Trial(note) => self.on_trial(note),
-            Told::Cleared(content) => {
-                self.forget(&content);
+            QuarantineRecord::Trial(trial) => self.on_trial(trial),
+            QuarantineRecord::Cleared(content) => {
+                self.clear(&content);
             }
         }
-        self.note_change();
+        self.notify_change();
     }
 
     /// Takes over that another daemon knows a request to be free; says whether it was suspected here.
-    fn forget(&self, content: &Fingerprint) -> bool {
+    fn clear(&self, content: &Fingerprint) -> bool {
         self.reports.borrow_mut().drop_content(content);
         self.table.borrow_mut().on_success(content).is_some()
     }
@@ -332,11 +332,11 @@
             // What was removed meanwhile is not among the newest records.
             let contents: Vec<Fingerprint> = records.iter().filter_map(content_of).collect();
             self.table.borrow_mut().keep_only(&contents);
-            self.note_change();
+            self.notify_change();
         }
         for record in records {
             match decode_record(record) {
-                Some(told) => self.on_record(told),
+                Some(decoded) => self.on_record(decoded),
                 None => log::error!(key = &*record.key; "a record of a crash cannot be read"),
             }
         }
@@ -344,7 +344,7 @@
 
     fn on_fresh(&self) {
         self.is_known.set(true);
-        self.has_read.notify_waiters();
+        self.became_known.notify_waiters();
     }
 
     fn on_gap(&self) {
@@ -354,8 +354,8 @@
 
 fn content_of(record: &KeyedRecord) -> Option<Fingerprint> {
     match decode_record(record)? {
-        Told::Crash(report) => Some(report.content),
-        Told::Trial(note) => Some(note.content),
-        Told::Cleared(content) => Some(content),
+        QuarantineRecord::Crash(report) => Some(report.content),
+        QuarantineRecord::Trial(trial) => Some(trial.content),
+        QuarantineRecord::Cleared(content) => Some(content),
     }
 }
--- a/crates/borageshore_gateway/src/quarantine/records.rs
+++ b/crates/borageshore_gateway/src/quarantine/records.rs
@@ -15,11 +15,11 @@
 
 /// A record that was read.
 #[derive(Debug)]
-pub(super) enum Told {
+pub(super) enum QuarantineRecord {
     /// An endpoint crashed under a request.
     Crash(CrashReport),
     /// A daemon claims a trial of a request, or has made it.
-    Trial(TrialNote),
+    Trial(TrialRecord),
     /// A request was answered, or its suspicion has ended.
     Cleared(Fingerprint),
 }
@@ -30,14 +30,16 @@
     /// A daemon wants to make it.
     Claimed,
     /// The request was sent, whatever came of it.
-    Made,
+    #[serde(rename = "Made")]
+    Finished,
     /// There was no endpoint to send it to.
-    Unmade,
+    #[serde(rename = "Unmade")]
+    Cancelled,
 }
 
 /// The last trial of a request, as it is claimed or once it is over.
 #[derive(Debug, Clone)]
-pub(super) struct TrialNote {
+pub(super) struct TrialRecord {
     pub(super) content: Fingerprint,
     pub(super) number: u64,
     pub(super) claim: Arc<str>,
@@ -70,13 +72,13 @@
 }
 
 /// Reads a record of the store; `None` if it is another writer's.
-pub(super) fn decode_record(record: &KeyedRecord) -> Option<Told> {
-    let (content, what) = record.key.strip_prefix(KEY_PREFIX)?.split_once('/')?;
+pub(super) fn decode_record(record: &KeyedRecord) -> Option<QuarantineRecord> {
+    let (content, suffix) = record.key.strip_prefix(KEY_PREFIX)?.split_once('/')?;
     let content: Fingerprint = content.parse().ok()?;
-    Some(match (&record.value, what) {
+    Some(match (&record.value, suffix) {
         (Some(value), TRIAL) => {
             let wire: WireTrial = serde_json::from_slice(value).ok()?;
-            Told::Trial(TrialNote {
+            QuarantineRecord::Trial(TrialRecord {
                 content,
                 number: wire.number,
                 claim: wire.claim,
@@ -86,9 +88,9 @@
         }
         (Some(value), _) => {
             let wire: WireCrash = serde_json::from_slice(value).ok()?;
-            Told::Crash(report(content, wire))
+            QuarantineRecord::Crash(report(content, wire))
         }
-        (None, _) => Told::Cleared(content),
+        (None, _) => QuarantineRecord::Cleared(content),
     })
 }
 
@@ -126,19 +128,19 @@
     encoded(&contents)
 }
 
-pub(super) fn crash_record(report: &CrashReport) -> (Arc<str>, Bytes) {
+pub(super) fn encode_crash(report: &CrashReport) -> (Arc<str>, Bytes) {
     let key = crash_key(report.content, &report.crash.instance);
     (key, encoded(&wire_crash(&report.crash)))
 }
 
-pub(super) fn trial_record(note: &TrialNote) -> (Arc<str>, Bytes) {
+pub(super) fn encode_trial(trial: &TrialRecord) -> (Arc<str>, Bytes) {
     let wire = WireTrial {
-        number: note.number,
-        claim: note.claim.clone(),
-        state: note.state,
-        at_ms: note.at_ms,
+        number: trial.number,
+        claim: trial.claim.clone(),
+        state: trial.state,
+        at_ms: trial.at_ms,
     };
-    (trial_key(note.content), encoded(&wire))
+    (trial_key(trial.content), encoded(&wire))
 }
 
 pub(super) fn crash_key(content: Fingerprint, instance: &str) -> Arc<str> {
--- a/crates/borageshore_gateway/src/quarantine/sent.rs
+++ b/crates/borageshore_gateway/src/quarantine/sent.rs
@@ -30,7 +30,7 @@
         self: &Rc<Self>,
         content: Content,
         instance: &Arc<str>,
-        leave: &Permit,
+        permit: &Permit,
     ) -> SentRequest<Content>
     where
         Content: Fn() -> Fingerprint,
@@ -39,7 +39,7 @@
             quarantine: self.clone(),
             content,
             instance: instance.clone(),
-            trial: leave.sent_flag(),
+            trial: permit.sent_flag(),
             has_outcome: false,
         }
     }
@@ -50,8 +50,8 @@
     Content: Fn() -> Fingerprint,
 {
     /// Takes over what came of a call.
-    pub(crate) fn on_outcome(&mut self, called: &Result<EndpointResponse, AttemptError>) {
-        match called {
+    pub(crate) fn on_outcome(&mut self, result: &Result<EndpointResponse, AttemptError>) {
+        match result {
             Ok(answer) if answer.status.is_success() && answer.stamp.is_some() => self.on_success(),
             Ok(_) => self.on_end(),
             Err(error) => self.on_error(error),
@@ -60,14 +60,14 @@
 
     /// Takes over that it was answered with success, or is well under way.
     pub(crate) fn on_success(&mut self) {
-        self.note_sent();
+        self.mark_sent();
         self.quarantine.on_success(&self.content);
     }
 
     /// Takes over an end that shows nothing, if no outcome was known before.
     pub(crate) fn on_end(&mut self) {
         if !self.has_outcome {
-            self.note_sent();
+            self.mark_sent();
         }
     }
 
@@ -77,30 +77,30 @@
             self.has_outcome = true;
             return;
         }
-        self.note_sent();
+        self.mark_sent();
         match error {
             AttemptError::Broken(_) => {
                 let content = (self.content)();
                 self.quarantine
                     .on_broken(content, &self.instance, self.trial.is_some());
             }
-            AttemptError::Lost(_) => self.give_up(),
+            AttemptError::Lost(_) => self.record_abandoned(),
             AttemptError::NotSent(_) | AttemptError::Refused { .. } => {}
         }
     }
 
-    fn note_sent(&mut self) {
+    fn mark_sent(&mut self) {
         self.has_outcome = true;
         if let Some(is_sent) = &self.trial {
             is_sent.set(true);
         }
     }
 
-    fn give_up(&self) {
+    fn record_abandoned(&self) {
         let content = (self.content)();
         let now_ms = self.quarantine.unix_ms();
-        let mut losses = self.quarantine.silent_losses.borrow_mut();
-        losses.push(content, &self.instance, self.trial.is_some(), now_ms);
+        let mut abandoned = self.quarantine.abandoned_attempts.borrow_mut();
+        abandoned.push(content, &self.instance, self.trial.is_some(), now_ms);
     }
 }
 
@@ -110,8 +110,8 @@
 {
     fn drop(&mut self) {
         if !self.has_outcome {
-            self.note_sent();
-            self.give_up();
+            self.mark_sent();
+            self.record_abandoned();
         }
     }
 }
--- a/crates/borageshore_gateway/src/quarantine/telling.rs
+++ b/crates/borageshore_gateway/src/quarantine/telling.rs
@@ -14,7 +14,7 @@
 
 use super::{
     Quarantine,
-    records::{crash_record, decode_cleared, decode_reports, encode_cleared, encode_reports},
+    records::{decode_cleared, decode_reports, encode_cleared, encode_crash, encode_reports},
 };
 use crate::{follow::ONLY_PARTITION, server::server_limits};
 
@@ -23,17 +23,17 @@
 /// Where peers tell which requests are free again.
 pub(crate) const CLEARED_PATH: &str = "/cleared";
 /// The pause before records are written again that the store did not take, and before a budget is looked at again.
-const AGAIN_MS: u64 = 200;
+const RETRY_MS: u64 = 200;
 /// The store takes a record in 5 ms, a slow one in 200; after this time peers are told as well.
-const STORE_TAKES_MS: u64 = 150;
+const STORE_SLOW_MS: u64 = 150;
 /// The peers that each daemon tells once of what it did not know: so 98 of 100 hear of it, 680 within five steps.
-const PEERS_TOLD: usize = 4;
+const PEER_FANOUT: usize = 4;
 /// The pause after peers were told, which holds 4 messages of 1 KB each within what control may cost a daemon.
-const TOLD_PAUSE_MS: u64 = 300;
+const PEER_MESSAGE_INTERVAL_MS: u64 = 300;
 /// Reports in one message to a peer.
-const MOST_TOLD: usize = 8;
+const MAX_REPORTS_PER_MESSAGE: usize = 8;
 /// Reports that wait to be told; with a zone more are lost, and the newest tell most of what still comes.
-const MOST_TO_TELL: usize = 64;
+const MAX_PENDING_PEER_REPORTS: usize = 64;
 /// A peer is a few ms away.
 const PEER_TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 200,
@@ -42,37 +42,37 @@
 
 impl Quarantine {
     /// Tells the other daemons what there is to tell, as far as the budget goes.
-    pub(super) async fn write(self: Rc<Self>) {
+    pub(super) async fn write_records(self: Rc<Self>) {
         loop {
-            self.to_write.notified().await;
-            while !self.reports.borrow().is_empty() || !self.notes.borrow().is_empty() {
-                if !self.write_some().await {
-                    sleep_ms(AGAIN_MS).await;
+            self.write_requested.notified().await;
+            while !self.reports.borrow().is_empty() || !self.pending_records.borrow().is_empty() {
+                if !self.write_batch().await {
+                    sleep_ms(RETRY_MS).await;
                 }
             }
         }
     }
 
     /// Says whether the store took what could be told now.
-    async fn write_some(&self) -> bool {
+    async fn write_batch(&self) -> bool {
         let daemons = self.members.count() as u64;
         let reports = {
             let table = self.table.borrow();
             let mut reports = self.reports.borrow_mut();
             reports.take(&table, daemons, self.clock.now_ms())
         };
-        let notes = std::mem::take(&mut *self.notes.borrow_mut());
-        let freed = self.freed.take();
-        let mut records: Vec<(Arc<str>, Bytes)> = reports.iter().map(crash_record).collect();
-        records.extend(notes.iter().cloned());
+        let pending_records = std::mem::take(&mut *self.pending_records.borrow_mut());
+        let cleared = self.cleared.take();
+        let mut records: Vec<(Arc<str>, Bytes)> = reports.iter().map(encode_crash).collect();
+        records.extend(pending_records.iter().cloned());
         if records.is_empty() {
             return false;
         }
-        let written = self.append(&records, &reports, &freed).await;
+        let written = self.append(&records, &reports, &cleared).await;
         if let Err(error) = &written {
             log::info!(records = records.len(), error:% = error; "crashes are not told by the store yet");
             self.reports.borrow_mut().put_back(reports);
-            self.notes.borrow_mut().extend(notes);
+            self.pending_records.borrow_mut().extend(pending_records);
         }
         written.is_ok()
     }
@@ -82,91 +82,91 @@
         &self,
         records: &[(Arc<str>, Bytes)],
         reports: &[CrashReport],
-        freed: &[Fingerprint],
+        cleared: &[Fingerprint],
     ) -> Result<(), StoreError> {
         let store = &self.store;
         let appending = pin!(store.append(Topic::Members, ONLY_PARTITION, records, None));
-        let appended = match select(appending, pin!(sleep_ms(STORE_TAKES_MS))).await {
+        let appended = match select(appending, pin!(sleep_ms(STORE_SLOW_MS))).await {
             Either::Left((appended, _)) => appended,
             Either::Right((_, appending)) => {
                 self.is_store_late.set(true);
-                self.tell_on(reports);
+                self.queue_for_peers(reports);
                 // What was seen since the append began would wait for its end, two seconds in an outage; meanwhile
                 // each peer loses endpoints of its own to the same request.
-                self.tell_on(self.reports.borrow().waiting());
-                self.clear_at_peers(freed);
+                self.queue_for_peers(self.reports.borrow().waiting());
+                self.queue_clearance_for_peers(cleared);
                 appending.await
             }
         };
         self.is_store_late.set(appended.is_err());
         if appended.is_err() {
-            self.tell_on(reports);
-            self.clear_at_peers(freed);
+            self.queue_for_peers(reports);
+            self.queue_clearance_for_peers(cleared);
         }
         appended.map(|_| ())
     }
 
     /// Notes what peers are to be told, each report once.
-    pub(super) fn tell_on(&self, reports: &[CrashReport]) {
-        let mut told = self.told_peers.borrow_mut();
-        told.retain(|report| self.table.borrow().is_suspected(&report.content));
-        let news: Vec<CrashReport> = reports
+    pub(super) fn queue_for_peers(&self, reports: &[CrashReport]) {
+        let mut announced = self.announced_to_peers.borrow_mut();
+        announced.retain(|report| self.table.borrow().is_suspected(&report.content));
+        let new_reports: Vec<CrashReport> = reports
             .iter()
-            .filter(|report| !told.contains(report))
+            .filter(|report| !announced.contains(report))
             .cloned()
             .collect();
-        told.extend(news.iter().cloned());
-        let mut to_tell = self.to_tell.borrow_mut();
-        to_tell.extend(news);
-        let surplus = to_tell.len().saturating_sub(MOST_TO_TELL);
-        to_tell.drain(..surplus);
-        self.peers_to_tell.notify_one();
+        announced.extend(new_reports.iter().cloned());
+        let mut peer_reports = self.peer_reports.borrow_mut();
+        peer_reports.extend(new_reports);
+        let surplus = peer_reports.len().saturating_sub(MAX_PENDING_PEER_REPORTS);
+        peer_reports.drain(..surplus);
+        self.peer_queue_changed.notify_one();
     }
 
     /// Tells some peers of crashes, who tell others in turn.
     ///
     /// Guards against the time in which the store is away: each daemon would lose three endpoints of its own to
     /// a request before it holds it back, 9 of 12 with three daemons in a test.
-    pub(super) async fn tell_peers(self: Rc<Self>) {
+    pub(super) async fn notify_peers(self: Rc<Self>) {
         let http = HttpClient::open();
         loop {
-            self.peers_to_tell.notified().await;
+            self.peer_queue_changed.notified().await;
             loop {
                 let reports: Vec<CrashReport> = {
-                    let mut to_tell = self.to_tell.borrow_mut();
-                    let count = to_tell.len().min(MOST_TOLD);
-                    to_tell.drain(..count).collect()
+                    let mut peer_reports = self.peer_reports.borrow_mut();
+                    let count = peer_reports.len().min(MAX_REPORTS_PER_MESSAGE);
+                    peer_reports.drain(..count).collect()
                 };
                 let cleared: Vec<Fingerprint> = {
-                    let mut to_clear = self.to_clear.borrow_mut();
-                    let count = to_clear.len().min(MOST_TOLD);
-                    to_clear.drain(..count).collect()
+                    let mut peer_clearances = self.peer_clearances.borrow_mut();
+                    let count = peer_clearances.len().min(MAX_REPORTS_PER_MESSAGE);
+                    peer_clearances.drain(..count).collect()
                 };
                 if reports.is_empty() && cleared.is_empty() {
                     break;
                 }
-                let peers = self.members.some_relays(PEERS_TOLD);
+                let peers = self.members.some_relays(PEER_FANOUT);
                 // What was cleared comes last, as a crash may have been told before it.
                 if !reports.is_empty() {
-                    tell(&http, &peers, CRASHES_PATH, &encode_reports(&reports)).await;
+                    post_to_peers(&http, &peers, CRASHES_PATH, &encode_reports(&reports)).await;
                 }
                 if !cleared.is_empty() {
-                    tell(&http, &peers, CLEARED_PATH, &encode_cleared(&cleared)).await;
+                    post_to_peers(&http, &peers, CLEARED_PATH, &encode_cleared(&cleared)).await;
                 }
-                sleep_ms(TOLD_PAUSE_MS).await;
+                sleep_ms(PEER_MESSAGE_INTERVAL_MS).await;
             }
         }
     }
 
     /// Lets peers know that requests are free, while the store does not tell them.
-    pub(super) fn clear_at_peers(&self, contents: &[Fingerprint]) {
+    pub(super) fn queue_clearance_for_peers(&self, contents: &[Fingerprint]) {
         let of_others = |report: &CrashReport| !contents.contains(&report.content);
-        self.to_tell.borrow_mut().retain(of_others);
-        let mut to_clear = self.to_clear.borrow_mut();
-        to_clear.retain(|known| !contents.contains(known));
-        let room = MOST_TO_TELL.saturating_sub(to_clear.len());
-        to_clear.extend(contents.iter().take(room));
-        self.peers_to_tell.notify_one();
+        self.peer_reports.borrow_mut().retain(of_others);
+        let mut peer_clearances = self.peer_clearances.borrow_mut();
+        peer_clearances.retain(|known| !contents.contains(known));
+        let room = MAX_PENDING_PEER_REPORTS.saturating_sub(peer_clearances.len());
+        peer_clearances.extend(contents.iter().take(room));
+        self.peer_queue_changed.notify_one();
     }
 
     /// Takes over which requests a peer knows to be free.
@@ -177,14 +177,14 @@
             log::warn!("a peer's message about free requests cannot be read");
             return status(StatusCode::BAD_REQUEST);
         };
-        let news: Vec<Fingerprint> = contents
+        let newly_cleared: Vec<Fingerprint> = contents
             .into_iter()
-            .filter(|content| self.forget(content))
+            .filter(|content| self.clear(content))
             .collect();
-        if !news.is_empty() {
-            log::info!(contents:? = news; "peers say that requests are free");
-            self.clear_at_peers(&news);
-            self.note_change();
+        if !newly_cleared.is_empty() {
+            log::info!(contents:? = newly_cleared; "peers say that requests are free");
+            self.queue_clearance_for_peers(&newly_cleared);
+            self.notify_change();
         }
         status(StatusCode::OK)
     }
@@ -197,24 +197,24 @@
             log::warn!("a peer's message about crashes cannot be read");
             return status(StatusCode::BAD_REQUEST);
         };
-        let is_news = |report: &CrashReport| self.on_crash(report.clone()) != CrashEffect::Known;
-        let news: Vec<CrashReport> = reports.into_iter().filter(is_news).collect();
-        if !news.is_empty() {
-            self.tell_on(&news);
+        let is_new = |report: &CrashReport| self.on_crash(report.clone()) != CrashEffect::Known;
+        let new_reports: Vec<CrashReport> = reports.into_iter().filter(is_new).collect();
+        if !new_reports.is_empty() {
+            self.queue_for_peers(&new_reports);
         }
         status(StatusCode::OK)
     }
 }
 
-async fn tell(http: &HttpClient, peers: &[Arc<str>], path: &str, body: &Bytes) {
-    let tell_one = async |peer: &Arc<str>| {
+async fn post_to_peers(http: &HttpClient, peers: &[Arc<str>], path: &str, body: &Bytes) {
+    let post_to_peer = async |peer: &Arc<str>| {
         let request = Request::post(path).body(Full::new(body.clone()));
         let request = request.expect("a path and a body");
         if let Err(error) = http.call(peer, request, PEER_TIMEOUTS).await {
             log::info!(peer = &**peer, path, error:% = error; "a peer is not told of crashes");
         }
     };
-    join_all(peers.iter().map(tell_one)).await;
+    join_all(peers.iter().map(post_to_peer)).await;
 }
 
 fn status(status: StatusCode) -> EdgeResponse {
--- a/crates/borageshore_gateway/src/quarantine/trials.rs
+++ b/crates/borageshore_gateway/src/quarantine/trials.rs
@@ -7,8 +7,8 @@
 use borageshore_routing::{Fingerprint, Verdict};
 
 use super::{
-    CLAIM_MS, Held, Quarantine,
-    records::{TrialNote, TrialState, trial_record},
+    CLAIM_TIMEOUT_MS, Held, Quarantine,
+    records::{TrialRecord, TrialState, encode_trial},
 };
 use crate::follow::ONLY_PARTITION;
 
@@ -41,14 +41,14 @@
 #[derive(Debug)]
 pub(super) struct Trial {
     quarantine: Rc<Quarantine>,
-    note: TrialNote,
+    trial_record: TrialRecord,
     is_sent: Rc<Cell<bool>>,
 }
 
 impl Drop for Trial {
     fn drop(&mut self) {
         self.quarantine
-            .on_trial_over(&self.note, self.is_sent.get());
+            .on_trial_ended(&self.trial_record, self.is_sent.get());
     }
 }
 
@@ -57,31 +57,31 @@
     pub(super) async fn claim(self: &Rc<Self>, content: Fingerprint) -> Result<Permit, Held> {
         let count = self.claims.replace(self.claims.get() + 1);
         let (name, incarnation) = self.members.own_life();
-        let note = TrialNote {
+        let trial_record = TrialRecord {
             content,
             number: self.table.borrow().trials(&content) + 1,
             claim: format!("{name}.{incarnation}.{count}").into(),
             state: TrialState::Claimed,
             at_ms: self.unix_ms(),
         };
-        let record = [trial_record(&note)];
+        let records = [encode_trial(&trial_record)];
         // Dropped without a send, it gives the claim back, also one that the store takes late.
         let trial = Trial {
             quarantine: self.clone(),
-            note: note.clone(),
+            trial_record: trial_record.clone(),
             is_sent: Rc::default(),
         };
         let claiming = async {
             self.store
-                .append(Topic::Members, ONLY_PARTITION, &record, None)
+                .append(Topic::Members, ONLY_PARTITION, &records, None)
                 .await?;
             while self.verdict(&content) == Verdict::TrialDue {
                 self.changed.notified().await;
             }
             Ok::<(), StoreError>(())
         };
-        let claimed = within_ms(CLAIM_MS, claiming).await;
-        if matches!(claimed, Some(Ok(()))) && self.table.borrow().has_trial(&note.claim) {
+        let claimed = within_ms(CLAIM_TIMEOUT_MS, claiming).await;
+        if matches!(claimed, Some(Ok(()))) && self.table.borrow().has_trial(&trial_record.claim) {
             log::info!(content:%; "a request that is held back is tried");
             self.instruments.count("quarantine", "tried");
             return Ok(Permit { trial: Some(trial) });
@@ -90,12 +90,12 @@
             Verdict::Allowed => Ok(Permit { trial: None }),
             Verdict::Held { retry_after_ms } => Err(Held { retry_after_ms }),
             Verdict::TrialDue if self.members.is_first_for(&content.to_string()) => {
-                Ok(self.try_without_the_store(trial))
+                Ok(self.start_trial_without_store(trial))
             }
             Verdict::TrialDue => {
                 log::info!(content:%, claimed:?; "the trial of a request cannot be claimed");
                 Err(Held {
-                    retry_after_ms: CLAIM_MS,
+                    retry_after_ms: CLAIM_TIMEOUT_MS,
                 })
             }
         }
@@ -105,18 +105,18 @@
     ///
     /// Guards against an outage of the store that begins as a proper request is held back: it was refused for as long as
     /// the outage lasted. One daemon for each request tries, as far as the daemons agree on who lives.
-    fn try_without_the_store(&self, trial: Trial) -> Permit {
-        let note = &trial.note;
-        log::info!(content:% = note.content; "a request that is held back is tried without the store");
+    fn start_trial_without_store(&self, trial: Trial) -> Permit {
+        let trial_record = &trial.trial_record;
+        log::info!(content:% = trial_record.content; "a request that is held back is tried without the store");
         self.instruments.count("quarantine", "tried");
         self.is_store_late.set(true);
         self.table.borrow_mut().on_claim(
-            note.content,
-            note.claim.clone(),
-            note.number,
+            trial_record.content,
+            trial_record.claim.clone(),
+            trial_record.number,
             self.unix_ms(),
         );
-        self.note_change();
+        self.notify_change();
         Permit { trial: Some(trial) }
     }
 
@@ -126,34 +126,34 @@
     }
 
     /// Takes over that a trial of this daemon is over.
-    pub(super) fn on_trial_over(&self, note: &TrialNote, is_made: bool) {
-        let note = TrialNote {
-            state: match is_made {
-                true => TrialState::Made,
-                false => TrialState::Unmade,
+    pub(super) fn on_trial_ended(&self, trial: &TrialRecord, is_sent: bool) {
+        let trial = TrialRecord {
+            state: match is_sent {
+                true => TrialState::Finished,
+                false => TrialState::Cancelled,
             },
             at_ms: self.unix_ms(),
-            ..note.clone()
+            ..trial.clone()
         };
-        if self.table.borrow().is_suspected(&note.content) {
-            self.notes.borrow_mut().push(trial_record(&note));
-            self.to_write.notify_one();
+        if self.table.borrow().is_suspected(&trial.content) {
+            self.pending_records.borrow_mut().push(encode_trial(&trial));
+            self.write_requested.notify_one();
         }
-        self.on_trial(note);
+        self.on_trial(trial);
     }
 
-    pub(super) fn on_trial(&self, note: TrialNote) {
+    pub(super) fn on_trial(&self, trial: TrialRecord) {
         let now_ms = self.unix_ms();
         let mut table = self.table.borrow_mut();
-        let over_ms = note.at_ms.min(now_ms);
-        match note.state {
+        let end_ms = trial.at_ms.min(now_ms);
+        match trial.state {
             TrialState::Claimed => {
-                table.on_claim(note.content, note.claim, note.number, now_ms);
+                table.on_claim(trial.content, trial.claim, trial.number, now_ms);
             }
-            TrialState::Made => {
-                table.on_trial_finished(&note.content, &note.claim, note.number, over_ms);
+            TrialState::Finished => {
+                table.on_trial_finished(&trial.content, &trial.claim, trial.number, end_ms);
             }
-            TrialState::Unmade => table.on_trial_cancelled(&note.content, &note.claim, over_ms),
+            TrialState::Cancelled => table.on_trial_cancelled(&trial.content, &trial.claim, end_ms),
         }
     }
 }
