--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -5,8 +5,8 @@
 //! calm day costs nothing, and a daemon that starts knows what is held. The log's order decides which claim counts.
 
 mod records;
+mod reporting;
 mod sent;
-mod telling;
 mod trials;
 
 use std::{
@@ -28,8 +28,8 @@
 use self::records::{QuarantineRecord, crash_key, decode_record, trial_key};
 pub(crate) use self::{
     records::KEY_PREFIX,
+    reporting::{CLEARED_PATH, CRASHES_PATH},
     sent::SentRequest,
-    telling::{CLEARED_PATH, CRASHES_PATH},
     trials::Permit,
 };
 use crate::{endpoints::Endpoints, follow::Fold, members::Members, store_path::Store};
