--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -1,8 +1,8 @@
-//! Requests that crash their endpoints, held back by all daemons: what each tells the others of crashes, and
-//! who makes the one send that may show whether a request crashes endpoints still.
+//! Quarantine of requests that crash their endpoints, shared by all daemons: crash reports, holds, and the trial that
+//! shows whether a request still crashes endpoints.
 //!
-//! Crashes, claims of trials and successes are records among those that daemons read of each other anyway, so that a
-//! calm day costs nothing, and a daemon that starts knows what is held. The log's order decides which claim counts.
+//! Crashes, trial claims and clearances are records of the members topic, which every daemon follows anyway: there is
+//! no traffic without crashes, and a daemon learns the holds at its start. The first claim in the log wins.
 
 mod records;
 mod reporting;
@@ -34,25 +34,25 @@
 };
 use crate::{endpoints::Endpoints, follow::Fold, members::Members, store_path::Store};
 
-/// A claim is in the store and read back in 60 ms; a caller is not kept waiting for longer.
+/// How long a caller waits for a trial claim to be stored and read back.
 const CLAIM_TIMEOUT_MS: u64 = 400;
-/// A daemon that cannot read what is held serves all the same after this time: in an outage of the store, calls that
-/// crash endpoints are few among those that would be refused.
+/// How long after its start a daemon delays requests until the holds are read. It serves without them after that: in a
+/// store outage, refusing every request would cost more than the few that crash endpoints.
 const MAX_START_WAIT_MS: u64 = 1_000;
 
-/// A request may not be sent now.
+/// The request is held back and may not be sent now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Held {
-    /// When to come back.
+    /// Time until the request may be tried again, in ms.
     pub(crate) retry_after_ms: u64,
 }
 
-/// The requests that all daemons hold back, as this one knows them.
+/// This daemon's view of the requests that all daemons hold back.
 #[derive(Debug)]
 pub(crate) struct Quarantine {
     clock: Clock,
-    /// The time of day when the clock began: holds outlast daemons, and a time of day that is set meanwhile
-    /// neither ends nor lengthens one.
+    /// Unix time at the start of `clock`. Holds outlast daemons, and a change of the system time must neither end nor
+    /// lengthen one.
     start_unix_ms: u64,
     store: Store,
     members: Rc<Members>,
@@ -60,23 +60,24 @@
     table: RefCell<Table>,
     abandoned_attempts: RefCell<AbandonedAttempts>,
     reports: RefCell<CrashReports>,
-    /// Records for the store that no budget holds back; those without a value are removals.
+    /// Records for the store that are exempt from the report budget; an empty value removes the key.
     pending_records: RefCell<Vec<(Arc<str>, Bytes)>>,
     claims: Cell<u64>,
     is_known: Cell<bool>,
-    /// Told when this daemon knows what is held.
+    /// Notified when the holds have been read.
     became_known: Notify,
-    /// Whether records may have been missed; the next ones are the newest of each key.
+    /// Whether records may have been missed; the next batch then holds the newest record of each key.
     has_gap: Cell<bool>,
     write_requested: Notify,
-    /// Whether the store has not taken the last records in time.
+    /// Whether the last append to the store was slow or failed.
     is_store_late: Cell<bool>,
-    /// What peers are yet to be told, and what they were told of what is suspected.
+    /// Reports that wait to be sent to peers.
     peer_reports: RefCell<Vec<CrashReport>>,
+    /// Reports of suspected requests that were already queued for peers.
     announced_to_peers: RefCell<Vec<CrashReport>>,
-    /// The requests that are free, until the store has it or peers are to be told.
+    /// Cleared requests whose clearance is not in the store yet.
     cleared: RefCell<Vec<Fingerprint>>,
-    /// The requests of which peers are yet to be told that they are free.
+    /// Clearances that wait to be sent to peers.
     peer_clearances: RefCell<Vec<Fingerprint>>,
     peer_queue_changed: Notify,
     changed: Notify,
@@ -120,10 +121,9 @@
         quarantine
     }
 
-    /// Waits until this daemon knows what is held, or has waited for long enough since its start.
+    /// Waits until the holds are read, or until [`MAX_START_WAIT_MS`] after the daemon's start.
     ///
-    /// The daemon is ready before: after a stop of all, others wait to see it ready, and later by 0.1 s in the
-    /// middle and 0.3 s at most if it were not (84 VMs).
+    /// Requests wait here instead of the daemon's readiness, as other daemons wait for that after a full stop.
     async fn wait_until_known(&self) {
         let left_ms = MAX_START_WAIT_MS.saturating_sub(self.clock.now_ms());
         if !self.is_known.get() && left_ms > 0 {
@@ -131,8 +131,8 @@
         }
     }
 
-    /// Says whether a request may be sent, and waits for the claim of its trial if one is due. `content` is not
-    /// called as long as nothing is suspected.
+    /// Decides whether a request may be sent, and claims its trial if one is due. `content` is not called while no
+    /// request is suspected.
     pub(crate) async fn admit<Content>(self: &Rc<Self>, content: Content) -> Result<Permit, Held>
     where
         Content: FnOnce() -> Fingerprint,
@@ -149,10 +149,10 @@
         }
     }
 
-    /// Waits until a request that is held back may be tried, or is free, for so long at the most.
+    /// Waits until a held request may be tried or is cleared, for `max_wait_ms` at most.
     pub(crate) async fn wait(&self, content: Fingerprint, held: Held, max_wait_ms: u64) {
         let until_ms = self.clock.now_ms().saturating_add(max_wait_ms);
-        // A trial that cannot be claimed is due all the while.
+        // Guards against a busy loop: a trial that cannot be claimed stays due.
         sleep_ms(held.retry_after_ms.min(CLAIM_TIMEOUT_MS).min(max_wait_ms)).await;
         loop {
             let left_ms = until_ms.saturating_sub(self.clock.now_ms());
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Says whether a request that was sent already may be sent once more.
+    /// Whether a request that was already sent may be sent again.
     pub(crate) fn may_repeat<Content>(&self, content: Content) -> bool
     where
         Content: FnOnce() -> Fingerprint,
@@ -173,7 +173,7 @@
         self.table.borrow().is_empty() || self.verdict(&content()) == Verdict::Allowed
     }
 
-    /// Follows which endpoints end without a word: what they had not long before may have crashed them.
+    /// Follows endpoints that end unannounced: attempts abandoned there shortly before are suspects.
     async fn follow_endpoint_ends(self: Rc<Self>, endpoints: Rc<Endpoints>) {
         loop {
             endpoints.has_ended.notified().await;
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Takes over that an endpoint broke off a request.
+    /// Records that an endpoint crashed while it ran a request.
     fn on_broken(&self, content: Fingerprint, instance: &Arc<str>, is_trial: bool) {
         let crash = Crash {
             instance: instance.clone(),
@@ -209,7 +209,7 @@
         self.write_requested.notify_one();
     }
 
-    /// Takes over that a request was answered with success.
+    /// Clears a request that was answered successfully.
     fn on_success<Content>(&self, content: Content)
     where
         Content: FnOnce() -> Fingerprint,
@@ -243,7 +243,7 @@
         self.notify_change();
     }
 
-    /// Forgets what ends by itself, and takes it out of the store if this daemon is the one to do so.
+    /// Expires old suspicions; the daemon responsible for cleaning also removes their records from the store.
     pub(crate) fn expire(&self, is_responsible: bool) {
         if self.table.borrow().is_empty() {
             return;
@@ -268,7 +268,7 @@
 
     fn on_crash(&self, report: CrashReport) -> CrashEffect {
         let CrashReport { content, mut crash } = report;
-        // A clock that is ahead must not lengthen a hold.
+        // Guards against a reporter whose clock is ahead, which would lengthen the hold.
         crash.at_ms = crash.at_ms.min(self.unix_ms());
         let instance = crash.instance.clone();
         let effect = self.table.borrow_mut().on_crash(content, crash);
@@ -319,7 +319,7 @@
         self.notify_change();
     }
 
-    /// Takes over that another daemon knows a request to be free; says whether it was suspected here.
+    /// Applies a clearance from another daemon; returns whether the request was suspected here.
     fn clear(&self, content: &Fingerprint) -> bool {
         self.reports.borrow_mut().drop_content(content);
         self.table.borrow_mut().on_success(content).is_some()
@@ -329,7 +329,7 @@
 impl Fold for Quarantine {
     fn apply(&self, records: &[KeyedRecord]) {
         if self.has_gap.take() {
-            // What was removed meanwhile is not among the newest records.
+            // Keys that were removed during the gap are missing from the newest records.
             let contents: Vec<Fingerprint> = records.iter().filter_map(content_of).collect();
             self.table.borrow_mut().keep_only(&contents);
             self.notify_change();
@@ -337,7 +337,7 @@
         for record in records {
             match decode_record(record) {
                 Some(decoded) => self.on_record(decoded),
-                None => log::error!(key = &*record.key; "a record of a crash cannot be read"),
+                None => log::error!(key = &*record.key; "crash record cannot be decoded"),
             }
         }
     }
--- a/crates/borageshore_gateway/src/quarantine/records.rs
+++ b/crates/borageshore_gateway/src/quarantine/records.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other of crashes and trials, in the store and from peer to peer.
+//! Encoding of crashes, trials and clearances in the store and in messages between peers.
 
 use std::sync::Arc;
 
@@ -8,36 +8,35 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// What the keys of crashes and trials begin with; the request's content follows.
+/// Key prefix of crashes and trials; the request's fingerprint follows.
 pub(crate) const KEY_PREFIX: &str = "crash/";
-/// What the key of a trial ends with; that of a crash ends with a hash of the endpoint's name.
+/// Key suffix of a trial; the key of a crash ends with a hash of the endpoint's name.
 const TRIAL: &str = "trial";
 
-/// A record that was read.
+/// A decoded record.
 #[derive(Debug)]
 pub(super) enum QuarantineRecord {
-    /// An endpoint crashed under a request.
+    /// An endpoint crashed while it ran a request.
     Crash(CrashReport),
-    /// A daemon claims a trial of a request, or has made it.
+    /// A daemon claimed, finished or cancelled a trial.
     Trial(TrialRecord),
-    /// A request was answered, or its suspicion has ended.
+    /// A request was answered successfully, or its suspicion expired.
     Cleared(Fingerprint),
 }
 
-/// What has become of a trial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum TrialState {
-    /// A daemon wants to make it.
+    /// A daemon intends to send the request.
     Claimed,
-    /// The request was sent, whatever came of it.
+    /// The request was sent, with any outcome.
     #[serde(rename = "Made")]
     Finished,
-    /// There was no endpoint to send it to.
+    /// The request reached no endpoint.
     #[serde(rename = "Unmade")]
     Cancelled,
 }
 
-/// The last trial of a request, as it is claimed or once it is over.
+/// The latest trial of a request.
 #[derive(Debug, Clone)]
 pub(super) struct TrialRecord {
     pub(super) content: Fingerprint,
@@ -47,7 +46,7 @@
     pub(super) at_ms: u64,
 }
 
-/// A crash as it is told; times are Unix milliseconds.
+/// A crash as it is encoded; `at_ms` is Unix time.
 #[derive(Debug, Serialize, Deserialize)]
 struct WireCrash {
     instance: Arc<str>,
@@ -63,7 +62,7 @@
     at_ms: u64,
 }
 
-/// A crash with its request, as one peer tells it to another.
+/// A crash with its request, as sent from peer to peer.
 #[derive(Debug, Serialize, Deserialize)]
 struct WireReport {
     content: Arc<str>,
@@ -71,7 +70,7 @@
     crash: WireCrash,
 }
 
-/// Reads a record of the store; `None` if it is another writer's.
+/// Decodes a record of the store; `None` if it is malformed.
 pub(super) fn decode_record(record: &KeyedRecord) -> Option<QuarantineRecord> {
     let (content, suffix) = record.key.strip_prefix(KEY_PREFIX)?.split_once('/')?;
     let content: Fingerprint = content.parse().ok()?;
@@ -94,7 +93,6 @@
     })
 }
 
-/// Reads what a peer tells.
 pub(super) fn decode_reports(body: &[u8]) -> Option<Vec<CrashReport>> {
     let reports: Vec<WireReport> = serde_json::from_slice(body).ok()?;
     let decoded = reports
@@ -103,7 +101,6 @@
     decoded.collect()
 }
 
-/// Writes what a peer is told.
 pub(super) fn encode_reports(reports: &[CrashReport]) -> Bytes {
     let wire = |report: &CrashReport| WireReport {
         content: report.content.to_string().into(),
@@ -113,7 +110,6 @@
     encoded(&reports)
 }
 
-/// Reads of which requests a peer knows that they are free.
 pub(super) fn decode_cleared(body: &[u8]) -> Option<Vec<Fingerprint>> {
     let contents: Vec<Arc<str>> = serde_json::from_slice(body).ok()?;
     contents
@@ -122,7 +118,6 @@
         .collect()
 }
 
-/// Writes for a peer which requests are free.
 pub(super) fn encode_cleared(contents: &[Fingerprint]) -> Bytes {
     let contents: Vec<String> = contents.iter().map(Fingerprint::to_string).collect();
     encoded(&contents)
@@ -144,7 +139,7 @@
 }
 
 pub(super) fn crash_key(content: Fingerprint, instance: &str) -> Arc<str> {
-    // The names of endpoints are others' and of any length.
+    // Endpoint names come from the platform and may have any length, so the key holds a hash.
     let instance = rendezvous_weight(KEY_PREFIX, instance);
     format!("{KEY_PREFIX}{content}/{instance:016x}").into()
 }
--- a/crates/borageshore_gateway/src/quarantine/reporting.rs
+++ b/crates/borageshore_gateway/src/quarantine/reporting.rs
@@ -1,4 +1,4 @@
-//! How a daemon tells the others of crashes: by the store, and from peer to peer while the store does not take it.
+//! Propagation of crash reports and clearances: through the store, and among peers while the store is slow or away.
 
 use std::{pin::pin, rc::Rc, sync::Arc};
 
@@ -18,30 +18,28 @@
 };
 use crate::{follow::ONLY_PARTITION, server::server_limits};
 
-/// Where peers tell of crashes, at the address that callers do not have.
+/// Path for crash reports, served only at the address for peers.
 pub(crate) const CRASHES_PATH: &str = "/crashes";
-/// Where peers tell which requests are free again.
+/// Path for clearances, served only at the address for peers.
 pub(crate) const CLEARED_PATH: &str = "/cleared";
-/// The pause before records are written again that the store did not take, and before a budget is looked at again.
+/// Delay before a failed write is repeated or the report budget is checked again.
 const RETRY_MS: u64 = 200;
-/// The store takes a record in 5 ms, a slow one in 200; after this time peers are told as well.
+/// An append that takes longer than this is also propagated from peer to peer.
 const STORE_SLOW_MS: u64 = 150;
-/// The peers that each daemon tells once of what it did not know: so 98 of 100 hear of it, 680 within five steps.
+/// Gossip fan-out: the number of peers to which each daemon forwards a new report.
 const PEER_FANOUT: usize = 4;
-/// The pause after peers were told, which holds 4 messages of 1 KB each within what control may cost a daemon.
+/// Interval between messages to peers, which bounds the control traffic of a daemon.
 const PEER_MESSAGE_INTERVAL_MS: u64 = 300;
-/// Reports in one message to a peer.
 const MAX_REPORTS_PER_MESSAGE: usize = 8;
-/// Reports that wait to be told; with a zone more are lost, and the newest tell most of what still comes.
+/// Bound of each peer queue. Of crash reports the oldest are dropped, as the newest are the most useful.
 const MAX_PENDING_PEER_REPORTS: usize = 64;
-/// A peer is a few ms away.
 const PEER_TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 200,
     first_byte_ms: 300,
 };
 
 impl Quarantine {
-    /// Tells the other daemons what there is to tell, as far as the budget goes.
+    /// Writes pending records and reports to the store, within the report budget.
     pub(super) async fn write_records(self: Rc<Self>) {
         loop {
             self.write_requested.notified().await;
@@ -53,7 +51,7 @@
         }
     }
 
-    /// Says whether the store took what could be told now.
+    /// Writes what the budget permits now; returns whether there was anything and the store accepted it.
     async fn write_batch(&self) -> bool {
         let daemons = self.members.count() as u64;
         let reports = {
@@ -77,7 +75,7 @@
         written.is_ok()
     }
 
-    /// Appends records to the store; peers are told as well when that takes long.
+    /// Appends records to the store; falls back to peers when the append is slow or fails.
     async fn append(
         &self,
         records: &[(Arc<str>, Bytes)],
@@ -91,8 +89,8 @@
             Either::Right((_, appending)) => {
                 self.is_store_late.set(true);
                 self.queue_for_peers(reports);
-                // What was seen since the append began would wait for its end, two seconds in an outage; meanwhile
-                // each peer loses endpoints of its own to the same request.
+                // Reports that arrived since the append began would wait for its end, while peers lose endpoints of
+                // their own to the same request.
                 self.queue_for_peers(self.reports.borrow().waiting());
                 self.queue_clearance_for_peers(cleared);
                 appending.await
@@ -106,7 +104,7 @@
         appended.map(|_| ())
     }
 
-    /// Notes what peers are to be told, each report once.
+    /// Queues reports for peers, each report once.
     pub(super) fn queue_for_peers(&self, reports: &[CrashReport]) {
         let mut announced = self.announced_to_peers.borrow_mut();
         announced.retain(|report| self.table.borrow().is_suspected(&report.content));
@@ -123,10 +121,9 @@
         self.peer_queue_changed.notify_one();
     }
 
-    /// Tells some peers of crashes, who tell others in turn.
+    /// Sends queued reports and clearances to a few peers, which forward them in turn.
     ///
-    /// Guards against the time in which the store is away: each daemon would lose three endpoints of its own to
-    /// a request before it holds it back, 9 of 12 with three daemons in a test.
+    /// Guards against each daemon losing endpoints of its own to the same request during a store outage.
     pub(super) async fn notify_peers(self: Rc<Self>) {
         let http = HttpClient::open();
         loop {
@@ -146,7 +143,7 @@
                     break;
                 }
                 let peers = self.members.some_relays(PEER_FANOUT);
-                // What was cleared comes last, as a crash may have been told before it.
+                // Clearances are sent last, as they overrule crash reports that were sent before.
                 if !reports.is_empty() {
                     post_to_peers(&http, &peers, CRASHES_PATH, &encode_reports(&reports)).await;
                 }
@@ -158,7 +155,7 @@
         }
     }
 
-    /// Lets peers know that requests are free, while the store does not tell them.
+    /// Queues clearances for peers and drops the queued reports of these requests.
     pub(super) fn queue_clearance_for_peers(&self, contents: &[Fingerprint]) {
         let of_others = |report: &CrashReport| !contents.contains(&report.content);
         self.peer_reports.borrow_mut().retain(of_others);
@@ -169,12 +166,12 @@
         self.peer_queue_changed.notify_one();
     }
 
-    /// Takes over which requests a peer knows to be free.
+    /// Handles clearances from a peer.
     pub(crate) async fn on_cleared(&self, request: EdgeRequest) -> EdgeResponse {
         let body = read_body(request.into_body(), server_limits()).await;
         let contents = body.ok().and_then(|body| decode_cleared(&body));
         let Some(contents) = contents else {
-            log::warn!("a peer's message about free requests cannot be read");
+            log::warn!("a peer's message about cleared requests cannot be decoded");
             return status(StatusCode::BAD_REQUEST);
         };
         let newly_cleared: Vec<Fingerprint> = contents
@@ -182,19 +179,19 @@
             .filter(|content| self.clear(content))
             .collect();
         if !newly_cleared.is_empty() {
-            log::info!(contents:? = newly_cleared; "peers say that requests are free");
+            log::info!(contents:? = newly_cleared; "requests cleared by a peer");
             self.queue_clearance_for_peers(&newly_cleared);
             self.notify_change();
         }
         status(StatusCode::OK)
     }
 
-    /// Takes over what a peer tells.
+    /// Handles crash reports from a peer.
     pub(crate) async fn on_crash_reports(&self, request: EdgeRequest) -> EdgeResponse {
         let body = read_body(request.into_body(), server_limits()).await;
         let reports = body.ok().and_then(|body| decode_reports(&body));
         let Some(reports) = reports else {
-            log::warn!("a peer's message about crashes cannot be read");
+            log::warn!("a peer's message about crashes cannot be decoded");
             return status(StatusCode::BAD_REQUEST);
         };
         let is_new = |report: &CrashReport| self.on_crash(report.clone()) != CrashEffect::Known;
--- a/crates/borageshore_gateway/src/quarantine/sent.rs
+++ b/crates/borageshore_gateway/src/quarantine/sent.rs
@@ -1,4 +1,4 @@
-//! One send of a request, until its outcome is known.
+//! Tracks a request at an endpoint until its outcome is known.
 
 use std::{cell::Cell, rc::Rc, sync::Arc};
 
@@ -7,10 +7,10 @@
 
 use super::{Permit, Quarantine};
 
-/// A request that is at an endpoint.
+/// A request that was sent to an endpoint.
 ///
-/// Guards against a request whose caller leaves before its endpoint crashes: what is dropped without an outcome counts
-/// as given up in silence, or 26 endpoints of six crashed in 16 s without an attempt that was lost.
+/// Dropped without an outcome, it counts as abandoned. This guards against requests whose callers disconnect before the
+/// endpoint crashes: they would never be suspected.
 #[derive(Debug)]
 pub(crate) struct SentRequest<Content>
 where
@@ -19,13 +19,13 @@
     quarantine: Rc<Quarantine>,
     content: Content,
     instance: Arc<str>,
-    /// Where to note that a trial is made, if this is one.
+    /// Set once the request has reached an endpoint; only for a trial.
     trial: Option<Rc<Cell<bool>>>,
     has_outcome: bool,
 }
 
 impl Quarantine {
-    /// Notes that a request goes to an endpoint; `content` is called only where the outcome asks for it.
+    /// Tracks a request that is sent to an endpoint; `content` is called only if the outcome requires it.
     pub(crate) fn track_send<Content>(
         self: &Rc<Self>,
         content: Content,
@@ -49,7 +49,7 @@
 where
     Content: Fn() -> Fingerprint,
 {
-    /// Takes over what came of a call.
+    /// Records the result of a call.
     pub(crate) fn on_outcome(&mut self, result: &Result<EndpointResponse, AttemptError>) {
         match result {
             Ok(answer) if answer.status.is_success() && answer.stamp.is_some() => self.on_success(),
@@ -58,20 +58,20 @@
         }
     }
 
-    /// Takes over that it was answered with success, or is well under way.
+    /// Records a successful response, or enough of a stream to count as one.
     pub(crate) fn on_success(&mut self) {
         self.mark_sent();
         self.quarantine.on_success(&self.content);
     }
 
-    /// Takes over an end that shows nothing, if no outcome was known before.
+    /// Records an end that neither clears nor incriminates the request, unless an outcome is already known.
     pub(crate) fn on_end(&mut self) {
         if !self.has_outcome {
             self.mark_sent();
         }
     }
 
-    /// Takes over that it brought no answer.
+    /// Records a failed attempt.
     pub(crate) fn on_error(&mut self, error: &AttemptError) {
         if let AttemptError::NotSent(_) = error {
             self.has_outcome = true;
--- a/crates/borageshore_gateway/src/quarantine/trials.rs
+++ b/crates/borageshore_gateway/src/quarantine/trials.rs
@@ -1,4 +1,4 @@
-//! Trials of requests that are held back: one daemon at a time sends one, whose outcome all learn.
+//! Trials of held requests: one daemon at a time sends the request once, and all daemons learn the outcome.
 
 use std::{cell::Cell, rc::Rc, sync::Arc};
 
@@ -12,32 +12,32 @@
 };
 use crate::follow::ONLY_PARTITION;
 
-/// Leave to send a request: as often as its route permits, or once on trial.
+/// Permission to send a request: as often as its route allows, or once as a trial.
 #[derive(Debug)]
 pub(crate) struct Permit {
     pub(super) trial: Option<Trial>,
 }
 
 impl Permit {
-    /// Says whether the request may be sent once only, to show whether it crashes endpoints still.
+    /// Whether the request may be sent only once, to show whether it still crashes endpoints.
     pub(crate) fn is_trial(&self) -> bool {
         self.trial.is_some()
     }
 
-    /// Says whether a trial has reached an endpoint.
+    /// Whether a trial has reached an endpoint.
     pub(crate) fn is_sent(&self) -> bool {
         let trial = self.trial.as_ref();
         trial.is_some_and(|trial| trial.is_sent.get())
     }
 
-    /// Where a send notes that the trial is made.
+    /// The flag that [`SentRequest`](super::SentRequest) sets when the trial reaches an endpoint.
     pub(super) fn sent_flag(&self) -> Option<Rc<Cell<bool>>> {
         let trial = self.trial.as_ref();
         trial.map(|trial| trial.is_sent.clone())
     }
 }
 
-/// A trial that this daemon makes; over when it is dropped.
+/// A trial claimed by this daemon; it ends on drop.
 #[derive(Debug)]
 pub(super) struct Trial {
     quarantine: Rc<Quarantine>,
@@ -53,7 +53,7 @@
 }
 
 impl Quarantine {
-    /// Claims the trial of a request: of all daemons that do, the one whose record comes first in the log makes it.
+    /// Claims the trial of a request. If several daemons claim it, the one whose record is first in the log wins.
     pub(super) async fn claim(self: &Rc<Self>, content: Fingerprint) -> Result<Permit, Held> {
         let count = self.claims.replace(self.claims.get() + 1);
         let (name, incarnation) = self.members.own_life();
@@ -65,7 +65,7 @@
             at_ms: self.unix_ms(),
         };
         let records = [encode_trial(&trial_record)];
-        // Dropped without a send, it gives the claim back, also one that the store takes late.
+        // Cancels the claim if dropped without a send, also one that the store accepts late.
         let trial = Trial {
             quarantine: self.clone(),
             trial_record: trial_record.clone(),
@@ -101,10 +101,10 @@
         }
     }
 
-    /// Begins a trial that the store has not taken.
+    /// Begins a trial without a claim in the store.
     ///
-    /// Guards against an outage of the store that begins as a proper request is held back: it was refused for as long as
-    /// the outage lasted. One daemon for each request tries, as far as the daemons agree on who lives.
+    /// Guards against a harmless request that is refused for the whole of a store outage. Only one daemon tries each
+    /// request, as far as the daemons agree on who is alive.
     fn start_trial_without_store(&self, trial: Trial) -> Permit {
         let trial_record = &trial.trial_record;
         log::info!(content:% = trial_record.content; "a request that is held back is tried without the store");
@@ -120,12 +120,12 @@
         Permit { trial: Some(trial) }
     }
 
-    /// The endpoints that a trial must not go to: it would be lost with one that another request is crashing.
+    /// The endpoints that a trial must avoid: another request may be crashing them.
     pub(crate) fn crashed_lately(&self) -> Vec<Arc<str>> {
         self.table.borrow().crashed_lately(self.unix_ms())
     }
 
-    /// Takes over that a trial of this daemon is over.
+    /// Records the end of a trial of this daemon.
     pub(super) fn on_trial_ended(&self, trial: &TrialRecord, is_sent: bool) {
         let trial = TrialRecord {
             state: match is_sent {
