--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of callers, forwarded to the endpoints of their routes.
+//! Forwards calls of callers to the endpoints of their routes, with retries and hedging.
 
 use std::{
     cell::{OnceCell, RefCell},
@@ -27,22 +27,20 @@
     usage::{RequestUse, UsageCounter},
 };
 
-/// A final answer goes out this long before the caller stops waiting for it, so that it arrives.
+/// The final response is sent this long before the caller's deadline, so that it arrives in time.
 const RESPONSE_MARGIN_MS: u64 = 25;
-/// A second endpoint is asked as well when the first takes this share of the route's objective: most
-/// calls take a sixth of it, the slowest in a hundred four fifths.
+/// A hedge is sent to a second endpoint when the first takes longer than this share of the route's objective.
 const HEDGE_PERCENT: u64 = 55;
-/// A slow endpoint must not double the load of all: hedges are a share of the calls.
+/// Hedges are limited to this share of the calls, so that a slow endpoint does not double the load of the others.
 const HEDGE_BUDGET_PERCENT: u64 = 20;
-/// Callers come back after this time: a refused call found all endpoints full or loading, and a
-/// queued call there takes 25 to 200 ms.
+/// When callers should retry a call that found all endpoints full or loading.
 const RETRY_AFTER_MS: u64 = 150;
 
 /// Forwards calls.
 #[derive(Debug)]
 pub(crate) struct Calls {
     access: Rc<CallerAccess>,
-    /// Where requests are counted, if anybody wants to know.
+    /// Counts requests for usage reports, if these are configured.
     usage: Option<Rc<UsageCounter>>,
     endpoints: Rc<Endpoints>,
     client: EndpointClient,
@@ -52,7 +50,7 @@
     instruments: Rc<Instruments>,
 }
 
-/// A call on its way, with the name of its content once that was asked for.
+/// A call in progress; the fingerprint of its content is computed when it is first needed.
 #[derive(Debug)]
 struct PendingCall {
     outbound: OutboundRequest,
@@ -67,11 +65,11 @@
     }
 }
 
-/// What the attempts of a call came to so far.
+/// The outcome of a call's attempts so far.
 #[derive(Debug, Default)]
 struct CallOutcome {
     attempts: RequestAttempts,
-    /// An endpoint's own failure, to be passed on if nothing better comes.
+    /// A signed error of an endpoint, forwarded if no attempt succeeds.
     error_response: Option<EndpointResponse>,
 }
 
@@ -97,7 +95,7 @@
         })
     }
 
-    /// Forwards a call and answers within its time.
+    /// Forwards a call and responds before its deadline.
     pub(crate) async fn forward(
         &self,
         head: CallHead,
@@ -155,7 +153,7 @@
         response
     }
 
-    /// Refuses a call that crashes endpoints, at once and with the time at which it may be tried again.
+    /// Refuses a held call at once, with the time after which it may be tried again.
     fn refuse_held(&self, call: &PendingCall, route: &Route, held: Held) -> EdgeResponse {
         let fault = Fault::new(ResultCode::HeldBack, call.content().to_string());
         let response = refusal(&fault, Some(held.retry_after_ms));
@@ -169,7 +167,7 @@
         response
     }
 
-    /// Asks one endpoint after the other, and a second one beside a slow one, as the route permits.
+    /// Tries one endpoint after the other, and hedges a slow one, as the route permits.
     async fn run_attempts(
         &self,
         route: &Route,
@@ -241,7 +239,7 @@
     ) -> Option<impl Future<Output = (usize, Result<EndpointResponse, AttemptError>)> + use<'c>>
     {
         if !self.access.is_still_authorized(&call.caller) {
-            log::info!(request = &*call.outbound.id; "a call is not sent any more, its key is not good now");
+            log::info!(request = &*call.outbound.id; "call not sent: its key is no longer accepted");
             return None;
         }
         let (target, in_flight) = match permit.is_trial() {
@@ -282,7 +280,7 @@
     }
 }
 
-/// The final answer where no endpoint gave one.
+/// The final response if no endpoint gave one.
 fn failure_response(outcome: &CallOutcome, deadline: Deadline) -> EdgeResponse {
     if outcome.attempts.outcome() == Outcome::NotRun {
         let fault = Fault::new(ResultCode::NoEndpoint, "");
@@ -303,7 +301,7 @@
     }
 }
 
-/// Takes an attempt's end over; returns the answer for the caller if there is one.
+/// Records the end of an attempt; returns the response for the caller if there is one.
 fn record_attempt(
     number: usize,
     result: Result<EndpointResponse, AttemptError>,
@@ -318,14 +316,14 @@
     outcome.attempts.on_event(number, event);
     let response = result.ok()?;
     if response.status.is_server_error() {
-        // Without a signature it is no answer that the endpoint made.
+        // An error without a signature was not made by the endpoint itself.
         if response.stamp.is_some() {
             outcome.error_response = Some(response);
         }
         return None;
     }
     if response.status.is_success() && response.stamp.is_none() {
-        log::warn!(request = &*outbound.id; "a success without a signature is dropped");
+        log::warn!(request = &*outbound.id; "dropping a successful response without a signature");
         return None;
     }
     Some(response)
