--- a/crates/borageshore_gateway/src/rewards.rs
+++ b/crates/borageshore_gateway/src/rewards.rs
@@ -1,4 +1,4 @@
-//! Reward calls: what scores a finished text.
+//! Reward calls, which score finished texts.
 
 use std::{
     cell::{OnceCell, RefCell},
@@ -19,24 +19,24 @@
     routes::Routes,
 };
 
-/// The share of a service's slots that reward calls may fill: callers use the same endpoints, and
-/// one of their calls takes a fraction of a reward call's time.
+/// Reward calls are limited to this share of a service's slots: callers use the same endpoints, and their calls are
+/// much shorter.
 const SLOTS_PERCENT: u64 = 60;
-/// The pause before a call is repeated: what refused it has a slot free again by then.
+/// Delay before a call is repeated.
 const RETRY_MS: u64 = 60;
-/// A call takes 80 to 200 ms and a second at the worst; longer is a lost one.
+/// An attempt that takes longer is considered lost.
 const TIMEOUT_MS: u64 = 1_600;
 
-/// What came of a reward call.
+/// The result of a reward call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Reward {
-    /// The signature of the endpoint that answered.
+    /// The score: the signature in the endpoint's response.
     Score(Arc<str>),
     /// Every permitted attempt failed.
     Failed,
 }
 
-/// What reward calls need of the rest of the daemon.
+/// Dependencies of [`Rewards`].
 #[derive(Debug)]
 pub(crate) struct RewardParts {
     pub(crate) endpoints: Rc<Endpoints>,
@@ -46,12 +46,12 @@
     pub(crate) quarantine: Rc<Quarantine>,
 }
 
-/// A reward call on its way.
+/// A reward call in progress.
 #[derive(Debug)]
 struct Scoring {
     outbound: OutboundRequest,
     content: OnceCell<Fingerprint>,
-    /// The endpoint that had it last and brought no score.
+    /// The endpoint of the last attempt, if it returned no score.
     last_failed: Option<Arc<str>>,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// Makes reward calls within a share of their services' slots.
+/// Makes reward calls, within [`SLOTS_PERCENT`] of their services' slots.
 #[derive(Debug)]
 pub(crate) struct Rewards {
     parts: RewardParts,
@@ -78,8 +78,8 @@
         })
     }
 
-    /// Makes the call until it is answered or has failed as often as its route permits; one that crashes its
-    /// endpoints is given up at `give_up_ms`.
+    /// Repeats the call until it is scored or has failed as often as its route permits. A held call fails at
+    /// `give_up_ms`, a time of the daemon's clock.
     pub(crate) async fn score(&self, call: &RewardCall, give_up_ms: u64) -> Reward {
         let mut scoring = Scoring {
             outbound: OutboundRequest::reward(call),
@@ -90,7 +90,7 @@
         loop {
             let path = call.path.split('?').next().unwrap_or(&call.path);
             let Some(route) = self.parts.routes.find(&call.host, path) else {
-                log::warn!(call = &*call.id; "no route for a reward call");
+                log::warn!(call = &*call.id; "no route for a reward call; retrying");
                 sleep_ms(TIMEOUT_MS).await;
                 continue;
             };
@@ -122,7 +122,7 @@
         }
     }
 
-    /// One attempt: the score, the status of an answer without one, or nothing.
+    /// One attempt: the score, the status of a response without one, or `None` if there was no response.
     async fn attempt(
         &self,
         route: &Route,
@@ -132,7 +132,7 @@
         let parts = &self.parts;
         let service = route.service_for(parts.endpoints.random())?;
         let _slot = self.slot(service).await;
-        // The wait for a slot may have been long.
+        // The request may have been held back during the wait for a slot.
         if !permit.is_trial() && !parts.quarantine.may_repeat(|| scoring.content()) {
             return None;
         }
@@ -207,7 +207,7 @@
     }
 }
 
-/// A slot of a service, free again when it is dropped.
+/// A slot of a service, released on drop.
 struct Slot<'r> {
     rewards: &'r Rewards,
     service: Arc<str>,
