--- a/crates/borageshore_gateway/src/dispatch.rs
+++ b/crates/borageshore_gateway/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Places for items: who waits for an engine, and who gets the next free slot.
+//! Assigns free engine slots to waiting items.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
@@ -12,10 +12,10 @@
 
 use crate::endpoints::{Endpoints, InFlight};
 
-/// Reports of others' load fade, ejections end: what waits is looked at again after this time.
+/// Waiting items are reconsidered at this interval, as load reports age and ejections end without a notification.
 const RECHECK_MS: u64 = 100;
 
-/// What an item needs.
+/// The requirements of an item.
 #[derive(Debug, Clone)]
 pub(crate) struct SlotRequest {
     pub(crate) service: Arc<str>,
@@ -23,12 +23,12 @@
     pub(crate) min_version: u64,
     pub(crate) max_version: u64,
     pub(crate) group: Arc<str>,
-    /// Submissions in the order of their arrival, then the items' own order.
+    /// Submissions by arrival, then the order of items within one.
     pub(crate) rank: (u64, ItemRank),
     pub(crate) avoid: Vec<Arc<str>>,
 }
 
-/// A slot at an engine, held until it is dropped.
+/// A slot at an engine, released on drop.
 #[derive(Debug)]
 pub(crate) struct EngineSlot {
     pub(crate) target: EndpointTarget,
@@ -41,7 +41,7 @@
     sender: oneshot::Sender<EngineSlot>,
 }
 
-/// The engines of a service with the versions of one model.
+/// The engines of a service, with their versions of one model.
 #[derive(Debug)]
 struct ServiceEngines {
     service: Arc<str>,
@@ -49,7 +49,7 @@
     engines: Vec<EngineView>,
 }
 
-/// The items that wait for a slot, and the groups by the engines where they run.
+/// The queue of items that wait for a slot, and the engines on which each group runs.
 #[derive(Debug)]
 pub(crate) struct Dispatch {
     endpoints: Rc<Endpoints>,
@@ -68,7 +68,6 @@
         dispatch
     }
 
-    /// Waits for a slot.
     pub(crate) async fn wait_for_slot(&self, request: SlotRequest) -> EngineSlot {
         loop {
             let (sender, receiver) = oneshot::channel();
@@ -85,7 +84,7 @@
         }
     }
 
-    /// Takes a slot at a better engine for a running item, if one is free.
+    /// Takes a slot for a running item at a better engine, if there is one.
     pub(crate) fn try_move(&self, request: &SlotRequest, item: RunningItem) -> Option<EngineSlot> {
         let engines = self
             .endpoints
@@ -108,7 +107,7 @@
         }
     }
 
-    /// Goes through the line once; what finds no slot keeps its place.
+    /// Goes through the queue once; requests that get no slot stay in it, in order.
     fn assign_slots(&self) {
         let mut waiting = std::mem::take(&mut *self.waiting.borrow_mut());
         let mut looked_up: Vec<ServiceEngines> = Vec::new();
@@ -119,7 +118,7 @@
             let engines = self.engines_for(request, &mut looked_up);
             match self.try_take_slot(request, engines) {
                 Some(slot) => {
-                    // Whoever stopped waiting drops the place, and the slot is free again.
+                    // If the receiver is gone, the slot is dropped and thus released.
                     let _ = waiter.sender.send(slot);
                 }
                 None => unserved.push(waiter),
@@ -130,7 +129,7 @@
         *waiting = unserved;
     }
 
-    /// The engines of a request's service, looked up once a round.
+    /// The engines of a request's service, looked up once per round.
     fn engines_for<'k>(
         &self,
         request: &SlotRequest,
@@ -158,7 +157,7 @@
         engines: &mut [EngineView],
     ) -> Option<EngineSlot> {
         let placement = placement(request);
-        // Hundreds of items wait at the start of a step: most find no engine, and are done with here.
+        // A cheap check first: most items of a large step find no engine.
         if !engines.iter().any(|engine| can_take(engine, placement)) {
             return None;
         }
