--- a/crates/borageshore_gateway/src/routes.rs
+++ b/crates/borageshore_gateway/src/routes.rs
@@ -1,4 +1,4 @@
-//! The operator's routes and the versions that trainers name.
+//! The operator's routes, and the model versions that trainers request.
 
 use std::{
     cell::{Cell, RefCell},
@@ -14,33 +14,32 @@
 
 use crate::follow::Fold;
 
-/// The last rank that engines know.
+/// The largest priority value that engines accept; 0 is the highest priority.
 const MAX_PRIORITY: u64 = 9;
 
-/// What operator and trainers ask for.
+/// The routes in force and the requested model versions.
 #[derive(Debug, Default)]
 pub(crate) struct Routes {
     table: RefCell<Rc<RouteTable>>,
     is_known: Cell<bool>,
-    /// Whether the newest routes could not be read: what it changed of keys is not known.
+    /// Whether the newest record could not be decoded: its changes to keys are then unknown.
     is_unreadable: Cell<bool>,
     named_versions: RefCell<Vec<ModelVersion>>,
-    /// Told when a version is named.
+    /// Notified when a trainer requests a version.
     pub(crate) version_named: Notify,
 }
 
 impl Routes {
-    /// Says whether any routes have come yet; without them nothing can be answered.
+    /// Whether any routes were received; no request can be served before.
     pub(crate) fn is_known(&self) -> bool {
         self.is_known.get()
     }
 
-    /// Says whether the newest routes could be read.
+    /// Whether the newest routes could be decoded.
     pub(crate) fn is_latest_readable(&self) -> bool {
         self.is_known() && !self.is_unreadable.get()
     }
 
-    /// Runs a function on the organisations in force.
     pub(crate) fn with_organisations<Read, Output>(&self, read: Read) -> Output
     where
         Read: FnOnce(&Organisations) -> Output,
@@ -48,12 +47,12 @@
         read(self.table.borrow().organisations())
     }
 
-    /// Says whether submissions for a host need no key.
+    /// Whether submissions for a host need no key.
     pub(crate) fn has_public_batch(&self, host: &str) -> bool {
         self.table.borrow().has_public_batch(host)
     }
 
-    /// The rank of a request on a route: that of its organisation, if it has one.
+    /// The priority of a request: that of its organisation if it has one, otherwise that of the route.
     pub(crate) fn priority(&self, route: &Route, organisation: Option<&str>) -> u64 {
         let table = self.table.borrow();
         let organisation = organisation.and_then(|name| table.organisations().named(name));
@@ -61,22 +60,21 @@
         own.unwrap_or(route.priority).min(MAX_PRIORITY)
     }
 
-    /// The route of a request.
     pub(crate) fn find(&self, host: &str, path: &str) -> Option<Arc<Route>> {
         self.table.borrow().find(host, path).cloned()
     }
 
-    /// Says whether a route goes to a service; an endpoint of any other is of no use.
+    /// Whether any route uses a service; endpoints of other services are ignored.
     pub(crate) fn names_service(&self, service: &str) -> bool {
         self.table.borrow().names_service(service)
     }
 
-    /// The newest named version of each model.
+    /// The newest requested version of each model, ordered by model.
     pub(crate) fn named_versions(&self) -> Vec<ModelVersion> {
         self.named_versions.borrow().clone()
     }
 
-    /// Takes over routes; they never go back to an older version within a process.
+    /// Applies routes, unless a newer version is already in force.
     fn set(&self, table: RouteTable) {
         let known = self.table.borrow().version;
         if self.is_known.get() && table.version < known {
@@ -107,7 +105,7 @@
                 Some(Ok(OperatorRecord::Version(named))) => self.on_version_named(named),
                 Some(Err(error)) => {
                     self.is_unreadable.set(true);
-                    log::error!(key = &*record.key, error:% = error; "a record of the operator cannot be read");
+                    log::error!(key = &*record.key, error:% = error; "operator record cannot be decoded");
                 }
                 None => {}
             }
