--- a/crates/borageshore_gateway/src/watch.rs
+++ b/crates/borageshore_gateway/src/watch.rs
@@ -1,4 +1,4 @@
-//! Heartbeats among daemons, over UDP.
+//! Heartbeats between daemons, over UDP.
 
 use std::{io, net::SocketAddr, rc::Rc, sync::Arc};
 
@@ -9,12 +9,12 @@
 
 use crate::{members::Members, store_path::Store};
 
-/// A heartbeat is a name and two numbers.
+/// Size of the receive buffer; a heartbeat is a name and two numbers.
 const DATAGRAM_BYTES: usize = 512;
-/// The pause after a failed read of the socket.
+/// Delay after a failed read of the socket.
 const RECEIVE_RETRY_MS: u64 = 10;
 
-/// This daemon's part in watching.
+/// Sends this daemon's heartbeats to its watchers and suspects the daemons that it watches when they fall silent.
 #[derive(Debug)]
 pub(crate) struct Watch {
     members: Rc<Members>,
@@ -23,7 +23,7 @@
 }
 
 impl Watch {
-    /// Binds an address, sends heartbeats from there, and looks for those of others.
+    /// Binds the address and spawns the tasks that send heartbeats and receive those of others.
     pub(crate) fn bind(address: &str, members: Rc<Members>, store: Store) -> io::Result<()> {
         let socket = UdpSocket::bind(address)?;
         let watch = Rc::new(Self {
@@ -64,7 +64,7 @@
             };
             let (sent, _) = self.socket.send_to(datagram.clone(), address).await;
             if let Err(error) = sent {
-                log::debug!(watcher = &**watcher, error:% = error; "a heartbeat is not sent");
+                log::debug!(watcher = &**watcher, error:% = error; "heartbeat not sent");
             }
         }
     }
@@ -77,7 +77,7 @@
             match received {
                 Ok((length, _)) => self.on_datagram(&buffer[..length]),
                 Err(error) => {
-                    log::debug!(error:% = error; "heartbeats cannot be read");
+                    log::debug!(error:% = error; "reading heartbeats failed; retrying");
                     sleep_ms(RECEIVE_RETRY_MS).await;
                 }
             }
@@ -89,7 +89,7 @@
             Ok(heartbeat) => self
                 .members
                 .on_heartbeat(&heartbeat.name, heartbeat.incarnation as u64),
-            Err(error) => log::debug!(error:% = error; "a datagram is no heartbeat"),
+            Err(error) => log::debug!(error:% = error; "ignoring an invalid heartbeat"),
         }
     }
 }
