--- a/crates/borageshore_gateway/src/access.rs
+++ b/crates/borageshore_gateway/src/access.rs
@@ -1,4 +1,4 @@
-//! Whether callers may ask, as far as this daemon knows of their keys.
+//! Authorization of callers, by this daemon's view of the keys.
 
 use std::{cell::Cell, rc::Rc, sync::Arc};
 
@@ -11,14 +11,14 @@
 
 use crate::{follow::Follow, routes::Routes};
 
-/// The store answers in 5 ms, and through a peer in twice that; a caller is not kept waiting for longer.
+/// How long a caller waits for the view of the keys to be confirmed by the store.
 const CONFIRM_TIMEOUT_MS: u64 = 250;
-/// After a confirmation that failed, callers are turned away at once for this long.
+/// After a failed confirmation, callers that would need one are refused at once for this long.
 const CONFIRM_RETRY_MS: u64 = 1_000;
-/// Callers whose key cannot be relied on come back after this time, most of them at another daemon.
+/// When callers should retry whose key could not be confirmed.
 const RETRY_AFTER_MS: u64 = 300;
 
-/// A caller that may ask.
+/// A caller whose request was authorized.
 #[derive(Debug, Clone)]
 pub(crate) struct AuthorizedCaller {
     credentials: Credentials,
@@ -26,23 +26,22 @@
 }
 
 impl AuthorizedCaller {
-    /// In whose name it asks.
+    /// The name of the caller's organisation, if its key belongs to one.
     pub(crate) fn organisation(&self) -> Option<&Arc<str>> {
         self.organisation.as_ref().map(|owner| &owner.name)
     }
 }
 
-/// Why a caller may not ask.
+/// Why a caller was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Denial {
-    /// Its key is not known, or missing.
+    /// Its key is missing or unknown.
     Unauthorized,
-    /// What is known of keys is too old.
+    /// This daemon's view of the keys is too old.
     ViewTooOld,
 }
 
 impl Denial {
-    /// The answer for the caller.
     pub(crate) fn response(self) -> EdgeResponse {
         match self {
             Denial::Unauthorized => refusal(&Fault::new(ResultCode::UnknownCaller, ""), None),
@@ -54,14 +53,14 @@
     }
 }
 
-/// Decides about callers by the routes and organisations that this daemon follows.
+/// Authorizes callers by the routes and organisations that this daemon follows.
 #[derive(Debug)]
 pub(crate) struct CallerAccess {
     routes: Rc<Routes>,
     follow: Rc<Follow<Routes>>,
-    /// A key is good while the view that has it was asked for within this time.
+    /// Maximum age of the view, counted from when it was requested; `None` for no limit.
     max_age_ms: Option<u64>,
-    /// One confirmation at a time serves all that wait for one.
+    /// Serializes confirmations, so that one serves all waiting callers.
     confirming: Mutex<()>,
     failed_at_ms: Cell<Option<u64>>,
     instruments: Rc<Instruments>,
@@ -84,7 +83,7 @@
         })
     }
 
-    /// Decides about a caller; a view that is too old to tell is confirmed first, if the store answers at once.
+    /// Authorizes a caller. A view that is too old to decide is first confirmed, within [`CONFIRM_TIMEOUT_MS`].
     pub(crate) async fn admit(&self, credentials: Credentials) -> Result<AuthorizedCaller, Denial> {
         let access = match self.decide(credentials) {
             Access::Unconfirmed | Access::ViewTooOld => {
@@ -113,8 +112,8 @@
         Err(denial)
     }
 
-    /// Says whether a caller that was admitted may still ask, before each attempt: its key may have been taken away,
-    /// or the VM suspended, since then.
+    /// Checks an admitted caller again before each attempt: its key may have been revoked, or the VM suspended, in the
+    /// meantime.
     pub(crate) fn is_still_authorized(&self, caller: &AuthorizedCaller) -> bool {
         match self.decide(caller.credentials) {
             Access::Granted(organisation) => {
