--- a/crates/borageshore_gateway/src/access.rs
+++ b/crates/borageshore_gateway/src/access.rs
@@ -42,6 +42,7 @@
 }
 
 impl Denial {
+    /// The refusal for the caller; it may be retried only if the view was too old.
     pub(crate) fn response(self) -> EdgeResponse {
         match self {
             Denial::Unauthorized => refusal(&Fault::new(ResultCode::UnknownCaller, ""), None),
--- a/crates/borageshore_gateway/src/dispatch.rs
+++ b/crates/borageshore_gateway/src/dispatch.rs
@@ -68,6 +68,7 @@
         dispatch
     }
 
+    /// Waits for a slot; waiting requests are served in the order of their ranks.
     pub(crate) async fn wait_for_slot(&self, request: SlotRequest) -> EngineSlot {
         loop {
             let (sender, receiver) = oneshot::channel();
--- a/crates/borageshore_gateway/src/endpoints/listing.rs
+++ b/crates/borageshore_gateway/src/endpoints/listing.rs
@@ -23,9 +23,9 @@
         match effect {
             EntryEffect::Accepted => {}
             EntryEffect::Restarted => {
-                let before = known.as_ref().map_or("", |known| &*known.listing.address);
+                let old_address = known.as_ref().map_or("", |known| &*known.listing.address);
                 log::info!(id = &**id, started_at_ms = entry.started_at_ms; "endpoint started again");
-                self.client.drop_idle_connections(before);
+                self.client.drop_idle_connections(old_address);
                 if let Some(known) = &known {
                     self.note_ended(&known.listing);
                 }
@@ -43,12 +43,12 @@
                 .borrow_mut()
                 .observe(instance, model, *version);
         }
-        let is_new_listing = known.is_none_or(|known| known.listing != entry.listing);
-        if is_new_listing {
+        let has_changed = known.is_none_or(|known| known.listing != entry.listing);
+        if has_changed {
             log::info!(instance = &**instance, service = &*entry.listing.service, address = &*entry.listing.address, state:? = entry.listing.state; "endpoint listed");
         }
         self.has_changed_entries
-            .set(self.has_changed_entries.get() || is_new_listing);
+            .set(self.has_changed_entries.get() || has_changed);
     }
 
     /// Removes an id whose entry was overwritten by another writer, without the grace period of a lapsed entry.
--- a/crates/borageshore_gateway/src/endpoints/mod.rs
+++ b/crates/borageshore_gateway/src/endpoints/mod.rs
@@ -102,7 +102,7 @@
         })
     }
 
-    /// Takes the instances that ended while listed as live, that is without [`EndpointState::Leaving`] first.
+    /// Takes the instances that ended while listed as live, without having been [`EndpointState::Leaving`] before.
     pub(crate) fn take_ended(&self) -> Vec<Arc<str>> {
         self.ended.take()
     }
--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -123,7 +123,7 @@
 
     /// Waits until the holds are read, or until [`MAX_START_WAIT_MS`] after the daemon's start.
     ///
-    /// Requests wait here instead of the daemon's readiness, as other daemons wait for that after a full stop.
+    /// The daemon reports readiness without this wait, as other daemons wait for it after a full stop.
     async fn wait_until_known(&self) {
         let left_ms = MAX_START_WAIT_MS.saturating_sub(self.clock.now_ms());
         if !self.is_known.get() && left_ms > 0 {
--- a/crates/borageshore_gateway/src/quarantine/records.rs
+++ b/crates/borageshore_gateway/src/quarantine/records.rs
@@ -40,9 +40,12 @@
 #[derive(Debug, Clone)]
 pub(super) struct TrialRecord {
     pub(super) content: Fingerprint,
+    /// Ordinal of the trial among those of the request, from 1.
     pub(super) number: u64,
+    /// Unique id of the claim.
     pub(super) claim: Arc<str>,
     pub(super) state: TrialState,
+    /// When it entered `state`, in Unix time.
     pub(super) at_ms: u64,
 }
 
