--- a/crates/borageshore_gateway/src/access.rs
+++ b/crates/borageshore_gateway/src/access.rs
@@ -9,7 +9,7 @@
 use borageshore_platform::refusal;
 use tokio::sync::Mutex;
 
-use crate::{follow::Follow, routes::Routes};
+use crate::{follow::Follower, routes::Routes};
 
 /// The store answers in 5 ms, and through a peer in twice that; a caller is not kept waiting for longer.
 const CONFIRM_MS: u64 = 250;
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub(crate) struct CallerAccess {
     routes: Rc<Routes>,
-    follow: Rc<Follow<Routes>>,
+    follow: Rc<Follower<Routes>>,
     /// A key is good while the view that has it was asked for within this time.
     most_age_ms: Option<u64>,
     /// One confirmation at a time serves all that wait for one.
@@ -67,7 +67,7 @@
 impl CallerAccess {
     pub(crate) fn open(
         routes: Rc<Routes>,
-        follow: Rc<Follow<Routes>>,
+        follow: Rc<Follower<Routes>>,
         most_age_ms: Option<u64>,
         instruments: Rc<Instruments>,
     ) -> Rc<Self> {
@@ -129,7 +129,7 @@
     fn view(&self) -> KeyView {
         let asked_at_ms = self
             .follow
-            .asked_at_ms()
+            .requested_at_ms()
             .filter(|_| self.routes.is_readable());
         KeyView {
             age_ms: asked_at_ms.map(|asked_at_ms| boot_time_ms().saturating_sub(asked_at_ms)),
--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     endpoints::Endpoints,
-    follow::{Fold, Follow, FollowSpec, ONLY_PARTITION},
+    follow::{Fold, FollowSpec, Follower, ONLY_PARTITION},
     members::Members,
     store_path::Store,
     usage::{ReportRecord, USAGE, UsageReports},
@@ -98,7 +98,7 @@
     store: Store,
     members: Rc<Members>,
     announcements: Rc<Announcements>,
-    follow: Rc<Follow<Announcements>>,
+    follow: Rc<Follower<Announcements>>,
     terms: DutyTiming,
 }
 
@@ -139,7 +139,7 @@
         Rc::new(Self {
             store: spec.store.clone(),
             members,
-            follow: Follow::spawn(spec, announcements.clone()),
+            follow: Follower::spawn(spec, announcements.clone()),
             announcements,
             terms,
         })
--- a/crates/borageshore_gateway/src/endpoints/listing.rs
+++ b/crates/borageshore_gateway/src/endpoints/listing.rs
@@ -170,7 +170,7 @@
         *self.unconfirmed.borrow_mut() = Some(known);
     }
 
-    fn on_fresh(&self) {
+    fn on_caught_up(&self) {
         let now_ms = self.clock.now_ms();
         if now_ms > self.read_at_ms.get() + OUTAGE_GAP_MS {
             self.outage_ended_ms.set(Some(now_ms));
--- a/crates/borageshore_gateway/src/fleet_records.rs
+++ b/crates/borageshore_gateway/src/fleet_records.rs
@@ -31,9 +31,9 @@
         self.quarantine.apply(&crashes);
     }
 
-    fn on_fresh(&self) {
-        self.members.on_fresh();
-        self.quarantine.on_fresh();
+    fn on_caught_up(&self) {
+        self.members.on_caught_up();
+        self.quarantine.on_caught_up();
     }
 
     fn on_gap(&self) {
--- a/crates/borageshore_gateway/src/follow.rs
+++ b/crates/borageshore_gateway/src/follow.rs
@@ -29,7 +29,7 @@
     /// Takes records in the order of their offsets.
     fn apply(&self, records: &[KeyedRecord]);
     /// Notes that all records up to now were applied.
-    fn on_fresh(&self) {}
+    fn on_caught_up(&self) {}
     /// Notes that records may have been missed: what comes next begins at the newest records, or at
     /// the end.
     fn on_gap(&self) {}
@@ -37,7 +37,7 @@
 
 /// Where a follower begins, and goes on after a gap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Begin {
+pub(crate) enum StartFrom {
     /// With the newest record of each key.
     Newest,
     /// With what is appended from now on.
@@ -50,7 +50,7 @@
     pub(crate) store: Store,
     pub(crate) topic: Topic,
     pub(crate) partition: u64,
-    pub(crate) begin: Begin,
+    pub(crate) start_from: StartFrom,
     pub(crate) clock: Clock,
     /// Records that come close together are read together: the pause before the next read.
     pub(crate) pause_ms: u64,
@@ -58,7 +58,7 @@
 
 /// A followed partition.
 #[derive(Debug)]
-pub(crate) struct Follow<Folded> {
+pub(crate) struct Follower<Folded> {
     spec: FollowSpec,
     position: RefCell<ViewPosition>,
     is_lost: Cell<bool>,
@@ -66,7 +66,7 @@
     fold: Rc<Folded>,
 }
 
-impl<Folded> Follow<Folded>
+impl<Folded> Follower<Folded>
 where
     Folded: Fold + 'static,
 {
@@ -120,7 +120,7 @@
     }
 
     /// When the newest question was asked whose answer made the view whole, on the clock that counts suspensions.
-    pub(crate) fn asked_at_ms(&self) -> Option<u64> {
+    pub(crate) fn requested_at_ms(&self) -> Option<u64> {
         self.position.borrow().requested_at_ms()
     }
 
@@ -152,15 +152,15 @@
     }
 
     async fn load(&self) -> Result<usize, StoreError> {
-        let asked_at_ms = boot_time_ms();
-        let page = match self.spec.begin {
-            Begin::Newest => {
+        let requested_at_ms = boot_time_ms();
+        let page = match self.spec.start_from {
+            StartFrom::Newest => {
                 self.spec
                     .store
                     .newest(self.spec.topic, self.spec.partition, "")
                     .await?
             }
-            Begin::End => Page {
+            StartFrom::End => Page {
                 end: self
                     .spec
                     .store
@@ -169,7 +169,7 @@
                 records: Vec::new(),
             },
         };
-        Ok(self.take(page, 0, asked_at_ms))
+        Ok(self.take(page, 0, requested_at_ms))
     }
 
     async fn read(&self, wait_ms: u64) -> Result<usize, StoreError> {
@@ -177,16 +177,16 @@
             return Err(StoreError::NotDone("nothing was read yet".into()));
         };
         let spec = &self.spec;
-        let asked_at_ms = boot_time_ms();
+        let requested_at_ms = boot_time_ms();
         let page = spec
             .store
             .read(spec.topic, spec.partition, from, wait_ms)
             .await?;
-        Ok(self.take(page, from, asked_at_ms))
+        Ok(self.take(page, from, requested_at_ms))
     }
 
     /// Applies what is new: two reads may bring the same records.
-    fn take(&self, page: Page, from: u64, asked_at_ms: u64) -> usize {
+    fn take(&self, page: Page, from: u64, requested_at_ms: u64) -> usize {
         if self.is_stopped.get() {
             return 0;
         }
@@ -198,7 +198,7 @@
         let after_last = page.records.last().map_or(from, |last| last.offset + 1);
         let is_whole = self.move_to(after_last, page.end);
         if is_whole {
-            self.fold.on_fresh();
+            self.fold.on_caught_up();
         }
         if self.is_lost.replace(false) {
             log::info!(topic:? = self.spec.topic, partition = self.spec.partition; "store regained");
@@ -207,7 +207,7 @@
             self.fold.apply(records);
         }
         if is_whole {
-            self.position.borrow_mut().on_response(asked_at_ms);
+            self.position.borrow_mut().on_response(requested_at_ms);
         }
         records.len()
     }
--- a/crates/borageshore_gateway/src/gateway.rs
+++ b/crates/borageshore_gateway/src/gateway.rs
@@ -18,7 +18,7 @@
     duties::Duties,
     endpoints::Endpoints,
     fleet_records::FleetRecords,
-    follow::{Begin, Follow, FollowSpec, ONLY_PARTITION},
+    follow::{FollowSpec, Follower, ONLY_PARTITION, StartFrom},
     item::ItemContext,
     ledger_view::LedgerView,
     life::{self, DrainTimes, Life, Signals},
@@ -65,7 +65,7 @@
     members: Rc<Members>,
     routes: Rc<Routes>,
     endpoints: Rc<Endpoints>,
-    open: Rc<Follow<SubmissionIndex>>,
+    open: Rc<Follower<SubmissionIndex>>,
     usage: Option<Rc<UsageCounter>>,
     runner: Rc<Runner>,
     writer: Rc<Writer>,
@@ -160,27 +160,27 @@
             store: store.clone(),
             topic,
             partition: ONLY_PARTITION,
-            begin: Begin::Newest,
+            start_from: StartFrom::Newest,
             clock,
             pause_ms,
         };
-        let followed_routes = Follow::spawn(spec(Topic::Operator, AT_ONCE_MS), routes.clone());
+        let followed_routes = Follower::spawn(spec(Topic::Operator, AT_ONCE_MS), routes.clone());
         let access = CallerAccess::open(
             routes.clone(),
             followed_routes,
             config.key_revocation_ms,
             instruments.clone(),
         );
-        Follow::spawn(spec(Topic::Endpoints, AT_ONCE_MS), endpoints.clone());
+        Follower::spawn(spec(Topic::Endpoints, AT_ONCE_MS), endpoints.clone());
         let fleet_records = FleetRecords {
             members: members.clone(),
             quarantine: quarantine.clone(),
         };
-        Follow::spawn(
+        Follower::spawn(
             spec(Topic::Members, MEMBERS_PAUSE_MS),
             Rc::new(fleet_records),
         );
-        let open = Follow::spawn(spec(Topic::Index, OPEN_PAUSE_MS), index.clone());
+        let open = Follower::spawn(spec(Topic::Index, OPEN_PAUSE_MS), index.clone());
         let orders = spec(Topic::Orders, ORDERS_PAUSE_MS);
         let time = SharedTime::spawn(members.clone());
         let reports = Rc::<UsageReports>::default();
--- a/crates/borageshore_gateway/src/ledger_view.rs
+++ b/crates/borageshore_gateway/src/ledger_view.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Notify;
 
 use crate::{
-    follow::{Begin, Fold, Follow, FollowSpec},
+    follow::{Fold, FollowSpec, Follower, StartFrom},
     store_path::Store,
 };
 
@@ -76,7 +76,7 @@
 
 #[derive(Debug)]
 struct Followed {
-    follow: Rc<Follow<ShardFold>>,
+    follow: Rc<Follower<ShardFold>>,
     used_at_ms: Cell<u64>,
 }
 
@@ -165,7 +165,7 @@
     }
 
     /// Waits until a shard is being followed: what is loaded must reach to where that began.
-    async fn has_begun(&self, follow: &Follow<ShardFold>) -> bool {
+    async fn has_begun(&self, follow: &Follower<ShardFold>) -> bool {
         let begun = async {
             loop {
                 let changed = self.changed.notified();
@@ -202,7 +202,7 @@
     }
 
     /// Follows a shard from its end on.
-    fn follow(self: &Rc<Self>, shard: Shard) -> Rc<Follow<ShardFold>> {
+    fn follow(self: &Rc<Self>, shard: Shard) -> Rc<Follower<ShardFold>> {
         let now_ms = self.clock.now_ms();
         let mut shards = self.shards.borrow_mut();
         let followed = shards.get_or_insert_with(shard, || {
@@ -214,11 +214,11 @@
                 store: self.store.clone(),
                 topic: shard.topic(),
                 partition: shard.partition(),
-                begin: Begin::End,
+                start_from: StartFrom::End,
                 clock: self.clock,
                 pause_ms: FOLLOW_PAUSE_MS,
             };
-            let follow = Follow::spawn(spec, Rc::new(fold));
+            let follow = Follower::spawn(spec, Rc::new(fold));
             Followed {
                 follow,
                 used_at_ms: Cell::new(now_ms),
@@ -295,7 +295,7 @@
         self.view.changed.notify_waiters();
     }
 
-    fn on_fresh(&self) {
+    fn on_caught_up(&self) {
         self.view.changed.notify_waiters();
     }
 
--- a/crates/borageshore_gateway/src/members/mod.rs
+++ b/crates/borageshore_gateway/src/members/mod.rs
@@ -333,7 +333,7 @@
         self.changed.notify_waiters();
     }
 
-    fn on_fresh(&self) {
+    fn on_caught_up(&self) {
         self.table.borrow_mut().on_read(self.clock.now_ms());
     }
 }
--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -344,7 +344,7 @@
         }
     }
 
-    fn on_fresh(&self) {
+    fn on_caught_up(&self) {
         self.is_known.set(true);
         self.has_read.notify_waiters();
     }
--- a/crates/borageshore_gateway/src/submission_index.rs
+++ b/crates/borageshore_gateway/src/submission_index.rs
@@ -158,7 +158,7 @@
         self.changed.notify_waiters();
     }
 
-    fn on_fresh(&self) {
+    fn on_caught_up(&self) {
         self.is_known.set(true);
     }
 
--- a/crates/borageshore_gateway/src/usage/view.rs
+++ b/crates/borageshore_gateway/src/usage/view.rs
@@ -11,7 +11,7 @@
 
 use super::records::{total_counts, total_key};
 use crate::{
-    follow::{Begin, Fold, Follow, FollowSpec},
+    follow::{Fold, FollowSpec, Follower, StartFrom},
     store_path::Store,
 };
 
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub(super) struct UsageView {
     store: Store,
-    partitions: Vec<Rc<Follow<TotalsFold>>>,
+    partitions: Vec<Rc<Follower<TotalsFold>>>,
     folds: Vec<Rc<TotalsFold>>,
 }
 
@@ -63,12 +63,12 @@
             store: store.clone(),
             topic: Topic::Usage,
             partition,
-            begin: Begin::Newest,
+            start_from: StartFrom::Newest,
             clock,
             pause_ms: PAUSE_MS,
         };
         let numbered = (0..).zip(&folds);
-        let partitions = numbered.map(|(number, fold)| Follow::spawn(spec(number), fold.clone()));
+        let partitions = numbered.map(|(number, fold)| Follower::spawn(spec(number), fold.clone()));
         Self {
             store: store.clone(),
             partitions: partitions.collect(),
