--- a/crates/borageshore_gateway/src/item/mod.rs
+++ b/crates/borageshore_gateway/src/item/mod.rs
@@ -25,7 +25,7 @@
     quarantine::{Leave, Quarantine},
     rewards::{Reward, Rewards},
     routes::Routes,
-    texts::Texts,
+    text_cache::TextCache,
     writer::Writer,
 };
 
@@ -47,7 +47,7 @@
     pub(crate) client: EndpointClient,
     pub(crate) rewards: Rc<Rewards>,
     pub(crate) view: Rc<LedgerView>,
-    pub(crate) texts: Rc<Texts>,
+    pub(crate) texts: Rc<TextCache>,
     pub(crate) progress: Rc<Progress>,
     pub(crate) instruments: Rc<Instruments>,
     pub(crate) writer: Rc<Writer>,
@@ -96,7 +96,7 @@
     context: &'r ItemContext,
     submission: &'r Submission,
     item: &'r Item,
-    /// The name under which its text is kept.
+    /// The name under which its text is cached.
     kept_name: Arc<str>,
     rank: (u64, ItemRank),
     seen_at_ms: u64,
@@ -120,10 +120,10 @@
             return result;
         }
         let texts = &self.context.texts;
-        let mut kept = texts.take(&self.kept_name, self.submission.min_version);
-        let text = kept.text();
+        let mut cached = texts.take(&self.kept_name, self.submission.min_version);
+        let text = cached.text();
         if !text.is_complete() && !self.generate(text).await {
-            kept.discard();
+            cached.remove();
             return self.given_up();
         }
         self.timing.generated_ms.set(self.waited_ms());
@@ -133,12 +133,12 @@
             match self.context.rewards.score(call, self.give_up_ms()).await {
                 Reward::Score(stamp) => score = Some(stamp),
                 Reward::Failed => {
-                    kept.discard();
+                    cached.remove();
                     return self.given_up();
                 }
             }
         }
-        let text = kept.discard();
+        let text = cached.remove();
         ItemResult {
             item: self.item.id.clone(),
             state: ItemState::Done,
--- a/crates/borageshore_gateway/src/lib.rs
+++ b/crates/borageshore_gateway/src/lib.rs
@@ -36,7 +36,7 @@
 mod store_path;
 mod submission_index;
 mod submissions;
-mod texts;
+mod text_cache;
 mod true_time;
 mod usage;
 mod watch;
--- a/crates/borageshore_gateway/src/texts.rs
+++ b/crates/borageshore_gateway/src/text_cache.rs
@@ -6,13 +6,13 @@
 use borageshore_batch::Text;
 
 /// The most items whose texts are kept: those of two steps of three trainers. A text has 9 kB in the mean.
-const KEPT_ITEMS: usize = 1_000;
+const MAX_ITEMS: usize = 1_000;
 
 /// What is kept of an item.
 #[derive(Debug)]
-struct Kept {
+struct CachedItem {
     /// Items in the order in which they were last kept.
-    number: u64,
+    sequence: u64,
     /// Texts of different runs, which may have been made under different versions.
     texts: Vec<Text>,
 }
@@ -22,32 +22,32 @@
 /// A trainer ends a step when enough groups are complete and sends the other groups again with a
 /// later step. What was made of their texts goes on then instead of beginning anew.
 #[derive(Debug)]
-pub(crate) struct Texts {
-    kept: RefCell<SortedMap<Arc<str>, Kept>>,
-    counter: RefCell<u64>,
+pub(crate) struct TextCache {
+    items: RefCell<SortedMap<Arc<str>, CachedItem>>,
+    last_sequence: RefCell<u64>,
     /// Whether texts outlive their run.
-    is_on: bool,
+    is_enabled: bool,
 }
 
-impl Texts {
-    pub(crate) fn open(is_on: bool) -> Self {
+impl TextCache {
+    pub(crate) fn open(is_enabled: bool) -> Self {
         Self {
-            kept: RefCell::default(),
-            counter: RefCell::default(),
-            is_on,
+            items: RefCell::default(),
+            last_sequence: RefCell::default(),
+            is_enabled,
         }
     }
 
     /// Takes the longest text of an item that was made under `min_version` or newer ones, empty if there
     /// is none; all others are too old for good.
-    pub(crate) fn take(self: &Rc<Self>, item: &Arc<str>, min_version: u64) -> KeptText {
-        let kept = self.kept.borrow_mut().remove(item);
-        let texts = kept.into_iter().flat_map(|kept| kept.texts);
-        let fitting = texts.filter(|text| text.meets_min_version(min_version));
-        KeptText {
-            texts: self.clone(),
+    pub(crate) fn take(self: &Rc<Self>, item: &Arc<str>, min_version: u64) -> CachedText {
+        let cached = self.items.borrow_mut().remove(item);
+        let texts = cached.into_iter().flat_map(|cached| cached.texts);
+        let usable = texts.filter(|text| text.meets_min_version(min_version));
+        CachedText {
+            cache: self.clone(),
             item: item.clone(),
-            text: fitting.max_by_key(Text::last_event),
+            text: usable.max_by_key(Text::last_event),
         }
     }
 
@@ -59,21 +59,21 @@
     }
 
     fn put(&self, item: Arc<str>, text: Text) {
-        let mut counter = self.counter.borrow_mut();
-        *counter += 1;
-        let number = *counter;
-        let mut kept = self.kept.borrow_mut();
-        let of_item = kept.get_or_insert_with(item, || Kept {
-            number,
+        let mut last_sequence = self.last_sequence.borrow_mut();
+        *last_sequence += 1;
+        let sequence = *last_sequence;
+        let mut items = self.items.borrow_mut();
+        let cached = items.get_or_insert_with(item, || CachedItem {
+            sequence,
             texts: Vec::new(),
         });
-        of_item.number = number;
-        of_item.texts.push(text);
-        if kept.len() > KEPT_ITEMS {
-            let oldest = kept.iter().min_by_key(|(_, kept)| kept.number);
+        cached.sequence = sequence;
+        cached.texts.push(text);
+        if items.len() > MAX_ITEMS {
+            let oldest = items.iter().min_by_key(|(_, cached)| cached.sequence);
             let oldest = oldest.map(|(item, _)| item.clone());
             if let Some(oldest) = oldest {
-                kept.remove(&oldest);
+                items.remove(&oldest);
             }
         }
     }
@@ -81,29 +81,33 @@
 
 /// A text that goes back among the kept ones when it is dropped.
 #[derive(Debug)]
-pub(crate) struct KeptText {
-    texts: Rc<Texts>,
+pub(crate) struct CachedText {
+    cache: Rc<TextCache>,
     item: Arc<str>,
     text: Option<Text>,
 }
 
-impl KeptText {
+impl CachedText {
     /// The text.
     pub(crate) fn text(&mut self) -> &mut Text {
         self.text.get_or_insert_default()
     }
 
     /// Takes the text out for good.
-    pub(crate) fn discard(mut self) -> Text {
+    pub(crate) fn remove(mut self) -> Text {
         self.text.take().unwrap_or_default()
     }
 }
 
-impl Drop for KeptText {
+impl Drop for CachedText {
     fn drop(&mut self) {
-        let is_on = self.texts.is_on;
-        if let Some(text) = self.text.take().filter(|text| is_on && !text.is_empty()) {
-            self.texts.put(self.item.clone(), text);
+        let is_enabled = self.cache.is_enabled;
+        if let Some(text) = self
+            .text
+            .take()
+            .filter(|text| is_enabled && !text.is_empty())
+        {
+            self.cache.put(self.item.clone(), text);
         }
     }
 }
