--- a/crates/borageshore_gateway/src/item/stay.rs
+++ b/crates/borageshore_gateway/src/item/attempt.rs
@@ -14,29 +14,29 @@
 };
 
 /// An engine answers within some ms of its slot being free; a line of its own lasts half a second.
-const FIRST_BYTE_MS: u64 = 900;
+const FIRST_BYTE_TIMEOUT_MS: u64 = 900;
 /// Events come 40 ms apart, 160 ms at an engine that is four times slower. Silence for this long is
 /// a lost engine or connection; going on elsewhere costs a few ms. A load of weights is no reason to be
 /// silent: runs go on during it.
-const SILENCE_MS: u64 = 600;
+const EVENT_TIMEOUT_MS: u64 = 600;
 /// At an engine of the usual pace, give or take its load and noise, nothing better is looked for.
-const SLOW_PERCENT: u64 = 116;
+const MIN_SLOW_PERCENT: u64 = 116;
 /// A better engine is looked for after so many events: a look goes through all engines of the
 /// service, and a daemon that runs three trainers reads 1,800 events a second.
-const LOOK_EVERY_EVENTS: u64 = 4;
+const MOVE_CHECK_INTERVAL_EVENTS: u64 = 4;
 /// An engine that has made so many events of a text, some 0.4 s, is not crashed by it: a text that crashes engines
 /// does so as it begins to run.
-const SOUND_EVENTS: u64 = 10;
+const CRASH_FREE_EVENTS: u64 = 10;
 
 /// How a stay at an engine ended.
 #[derive(Debug)]
-pub(super) enum Stay {
+pub(super) enum AttemptOutcome {
     /// The text is complete.
     Complete,
     /// It goes on at a better engine, where it has a slot.
     Move(Place),
     /// It goes on elsewhere: the engine refused or was lost.
-    GoOn { is_refused: bool },
+    Retry { is_refused: bool },
     /// The engine failed at it.
     Failed,
     /// It can never be done.
@@ -45,14 +45,14 @@
 
 impl ItemRun<'_> {
     /// Sends the item to an engine and reads until it leaves there.
-    pub(super) async fn stay(
+    pub(super) async fn attempt(
         &self,
         place: Place,
         leave: &Leave,
         route: &Route,
         request: &PlaceRequest,
         text: &mut Text,
-    ) -> Stay {
+    ) -> AttemptOutcome {
         let organisation = self.submission.organisation.as_deref();
         let generation_request = GenerationRequest {
             host: &self.submission.host,
@@ -60,7 +60,7 @@
             item: self.item,
             last_event: text.last_event(),
             priority: self.context.routes.priority(route, organisation),
-            first_byte_ms: FIRST_BYTE_MS,
+            first_byte_ms: FIRST_BYTE_TIMEOUT_MS,
         };
         let instance = place.target.instance.clone();
         let mut sent = self
@@ -72,23 +72,28 @@
             .client
             .generate(&place.target, &generation_request)
             .await;
-        let stay = match started {
+        let outcome = match started {
             Ok(generation) => self.read(place, generation, request, text, &mut sent).await,
             Err(GenerationError::Failed) => {
                 place.in_flight.fail();
-                Stay::Failed
+                AttemptOutcome::Failed
             }
             Err(GenerationError::Invalid) => {
                 place.in_flight.succeed();
-                Stay::Invalid
+                AttemptOutcome::Invalid
             }
-            Err(GenerationError::Attempt(error)) => self.lose(place, &error, &mut sent),
+            Err(GenerationError::Attempt(error)) => self.on_attempt_error(place, &error, &mut sent),
         };
         sent.on_end();
-        stay
+        outcome
     }
 
-    fn lose<Content>(&self, place: Place, error: &AttemptError, sent: &mut Sent<Content>) -> Stay
+    fn on_attempt_error<Content>(
+        &self,
+        place: Place,
+        error: &AttemptError,
+        sent: &mut Sent<Content>,
+    ) -> AttemptOutcome
     where
         Content: Fn() -> Fingerprint,
     {
@@ -98,15 +103,15 @@
         match error {
             AttemptError::Refused { status: 421, .. } => {
                 place.in_flight.fail();
-                Stay::GoOn { is_refused: true }
+                AttemptOutcome::Retry { is_refused: true }
             }
             AttemptError::Refused { load, .. } => {
                 place.in_flight.on_load(*load);
-                Stay::GoOn { is_refused: true }
+                AttemptOutcome::Retry { is_refused: true }
             }
             AttemptError::NotSent(_) | AttemptError::Lost(_) | AttemptError::Broken(_) => {
                 place.in_flight.fail();
-                Stay::GoOn { is_refused: false }
+                AttemptOutcome::Retry { is_refused: false }
             }
         }
     }
@@ -119,7 +124,7 @@
         request: &PlaceRequest,
         text: &mut Text,
         sent: &mut Sent<Content>,
-    ) -> Stay
+    ) -> AttemptOutcome
     where
         Content: Fn() -> Fingerprint,
     {
@@ -127,40 +132,40 @@
         place.in_flight.on_load(generation.load);
         let mut version = generation.version;
         let mut event_at_us = None;
-        let sound_from = text.last_event() + SOUND_EVENTS;
+        let crash_free_at = text.last_event() + CRASH_FREE_EVENTS;
         loop {
             if let Some(version) = version {
-                self.note_version(&instance, version);
+                self.record_version(&instance, version);
                 if version < request.min_version || version > request.max_version {
-                    return Stay::GoOn { is_refused: true };
+                    return AttemptOutcome::Retry { is_refused: true };
                 }
             }
-            let event = match generation.next_event(SILENCE_MS).await {
+            let event = match generation.next_event(EVENT_TIMEOUT_MS).await {
                 Ok(Some(event)) => event,
                 Ok(None) => {
                     text.mark_complete();
                     sent.on_success();
                     generation.release(&self.context.client);
                     place.in_flight.succeed();
-                    return Stay::Complete;
+                    return AttemptOutcome::Complete;
                 }
-                Err(error) => return self.lose(place, &error, sent),
+                Err(error) => return self.on_attempt_error(place, &error, sent),
             };
             version = event.version.or(version);
             if version.is_some_and(|version| version > request.max_version) {
-                return Stay::GoOn { is_refused: true };
+                return AttemptOutcome::Retry { is_refused: true };
             }
             let events_before = text.last_event();
             let pushed = text.push(event.id, event.data.clone(), version);
             if text.last_event() > events_before {
                 self.save_event(event.data, version);
-                if text.last_event() == sound_from {
+                if text.last_event() == crash_free_at {
                     sent.on_success();
                 }
             }
             if let Err(fault) = pushed {
                 let error = AttemptError::Lost(format!("event {}: {fault:?}", event.id));
-                return self.lose(place, &error, sent);
+                return self.on_attempt_error(place, &error, sent);
             }
             let now_us = self.context.clock.now_us();
             if let Some(before_us) = event_at_us.replace(now_us) {
@@ -169,7 +174,7 @@
                     .on_event_gap(&instance, now_us - before_us);
             }
             if let Some(better) = self.better_place(&instance, event.id, request) {
-                return Stay::Move(better);
+                return AttemptOutcome::Move(better);
             }
         }
     }
@@ -181,15 +186,15 @@
         events: u64,
         request: &PlaceRequest,
     ) -> Option<Place> {
-        let is_on = self.context.mechanisms.has(Mechanism::MovesToBetterEngines);
-        if !is_on || !events.is_multiple_of(LOOK_EVERY_EVENTS) {
+        let is_enabled = self.context.mechanisms.has(Mechanism::MovesToBetterEngines);
+        if !is_enabled || !events.is_multiple_of(MOVE_CHECK_INTERVAL_EVENTS) {
             return None;
         }
         let item = RunningItem {
             latency_percent: self.context.endpoints.pace_of(instance),
             events,
         };
-        if item.latency_percent < SLOW_PERCENT {
+        if item.latency_percent < MIN_SLOW_PERCENT {
             return None;
         }
         let better = self.context.dispatch.take_better(request, item)?;
@@ -201,7 +206,7 @@
         Some(better)
     }
 
-    fn note_version(&self, instance: &Arc<str>, version: u64) {
+    fn record_version(&self, instance: &Arc<str>, version: u64) {
         if let Some(model) = &self.submission.model {
             let known =
                 |versions: &borageshore_batch::EngineVersions| versions.get(instance, model);
--- a/crates/borageshore_gateway/src/item/mod.rs
+++ b/crates/borageshore_gateway/src/item/mod.rs
@@ -1,6 +1,6 @@
 //! One item from its first token to its result.
 
-mod stay;
+mod attempt;
 
 use std::{
     cell::{Cell, OnceCell, RefCell},
@@ -15,7 +15,7 @@
 use borageshore_routing::{Fingerprint, Route};
 use bytes::Bytes;
 
-use self::stay::Stay;
+use self::attempt::AttemptOutcome;
 use crate::{
     dispatch::{Dispatch, Place, PlaceRequest},
     endpoints::Endpoints,
@@ -30,11 +30,11 @@
 };
 
 /// An item waits this long for another engine than the one that just refused or lost it.
-const AVOID_MS: u64 = 300;
+const AVOID_TIMEOUT_MS: u64 = 300;
 /// The pause after a refusal, so that a full service is not asked in a tight loop.
-const REFUSED_PAUSE_MS: u64 = 30;
+const REFUSED_RETRY_MS: u64 = 30;
 /// The pause before a missing route is looked up again.
-const NO_ROUTE_PAUSE_MS: u64 = 500;
+const NO_ROUTE_RETRY_MS: u64 = 500;
 
 /// What items need of the rest of the daemon.
 #[derive(Debug)]
@@ -67,7 +67,7 @@
         context: &context,
         submission: &submission,
         item,
-        kept_name: submission.scoped_item_id(item),
+        text_key: submission.scoped_item_id(item),
         rank,
         seen_at_ms,
         timing: Timing::default(),
@@ -86,7 +86,7 @@
         hint_tokens = item.length_hint_tokens.unwrap_or(0), state:? = result.state,
         versions:? = result.versions, waited_ms = context.clock.now_ms() - seen_at_ms,
         placed_ms = run.timing.placed_ms.get(), generated_ms = run.timing.generated_ms.get(),
-        stays = run.timing.stays.get(), events = run.timing.events.get();
+        stays = run.timing.attempts.get(), events = run.timing.events.get();
         "item finished"
     );
     context.writer.write(submission.id.clone(), result);
@@ -97,7 +97,7 @@
     submission: &'r Submission,
     item: &'r Item,
     /// The name under which its text is cached.
-    kept_name: Arc<str>,
+    text_key: Arc<str>,
     rank: (u64, ItemRank),
     seen_at_ms: u64,
     timing: Timing,
@@ -110,7 +110,7 @@
 struct Timing {
     placed_ms: Cell<u64>,
     generated_ms: Cell<u64>,
-    stays: Cell<u64>,
+    attempts: Cell<u64>,
     events: Cell<u64>,
 }
 
@@ -120,7 +120,7 @@
             return result;
         }
         let texts = &self.context.texts;
-        let mut cached = texts.take(&self.kept_name, self.submission.min_version);
+        let mut cached = texts.take(&self.text_key, self.submission.min_version);
         let text = cached.text();
         if !text.is_complete() && !self.generate(text).await {
             cached.remove();
@@ -130,7 +130,7 @@
         self.timing.events.set(text.last_event());
         let mut score = None;
         if let Some(call) = &self.item.reward {
-            match self.context.rewards.score(call, self.give_up_ms()).await {
+            match self.context.rewards.score(call, self.deadline_ms()).await {
                 Reward::Score(stamp) => score = Some(stamp),
                 Reward::Failed => {
                     cached.remove();
@@ -150,15 +150,15 @@
 
     /// The result of the same item in an earlier submission, if its reward call is the same too.
     fn earlier_result(&self) -> Option<ItemResult> {
-        let is_one_version = |result: &ItemResult| result.versions.len() <= 1;
+        let has_one_version = |result: &ItemResult| result.versions.len() <= 1;
         let route = self
             .context
             .routes
             .find(&self.submission.host, &self.submission.path)?;
         self.context.view.with(|ledger| {
             let earlier = ledger.earlier_result(self.submission, self.item)?;
-            let fits = !route.is_single_version || is_one_version(&earlier);
-            fits.then(|| ItemResult::clone(&earlier))
+            let is_valid = !route.is_single_version || has_one_version(&earlier);
+            is_valid.then(|| ItemResult::clone(&earlier))
         })
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// When the item may be given up, as long as its route is there.
-    fn give_up_ms(&self) -> u64 {
+    fn deadline_ms(&self) -> u64 {
         let (host, path) = (&self.submission.host, &self.submission.path);
         let route = self.context.routes.find(host, path);
         let retention_ms = route.map_or(u64::MAX, |route| route.retention_ms);
@@ -192,21 +192,21 @@
 
     /// Makes the whole text; says whether it is complete.
     async fn generate(&self, text: &mut Text) -> bool {
-        self.begin_saving(text);
+        self.start_saving(text);
         let mut failures = 0;
         let mut avoid = Vec::new();
-        let mut better = None;
+        let mut next_place = None;
         loop {
             let route = self.route().await;
             if self.context.clock.now_ms() >= self.seen_at_ms.saturating_add(route.retention_ms) {
                 return false;
             }
-            let Some(leave) = self.leave(&route).await else {
-                better = None;
+            let Some(leave) = self.admit(&route).await else {
+                next_place = None;
                 continue;
             };
             let request = self.place_request(&route, text, std::mem::take(&mut avoid));
-            let place = match better.take() {
+            let place = match next_place.take() {
                 Some(place) => place,
                 None => self.place(request.clone()).await,
             };
@@ -215,14 +215,14 @@
                 continue;
             }
             let instance = place.target.instance.clone();
-            if self.timing.stays.replace(self.timing.stays.get() + 1) == 0 {
+            if self.timing.attempts.replace(self.timing.attempts.get() + 1) == 0 {
                 self.timing.placed_ms.set(self.waited_ms());
             }
-            match self.stay(place, &leave, &route, &request, text).await {
-                Stay::Complete => return true,
-                Stay::Move(place) => better = Some(place),
-                Stay::Invalid => return false,
-                Stay::Failed => {
+            match self.attempt(place, &leave, &route, &request, text).await {
+                AttemptOutcome::Complete => return true,
+                AttemptOutcome::Move(place) => next_place = Some(place),
+                AttemptOutcome::Invalid => return false,
+                AttemptOutcome::Failed => {
                     failures += 1;
                     if failures >= route.max_attempts {
                         return false;
@@ -230,40 +230,40 @@
                     // An engine that fails part of its runs must not use up an item's attempts.
                     avoid.push(instance);
                 }
-                Stay::GoOn { is_refused: true } => {
+                AttemptOutcome::Retry { is_refused: true } => {
                     avoid.push(instance);
-                    sleep_ms(REFUSED_PAUSE_MS).await;
+                    sleep_ms(REFUSED_RETRY_MS).await;
                 }
-                Stay::GoOn { is_refused: false } => avoid.push(instance),
+                AttemptOutcome::Retry { is_refused: false } => avoid.push(instance),
             }
-            if route.is_single_version && self.must_begin_again(text) {
+            if route.is_single_version && self.must_restart(text) {
                 *text = Text::default();
-                self.begin_saving(text);
+                self.start_saving(text);
             }
         }
     }
 
     /// Leave to go to an engine; `None` after a wait if the item is held back.
-    async fn leave(&self, route: &Route) -> Option<Leave> {
+    async fn admit(&self, route: &Route) -> Option<Leave> {
         let context = self.context;
         match context.quarantine.admit(|| self.content()).await {
             Ok(leave) => Some(leave),
             Err(held) => {
-                let give_up_ms = self.seen_at_ms.saturating_add(route.retention_ms);
-                let left_ms = give_up_ms.saturating_sub(context.clock.now_ms());
+                let deadline_ms = self.seen_at_ms.saturating_add(route.retention_ms);
+                let remaining_ms = deadline_ms.saturating_sub(context.clock.now_ms());
                 context.instruments.count("quarantine", "waits");
                 log::info!(item = &*self.item.id, content:% = self.content(), again_ms = held.again_ms; "item held back");
                 let content = self.content();
-                context.quarantine.wait(content, held, left_ms).await;
+                context.quarantine.wait(content, held, remaining_ms).await;
                 None
             }
         }
     }
 
-    fn begin_saving(&self, text: &Text) {
+    fn start_saving(&self, text: &Text) {
         let submission = &self.submission.id;
         let progress = &self.context.progress;
-        let saving = progress.begin(submission, &self.kept_name, text);
+        let saving = progress.begin(submission, &self.text_key, text);
         self.saving.replace(Some(saving));
     }
 
@@ -282,19 +282,19 @@
             if let Some(route) = route {
                 return route;
             }
-            sleep_ms(NO_ROUTE_PAUSE_MS).await;
+            sleep_ms(NO_ROUTE_RETRY_MS).await;
         }
     }
 
     fn place_request(&self, route: &Route, text: &Text, avoid: Vec<Arc<str>>) -> PlaceRequest {
-        let made_under = text.versions().last().copied();
-        let only = made_under.filter(|_| route.is_single_version);
+        let version = text.versions().last().copied();
+        let pinned_version = version.filter(|_| route.is_single_version);
         let service = route.service_for(self.context.endpoints.random()).cloned();
         PlaceRequest {
             service: service.unwrap_or_default(),
             model: self.submission.model.clone(),
-            min_version: only.unwrap_or(self.submission.min_version),
-            max_version: only.unwrap_or(u64::MAX),
+            min_version: pinned_version.unwrap_or(self.submission.min_version),
+            max_version: pinned_version.unwrap_or(u64::MAX),
             group: self.item.group.clone(),
             rank: self.rank,
             avoid,
@@ -303,15 +303,15 @@
 
     async fn place(&self, request: PlaceRequest) -> Place {
         let dispatch = &self.context.dispatch;
-        let is_on = self.context.mechanisms.has(Mechanism::Avoidance);
-        if request.avoid.is_empty() || !is_on {
+        let is_enabled = self.context.mechanisms.has(Mechanism::Avoidance);
+        if request.avoid.is_empty() || !is_enabled {
             let request = PlaceRequest {
                 avoid: Vec::new(),
                 ..request
             };
             return dispatch.place(request).await;
         }
-        if let Some(place) = within_ms(AVOID_MS, dispatch.place(request.clone())).await {
+        if let Some(place) = within_ms(AVOID_TIMEOUT_MS, dispatch.place(request.clone())).await {
             return place;
         }
         let avoid = Vec::new();
@@ -319,7 +319,7 @@
     }
 
     /// A text under one version cannot go on once no engine has that version any more.
-    fn must_begin_again(&self, text: &Text) -> bool {
+    fn must_restart(&self, text: &Text) -> bool {
         let Some(version) = text.versions().last() else {
             return false;
         };
