--- a/crates/borageshore_gateway/src/endpoints/mod.rs
+++ b/crates/borageshore_gateway/src/endpoints/mod.rs
@@ -261,7 +261,7 @@
 
     /// Takes over the time between two events of a generation.
     pub(crate) fn on_event_gap(&self, instance: &Arc<str>, gap_us: u64) {
-        if self.mechanisms.has(Mechanism::Pace) {
+        if self.mechanisms.is_enabled(Mechanism::Pace) {
             let now_ms = self.clock.now_ms();
             self.paces.borrow_mut().record(instance, gap_us, now_ms);
         }
--- a/crates/borageshore_gateway/src/gateway.rs
+++ b/crates/borageshore_gateway/src/gateway.rs
@@ -85,7 +85,7 @@
         let store_path = StorePath::open(
             config.store_address.clone(),
             clock,
-            mechanisms.has(Mechanism::StoreDetour),
+            mechanisms.is_enabled(Mechanism::StoreDetour),
         );
         let store = Store::open(store_path.clone());
         let client = EndpointClient::open();
@@ -131,7 +131,7 @@
             members.clone(),
             author.as_str().into(),
             partitions,
-            mechanisms.has(Mechanism::StoredTexts),
+            mechanisms.is_enabled(Mechanism::StoredTexts),
         );
         let writer = Writer::spawn(store.clone(), author, partitions);
         let context = ItemContext {
@@ -150,7 +150,7 @@
             quarantine: quarantine.clone(),
             writer: writer.clone(),
             view: view.clone(),
-            texts: Rc::new(TextCache::open(mechanisms.has(Mechanism::KeptTexts))),
+            texts: Rc::new(TextCache::open(mechanisms.is_enabled(Mechanism::KeptTexts))),
             mechanisms,
             progress,
             instruments: instruments.clone(),
--- a/crates/borageshore_gateway/src/item/attempt.rs
+++ b/crates/borageshore_gateway/src/item/attempt.rs
@@ -186,7 +186,10 @@
         events: u64,
         request: &PlaceRequest,
     ) -> Option<Place> {
-        let is_enabled = self.context.mechanisms.has(Mechanism::MovesToBetterEngines);
+        let is_enabled = self
+            .context
+            .mechanisms
+            .is_enabled(Mechanism::MovesToBetterEngines);
         if !is_enabled || !events.is_multiple_of(MOVE_CHECK_INTERVAL_EVENTS) {
             return None;
         }
--- a/crates/borageshore_gateway/src/item/mod.rs
+++ b/crates/borageshore_gateway/src/item/mod.rs
@@ -303,7 +303,7 @@
 
     async fn place(&self, request: PlaceRequest) -> Place {
         let dispatch = &self.context.dispatch;
-        let is_enabled = self.context.mechanisms.has(Mechanism::Avoidance);
+        let is_enabled = self.context.mechanisms.is_enabled(Mechanism::Avoidance);
         if request.avoid.is_empty() || !is_enabled {
             let request = PlaceRequest {
                 avoid: Vec::new(),
--- a/crates/borageshore_gateway/src/mechanisms.rs
+++ b/crates/borageshore_gateway/src/mechanisms.rs
@@ -25,17 +25,17 @@
 /// Which mechanisms are on.
 #[derive(Debug, Clone, Default)]
 pub struct Mechanisms {
-    off: Vec<Mechanism>,
+    disabled: Vec<Mechanism>,
 }
 
 impl Mechanisms {
     /// All but some.
-    pub fn without(off: Vec<Mechanism>) -> Self {
-        Self { off }
+    pub fn without(disabled: Vec<Mechanism>) -> Self {
+        Self { disabled }
     }
 
     /// Says whether a mechanism is on.
-    pub fn has(&self, mechanism: Mechanism) -> bool {
-        !self.off.contains(&mechanism)
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
+        !self.disabled.contains(&mechanism)
     }
 }
--- a/crates/borageshore_gateway/src/runner.rs
+++ b/crates/borageshore_gateway/src/runner.rs
@@ -167,7 +167,10 @@
     fn held(&self, own: &[&OpenSubmission]) -> Vec<Arc<str>> {
         let running = self.running.borrow();
         let is_whole = |id: &Arc<str>| {
-            let is_on = self.context.mechanisms.has(Mechanism::HeldUntilEnded);
+            let is_on = self
+                .context
+                .mechanisms
+                .is_enabled(Mechanism::HeldUntilEnded);
             let is_whole =
                 |state: &SubmissionState| is_on && state.is_complete() && !state.is_ended();
             self.view.with_loaded(id, is_whole).unwrap_or(false)
