--- a/crates/borageshore_gateway/src/cleaner.rs
+++ b/crates/borageshore_gateway/src/cleaner.rs
@@ -14,9 +14,9 @@
 };
 
 /// The pace at which expired submissions are looked for.
-const PACE_MS: u64 = 5_000;
+const INTERVAL_MS: u64 = 5_000;
 /// Clocks of two VMs differ by less.
-const CLOCK_SLACK_MS: u64 = 10_000;
+const MAX_CLOCK_SKEW_MS: u64 = 10_000;
 /// Keys of one append, as each is a record of its own.
 const KEYS_PER_APPEND: usize = 500;
 
@@ -32,24 +32,24 @@
     pub(crate) members: Rc<Members>,
     pub(crate) quarantine: Rc<Quarantine>,
     /// How long after its submission a result can be read.
-    pub(crate) kept_ms: u64,
+    pub(crate) retention_ms: u64,
 }
 
 impl Cleaner {
     /// Cleans until the process ends. Two daemons that both do so for a moment remove the same keys.
     pub(crate) async fn run(self) {
-        let slack_ms = CLOCK_SLACK_MS.min(self.kept_ms);
+        let clock_skew_ms = MAX_CLOCK_SKEW_MS.min(self.retention_ms);
         loop {
-            sleep_ms(PACE_MS).await;
-            let is_first = self.is_first();
-            self.quarantine.expire(is_first);
-            if !is_first {
+            sleep_ms(INTERVAL_MS).await;
+            let is_responsible = self.is_responsible();
+            self.quarantine.expire(is_responsible);
+            if !is_responsible {
                 continue;
             }
             if let Err(error) = self.members.forget_dead(&self.store).await {
                 log::info!(error:% = error; "records of dead daemons not removed");
             }
-            for id in self.index.expired(self.kept_ms, slack_ms) {
+            for id in self.index.expired(self.retention_ms, clock_skew_ms) {
                 match self.remove(&id).await {
                     Ok(()) => log::info!(submission = &*id; "records removed, their time is over"),
                     Err(error) => {
@@ -60,11 +60,11 @@
         }
     }
 
-    fn is_first(&self) -> bool {
-        let able = self.members.able_names();
-        let names = able.iter().map(|name| &**name);
-        let first = rank_by_rendezvous("cleaner", names).into_iter().next();
-        first == Some(&*self.members.own_name())
+    fn is_responsible(&self) -> bool {
+        let eligible = self.members.able_names();
+        let names = eligible.iter().map(|name| &**name);
+        let responsible = rank_by_rendezvous("cleaner", names).into_iter().next();
+        responsible == Some(&*self.members.own_name())
     }
 
     /// The index goes last: what is left by a failure is found again.
@@ -78,8 +78,8 @@
             .into_iter()
             .map(|record| (record.key, Bytes::new()))
             .collect();
-        for some in removals.chunks(KEYS_PER_APPEND) {
-            self.store.append(topic, partition, some, None).await?;
+        for chunk in removals.chunks(KEYS_PER_APPEND) {
+            self.store.append(topic, partition, chunk, None).await?;
         }
         self.index.remove(id).await
     }
--- a/crates/borageshore_gateway/src/gateway.rs
+++ b/crates/borageshore_gateway/src/gateway.rs
@@ -223,7 +223,7 @@
             index,
             members: members.clone(),
             quarantine: quarantine.clone(),
-            kept_ms: config.results_kept_s * 1_000,
+            retention_ms: config.results_kept_s * 1_000,
         };
         monoio::spawn(cleaner.run());
         monoio::spawn(members.clone().announce(store.clone()));
--- a/crates/borageshore_gateway/src/runner.rs
+++ b/crates/borageshore_gateway/src/runner.rs
@@ -214,9 +214,9 @@
         match step {
             NextStep::Run if is_elsewhere => {}
             NextStep::Run => self.start(id),
-            NextStep::Close => {
+            NextStep::MarkEnded => {
                 let (index, id) = (self.index.clone(), id.clone());
-                monoio::spawn(async move { index.close(&id).await });
+                monoio::spawn(async move { index.mark_ended(&id).await });
             }
             NextStep::Nothing => {}
         }
@@ -283,14 +283,14 @@
 enum NextStep {
     Run,
     /// It is ended and only its entry was left.
-    Close,
+    MarkEnded,
     /// All its items are listed, or only its entry was written yet.
     Nothing,
 }
 
 fn next_step(state: &SubmissionState) -> NextStep {
     if state.is_ended() {
-        NextStep::Close
+        NextStep::MarkEnded
     } else if state.is_open() {
         NextStep::Run
     } else {
--- a/crates/borageshore_gateway/src/submission_index.rs
+++ b/crates/borageshore_gateway/src/submission_index.rs
@@ -65,12 +65,12 @@
     }
 
     /// The submissions whose records may be removed.
-    pub(crate) fn expired(&self, kept_ms: u64, slack_ms: u64) -> Vec<Arc<str>> {
+    pub(crate) fn expired(&self, retention_ms: u64, clock_skew_ms: u64) -> Vec<Arc<str>> {
         let now_ms = time_of_day_ms();
         let entries = self.entries.borrow();
         let expired = entries
             .iter()
-            .filter(|(_, entry)| entry.is_expired(kept_ms, slack_ms, now_ms));
+            .filter(|(_, entry)| entry.is_expired(retention_ms, clock_skew_ms, now_ms));
         expired.map(|(id, _)| id.clone()).collect()
     }
 
@@ -81,7 +81,7 @@
     }
 
     /// Enters a submission whose items run at a service with so many slots.
-    pub(crate) async fn enter(
+    pub(crate) async fn add(
         &self,
         submission: &Submission,
         service: &str,
@@ -102,7 +102,7 @@
     }
 
     /// Marks a submission as ended; left open, it costs its owner a look.
-    pub(crate) async fn close(&self, id: &Arc<str>) {
+    pub(crate) async fn mark_ended(&self, id: &Arc<str>) {
         let entry = self.entries.borrow().get(id).cloned();
         let Some(entry) = entry else {
             return;
--- a/crates/borageshore_gateway/src/submissions.rs
+++ b/crates/borageshore_gateway/src/submissions.rs
@@ -78,7 +78,7 @@
         let started_ms = self.clock.now_ms();
         let items = submission.items.len();
         let slots = self.endpoints.slots_of(service);
-        let entered = self.index.enter(&submission, service, slots).await;
+        let entered = self.index.add(&submission, service, slots).await;
         let record = LedgerRecord::Accept(Arc::new(submission));
         let appended = match entered {
             Ok(()) => self.append(&record).await,
@@ -240,7 +240,7 @@
         match self.append(&record).await {
             Ok(()) => {
                 log::info!(submission = &**id; "submission ended");
-                self.index.close(id).await;
+                self.index.mark_ended(id).await;
                 ok_response()
             }
             Err(error) => {
