--- a/crates/borageshore_gateway/src/item/mod.rs
+++ b/crates/borageshore_gateway/src/item/mod.rs
@@ -21,7 +21,7 @@
     endpoints::Endpoints,
     ledger_view::LedgerView,
     mechanisms::{Mechanism, Mechanisms},
-    progress::{Progress, Saving},
+    progress::{Progress, SaveHandle},
     quarantine::{Leave, Quarantine},
     rewards::{Reward, Rewards},
     routes::Routes,
@@ -71,7 +71,7 @@
         rank,
         seen_at_ms,
         timing: Timing::default(),
-        saving: RefCell::default(),
+        save_handle: RefCell::default(),
         content: OnceCell::new(),
     };
     let result = run.finish().await;
@@ -101,7 +101,7 @@
     rank: (u64, ItemRank),
     seen_at_ms: u64,
     timing: Timing,
-    saving: RefCell<Option<Saving>>,
+    save_handle: RefCell<Option<SaveHandle>>,
     content: OnceCell<Fingerprint>,
 }
 
@@ -263,13 +263,13 @@
     fn start_saving(&self, text: &Text) {
         let submission = &self.submission.id;
         let progress = &self.context.progress;
-        let saving = progress.begin(submission, &self.text_key, text);
-        self.saving.replace(Some(saving));
+        let handle = progress.start_saving(submission, &self.text_key, text);
+        self.save_handle.replace(Some(handle));
     }
 
     fn save_event(&self, data: Bytes, version: Option<u64>) {
-        if let (Some(saving), Some(version)) = (&*self.saving.borrow(), version) {
-            saving.push(data, version);
+        if let (Some(handle), Some(version)) = (&*self.save_handle.borrow(), version) {
+            handle.push(data, version);
         }
     }
 
--- a/crates/borageshore_gateway/src/progress.rs
+++ b/crates/borageshore_gateway/src/progress.rs
@@ -18,19 +18,19 @@
 use crate::{ledger_view::Shard, members::Members, store_path::Store};
 
 /// The pace at which new events are stored; a full stop loses what was made since.
-const SAVE_EVERY_MS: u64 = 250;
+const SAVE_INTERVAL_MS: u64 = 250;
 /// The pace falls by this much for each daemon that runs steps beyond ten, so that all of them together make
 /// 80 appends a second at the most, of the 800 to 1,200 that the store takes.
-const SAVE_EVERY_MS_PER_HOLDER: u64 = 25;
+const SAVE_INTERVAL_MS_PER_HOLDER: u64 = 25;
 /// A text with fewer events is made again in a third of a second, no longer than a takeover takes.
-const LEAST_EVENTS: usize = 10;
+const MIN_EVENTS: usize = 10;
 /// The bytes a second that all daemons together store: the store keeps 20 s of history or more, and takes
 /// 400 MB of all topics.
-const ALL_BYTES_PER_S: usize = 6_000_000;
+const MAX_TOTAL_BYTES_PER_S: usize = 6_000_000;
 /// The most bytes of events in a record: the store takes 256 KiB, and the encoding may double quotes and line
 /// ends. A text of which more waits to be stored, in an outage of the store, is not stored any more: with a part
 /// of its events it could not be said which versions made them. Usual ones have 9 to 65 kB in all.
-const RECORD_BYTES: usize = 100_000;
+const MAX_RECORD_BYTES: usize = 100_000;
 /// The last records of a shard from which a reader learns where the pieces begin that are needed: eight
 /// seconds of one daemon's, or four of two that write to the same shard. With the last 8 of a partition for
 /// all submissions of a trainer, those of an owner that was cut off two seconds ago were not among them.
@@ -46,7 +46,7 @@
     unsaved: Vec<Bytes>,
     versions: Vec<u64>,
     /// Where its first piece lies; `None` before that was stored.
-    began_at: Option<u64>,
+    first_offset: Option<u64>,
 }
 
 impl SavedRun {
@@ -56,8 +56,8 @@
 
     /// Whether it is worth storing: a short text is, once it was begun with.
     fn is_due(&self) -> bool {
-        let is_long = self.unsaved.len() >= LEAST_EVENTS || self.began_at.is_some();
-        is_long && !self.unsaved.is_empty()
+        let is_worth_storing = self.unsaved.len() >= MIN_EVENTS || self.first_offset.is_some();
+        is_worth_storing && !self.unsaved.is_empty()
     }
 }
 
@@ -74,11 +74,11 @@
     /// Names this process among all that ever wrote.
     author: Arc<str>,
     partitions: u64,
-    is_on: bool,
+    is_enabled: bool,
     runs: RefCell<SortedMap<u64, SavedRun>>,
     next_run: Cell<u64>,
-    is_lost: Cell<bool>,
-    began: Notify,
+    is_failing: Cell<bool>,
+    run_added: Notify,
 }
 
 impl Progress {
@@ -88,7 +88,7 @@
         members: Rc<Members>,
         author: Arc<str>,
         partitions: u64,
-        is_on: bool,
+        is_enabled: bool,
     ) -> Rc<Self> {
         let progress = Rc::new(Self {
             store,
@@ -96,18 +96,23 @@
             members,
             author,
             partitions,
-            is_on,
+            is_enabled,
             runs: RefCell::default(),
             next_run: Cell::default(),
-            is_lost: Cell::default(),
-            began: Notify::new(),
+            is_failing: Cell::default(),
+            run_added: Notify::new(),
         });
         monoio::spawn(progress.clone().run());
         progress
     }
 
     /// Begins to store the text of an item, with what there is of it already.
-    pub(crate) fn begin(self: &Rc<Self>, submission: &str, item: &Arc<str>, text: &Text) -> Saving {
+    pub(crate) fn start_saving(
+        self: &Rc<Self>,
+        submission: &str,
+        item: &Arc<str>,
+        text: &Text,
+    ) -> SaveHandle {
         let run = self.next_run.get() + 1;
         self.next_run.set(run);
         let saved = SavedRun {
@@ -116,13 +121,13 @@
             next_event: 1,
             unsaved: text.events().to_vec(),
             versions: text.versions().to_vec(),
-            began_at: None,
+            first_offset: None,
         };
-        if self.is_on && saved.unsaved_bytes() <= RECORD_BYTES {
+        if self.is_enabled && saved.unsaved_bytes() <= MAX_RECORD_BYTES {
             self.runs.borrow_mut().insert(run, saved);
         }
-        self.began.notify_one();
-        Saving {
+        self.run_added.notify_one();
+        SaveHandle {
             progress: self.clone(),
             run,
         }
@@ -131,12 +136,12 @@
     async fn run(self: Rc<Self>) {
         loop {
             if self.runs.borrow().is_empty() {
-                self.began.notified().await;
+                self.run_added.notified().await;
             }
             let holders = self.members.holders().max(1);
-            let pause_ms = SAVE_EVERY_MS.max(holders as u64 * SAVE_EVERY_MS_PER_HOLDER);
-            sleep_ms(pause_ms).await;
-            self.save(bytes_a_turn(pause_ms, holders)).await;
+            let interval_ms = SAVE_INTERVAL_MS.max(holders as u64 * SAVE_INTERVAL_MS_PER_HOLDER);
+            sleep_ms(interval_ms).await;
+            self.save(bytes_per_save(interval_ms, holders)).await;
         }
     }
 
@@ -157,11 +162,11 @@
         let due = runs.iter().filter(|(_, run)| run.is_due());
         let mut due: Vec<(u64, &SavedRun)> = due.map(|(number, run)| (*number, run)).collect();
         due.sort_by_key(|(_, run)| Reverse(run.next_event + run.unsaved.len() as u64));
-        let mut taken_bytes = 0;
+        let mut total_bytes = 0;
         let fits = |(_, run): &(u64, &SavedRun)| {
-            let is_first = taken_bytes == 0;
-            taken_bytes += run.unsaved_bytes();
-            is_first || taken_bytes <= bytes
+            let is_first = total_bytes == 0;
+            total_bytes += run.unsaved_bytes();
+            is_first || total_bytes <= bytes
         };
         let due = due.into_iter().take_while(fits);
         due.map(|(number, run)| (run.shard, number)).collect()
@@ -169,7 +174,7 @@
 
     async fn append(&self, shard: Shard, due: &[u64]) {
         for numbers in self.records(due) {
-            let Some((batch, stored_to)) = self.batch(shard, &numbers) else {
+            let Some((batch, stored_until)) = self.batch(shard, &numbers) else {
                 continue;
             };
             let record = [(Arc::from(""), batch.encode())];
@@ -179,11 +184,11 @@
                 .await;
             match appended {
                 Ok(appended) => {
-                    self.note_saved(&stored_to, appended.offset);
-                    self.is_lost.replace(false);
+                    self.on_saved(&stored_until, appended.offset);
+                    self.is_failing.replace(false);
                 }
                 Err(error) => {
-                    self.note_loss(&error);
+                    self.on_store_error(&error);
                     return;
                 }
             }
@@ -194,10 +199,10 @@
     fn records(&self, due: &[u64]) -> Vec<Vec<u64>> {
         let runs = self.runs.borrow();
         let mut records: Vec<Vec<u64>> = Vec::new();
-        let mut bytes = RECORD_BYTES;
+        let mut bytes = MAX_RECORD_BYTES;
         for number in due {
             let run_bytes = runs.get(number).map_or(0, SavedRun::unsaved_bytes);
-            if bytes + run_bytes > RECORD_BYTES {
+            if bytes + run_bytes > MAX_RECORD_BYTES {
                 records.push(Vec::new());
                 bytes = 0;
             }
@@ -213,10 +218,10 @@
         let known = numbers
             .iter()
             .filter_map(|number| Some((*number, runs.get(number)?)));
-        let mut stored_to = Vec::new();
+        let mut stored_until = Vec::new();
         let mut pieces = Vec::new();
         for (number, run) in known {
-            stored_to.push((number, run.next_event + run.unsaved.len() as u64));
+            stored_until.push((number, run.next_event + run.unsaved.len() as u64));
             let text = |event: &Bytes| String::from_utf8_lossy(event).into_owned();
             pieces.push(TextPiece {
                 item: run.item.clone(),
@@ -226,43 +231,43 @@
                 versions: run.versions.clone(),
             });
         }
-        let of_shard = runs.values().filter(|run| run.shard == shard);
-        let needed_from = of_shard.filter_map(|run| run.began_at).min();
+        let shard_runs = runs.values().filter(|run| run.shard == shard);
+        let needed_from = shard_runs.filter_map(|run| run.first_offset).min();
         let batch = PieceBatch {
             author: self.author.clone(),
             needed_from: needed_from.unwrap_or(u64::MAX),
             pieces,
         };
-        (!stored_to.is_empty()).then_some((batch, stored_to))
+        (!stored_until.is_empty()).then_some((batch, stored_until))
     }
 
     /// Notes what an append has stored; another one under way at the same time may have stored it too.
-    fn note_saved(&self, stored_to: &[(u64, u64)], offset: u64) {
+    fn on_saved(&self, stored_until: &[(u64, u64)], offset: u64) {
         let mut runs = self.runs.borrow_mut();
-        for (number, stored_to) in stored_to {
+        for (number, stored_until) in stored_until {
             if let Some(run) = runs.get_mut(number) {
-                let stored = stored_to.saturating_sub(run.next_event);
+                let stored = stored_until.saturating_sub(run.next_event);
                 run.unsaved.drain(..stored as usize);
                 run.next_event += stored;
-                run.began_at.get_or_insert(offset);
+                run.first_offset.get_or_insert(offset);
             }
         }
     }
 
-    fn note_loss(&self, error: &StoreError) {
-        if !self.is_lost.replace(true) {
+    fn on_store_error(&self, error: &StoreError) {
+        if !self.is_failing.replace(true) {
             log::warn!(error:% = error; "texts under way are not stored, a successor would begin them again");
         }
     }
 
     /// Reads the texts under way of a submission's items, as far as they are stored.
-    pub(crate) async fn restore(&self, submission: &str, within: u64) -> Vec<(Arc<str>, Text)> {
-        if !self.is_on {
+    pub(crate) async fn restore(&self, submission: &str, timeout_ms: u64) -> Vec<(Arc<str>, Text)> {
+        if !self.is_enabled {
             return Vec::new();
         }
         let started_ms = self.clock.now_ms();
         match within_ms(
-            within,
+            timeout_ms,
             self.read_texts(Shard::of(submission, self.partitions)),
         )
         .await
@@ -277,7 +282,7 @@
                 Vec::new()
             }
             None => {
-                log::warn!(submission, within; "texts under way took too long to read, they begin again");
+                log::warn!(submission, within = timeout_ms; "texts under way took too long to read, they begin again");
                 Vec::new()
             }
         }
@@ -325,18 +330,18 @@
 }
 
 /// This daemon's part of what all that run steps store.
-fn bytes_a_turn(pause_ms: u64, holders: usize) -> usize {
-    ALL_BYTES_PER_S * pause_ms as usize / 1_000 / holders
+fn bytes_per_save(interval_ms: u64, holders: usize) -> usize {
+    MAX_TOTAL_BYTES_PER_S * interval_ms as usize / 1_000 / holders
 }
 
 /// Stores the text of one run until it is dropped.
 #[derive(Debug)]
-pub(crate) struct Saving {
+pub(crate) struct SaveHandle {
     progress: Rc<Progress>,
     run: u64,
 }
 
-impl Saving {
+impl SaveHandle {
     /// Takes over the next event of the text.
     pub(crate) fn push(&self, data: Bytes, version: u64) {
         let mut runs = self.progress.runs.borrow_mut();
@@ -345,7 +350,7 @@
             if !run.versions.contains(&version) {
                 run.versions.push(version);
             }
-            if run.unsaved_bytes() > RECORD_BYTES {
+            if run.unsaved_bytes() > MAX_RECORD_BYTES {
                 log::info!(item = &*run.item; "too much of a text waits to be stored, it is not any more");
                 runs.remove(&self.run);
             }
@@ -353,7 +358,7 @@
     }
 }
 
-impl Drop for Saving {
+impl Drop for SaveHandle {
     fn drop(&mut self) {
         self.progress.runs.borrow_mut().remove(&self.run);
     }
