--- a/crates/borageshore_gateway/src/runner.rs
+++ b/crates/borageshore_gateway/src/runner.rs
@@ -23,32 +23,32 @@
 
 /// While submissions are open, owners are looked at again after this time: a daemon dies without a
 /// record.
-const RECHECK_MS: u64 = 250;
+const RECHECK_INTERVAL_MS: u64 = 250;
 
 /// The pause before records are read again that could not be read.
-const LOAD_AGAIN_MS: u64 = 200;
+const LOAD_RETRY_MS: u64 = 200;
 
 /// How long a takeover waits for the texts under way: four reads of a slow store. A text that began again
 /// instead would take up to seven seconds more.
-const RESTORE_MS: u64 = 1_000;
+const RESTORE_TIMEOUT_MS: u64 = 1_000;
 
 /// Tells futures to end.
 #[derive(Debug, Default)]
 struct Cancel {
     is_cancelled: Cell<bool>,
-    told: Notify,
+    notify: Notify,
 }
 
 impl Cancel {
     fn cancel(&self) {
         self.is_cancelled.set(true);
-        self.told.notify_waiters();
+        self.notify.notify_waiters();
     }
 
     async fn cancelled(&self) {
-        let told = self.told.notified();
+        let notified = self.notify.notified();
         if !self.is_cancelled.get() {
-            told.await;
+            notified.await;
         }
     }
 }
@@ -69,7 +69,7 @@
     /// The open submissions, and whether texts of theirs may be under way elsewhere.
     origins: RefCell<SortedMap<Arc<str>, Origin>>,
     /// Whether the index was known at the last look.
-    has_looked: Cell<bool>,
+    has_read_index: Cell<bool>,
     restoring: RefCell<Vec<Arc<str>>>,
 }
 
@@ -82,10 +82,10 @@
     Elsewhere,
 }
 
-struct Opened {
+struct Unfinished {
     submission: Arc<Submission>,
     seen_at_ms: u64,
-    unlisted: Vec<usize>,
+    pending: Vec<usize>,
 }
 
 impl Runner {
@@ -103,7 +103,7 @@
             running: RefCell::default(),
             loading: RefCell::default(),
             origins: RefCell::default(),
-            has_looked: Cell::new(false),
+            has_read_index: Cell::new(false),
             restoring: RefCell::default(),
         });
         monoio::spawn(runner.clone().run());
@@ -124,7 +124,7 @@
             let records_changed = select(ledger_changed, index_changed);
             let changed = select(records_changed, members_changed);
             if has_open {
-                within_ms(RECHECK_MS, changed).await;
+                within_ms(RECHECK_INTERVAL_MS, changed).await;
             } else {
                 changed.await;
             }
@@ -137,17 +137,17 @@
         let open = self.index.open_submissions();
         let is_own = |known: &&OpenSubmission| self.members.owns(&known.id, &known.work_key);
         let own: Vec<&OpenSubmission> = open.iter().filter(is_own).collect();
-        self.note_origins(&open, &own);
+        self.update_origins(&open, &own);
         self.running.borrow_mut().retain(|id, cancel| {
             // Records may have been missed; the items go on meanwhile.
             let is_open = self.view.with_loaded(id, SubmissionState::is_open);
             let is_own = own.iter().any(|known| known.id == *id);
-            let stays = is_own && is_open.unwrap_or(true);
-            if !stays {
+            let keeps_running = is_own && is_open.unwrap_or(true);
+            if !keeps_running {
                 log::info!(submission = &**id; "submission left");
                 cancel.cancel();
             }
-            stays
+            keeps_running
         });
         for known in &own {
             self.view.touch(&known.id);
@@ -155,7 +155,7 @@
                 self.take_over(known);
             }
         }
-        self.members.set_holds(self.held(&own));
+        self.members.set_holds(self.held_submissions(&own));
         !open.is_empty()
     }
 
@@ -164,20 +164,20 @@
     /// Guards the trainer's last read of a step: readers are sent to the daemon that holds a submission, and
     /// when that let go of a whole one, the read which the step was waiting for went to a daemon that had
     /// to load its records first, 0.3 s of a step of 8 s.
-    fn held(&self, own: &[&OpenSubmission]) -> Vec<Arc<str>> {
+    fn held_submissions(&self, own: &[&OpenSubmission]) -> Vec<Arc<str>> {
         let running = self.running.borrow();
-        let is_whole = |id: &Arc<str>| {
-            let is_on = self
+        let awaits_end = |id: &Arc<str>| {
+            let is_enabled = self
                 .context
                 .mechanisms
                 .is_enabled(Mechanism::HeldUntilEnded);
-            let is_whole =
-                |state: &SubmissionState| is_on && state.is_complete() && !state.is_ended();
-            self.view.with_loaded(id, is_whole).unwrap_or(false)
+            let awaits_end =
+                |state: &SubmissionState| is_enabled && state.is_complete() && !state.is_ended();
+            self.view.with_loaded(id, awaits_end).unwrap_or(false)
         };
         let ids = own.iter().map(|known| &known.id);
         let mut held: Vec<Arc<str>> = ids
-            .filter(|id| running.contains_key(*id) || is_whole(id))
+            .filter(|id| running.contains_key(*id) || awaits_end(id))
             .cloned()
             .collect();
         held.sort_unstable();
@@ -186,16 +186,16 @@
 
     /// Notes of each open submission whether its texts may be under way elsewhere: one that comes to this
     /// daemon as soon as it is entered was run by nobody before.
-    fn note_origins(&self, open: &[OpenSubmission], own: &[&OpenSubmission]) {
-        let has_looked = self.has_looked.replace(self.index.is_known());
+    fn update_origins(&self, open: &[OpenSubmission], own: &[&OpenSubmission]) {
+        let has_read_index = self.has_read_index.replace(self.index.is_known());
         let mut origins = self.origins.borrow_mut();
         origins.retain(|id, _| open.iter().any(|known| known.id == *id));
         for known in open {
             let is_own = own.iter().any(|own| own.id == known.id);
-            let is_news = !origins.contains_key(&known.id);
-            if is_news && is_own && has_looked {
+            let is_new = !origins.contains_key(&known.id);
+            if is_new && is_own && has_read_index {
                 origins.insert(known.id.clone(), Origin::Here);
-            } else if is_news || !is_own {
+            } else if is_new || !is_own {
                 origins.insert(known.id.clone(), Origin::Elsewhere);
             }
         }
@@ -203,8 +203,8 @@
 
     fn take_over(self: &Rc<Self>, known: &OpenSubmission) {
         let id = &known.id;
-        let is_elsewhere = self.origins.borrow().get(id) == Some(&Origin::Elsewhere);
-        if is_elsewhere {
+        let needs_restore = self.origins.borrow().get(id) == Some(&Origin::Elsewhere);
+        if needs_restore {
             self.restore(id);
         }
         let Some(step) = self.view.with_loaded(id, next_step) else {
@@ -212,7 +212,7 @@
             return;
         };
         match step {
-            NextStep::Run if is_elsewhere => {}
+            NextStep::Run if needs_restore => {}
             NextStep::Run => self.start(id),
             NextStep::MarkEnded => {
                 let (index, id) = (self.index.clone(), id.clone());
@@ -231,7 +231,7 @@
         let (runner, id) = (self.clone(), id.clone());
         monoio::spawn(async move {
             let context = &runner.context;
-            let texts = context.progress.restore(&id, RESTORE_MS).await;
+            let texts = context.progress.restore(&id, RESTORE_TIMEOUT_MS).await;
             context.texts.restore(texts);
             runner.restoring.borrow_mut().retain(|other| *other != id);
             runner.origins.borrow_mut().insert(id, Origin::Here);
@@ -248,26 +248,26 @@
         let (runner, id) = (self.clone(), id.clone());
         monoio::spawn(async move {
             if !runner.view.load(&id).await {
-                sleep_ms(LOAD_AGAIN_MS).await;
+                sleep_ms(LOAD_RETRY_MS).await;
             }
             runner.loading.borrow_mut().retain(|loading| *loading != id);
         });
     }
 
     fn start(&self, id: &Arc<str>) {
-        let Some(Some(opened)) = self.view.with_loaded(id, opened) else {
+        let Some(Some(unfinished)) = self.view.with_loaded(id, unfinished) else {
             return;
         };
-        log::info!(submission = &**id, items = opened.unlisted.len(); "submission taken over");
+        log::info!(submission = &**id, items = unfinished.pending.len(); "submission taken over");
         let cancel = Rc::new(Cancel::default());
-        let ranks = rank_items(&opened.submission);
-        for index in opened.unlisted {
+        let ranks = rank_items(&unfinished.submission);
+        for index in unfinished.pending {
             let item = run_item(
                 self.context.clone(),
-                opened.submission.clone(),
+                unfinished.submission.clone(),
                 index,
-                (opened.seen_at_ms, ranks[index]),
-                opened.seen_at_ms,
+                (unfinished.seen_at_ms, ranks[index]),
+                unfinished.seen_at_ms,
             );
             let cancel = cancel.clone();
             monoio::spawn(async move {
@@ -298,13 +298,13 @@
     }
 }
 
-fn opened(state: &SubmissionState) -> Option<Opened> {
+fn unfinished(state: &SubmissionState) -> Option<Unfinished> {
     let submission = state.submission()?.clone();
-    let unlisted = |index: &usize| !state.has_result(&submission.items[*index].id);
-    let unlisted = (0..submission.items.len()).filter(unlisted).collect();
-    Some(Opened {
+    let pending = |index: &usize| !state.has_result(&submission.items[*index].id);
+    let pending = (0..submission.items.len()).filter(pending).collect();
+    Some(Unfinished {
         seen_at_ms: state.first_seen_at_ms(),
-        unlisted,
+        pending,
         submission,
     })
 }
