--- a/crates/borageshore_gateway/src/submissions.rs
+++ b/crates/borageshore_gateway/src/submissions.rs
@@ -20,16 +20,16 @@
 
 /// Readers are told that there is nothing only by a view that is no older. A result that one daemon
 /// has shown must be shown by all a second later; this leaves half of it for the answer's way.
-const VIEW_AGE_MS: u64 = 500;
+const MAX_VIEW_AGE_MS: u64 = 500;
 /// The longest that a reader is kept waiting for a result.
-const WAIT_AT_MOST_MS: u64 = 5_000;
+const MAX_WAIT_MS: u64 = 5_000;
 /// Readers come back after this time when the view may be too old; the next read may succeed.
-const READ_AGAIN_MS: u64 = 300;
+const READ_RETRY_AFTER_MS: u64 = 300;
 /// A submission that the store did not take comes back after this time: outages of the store last
 /// for seconds, and another daemon may reach it.
-const SUBMIT_AGAIN_MS: u64 = 250;
+const SUBMIT_RETRY_AFTER_MS: u64 = 250;
 /// The most bytes of one append; the store takes 2 MiB.
-const APPEND_BYTES: usize = 1_500_000;
+const MAX_APPEND_BYTES: usize = 1_500_000;
 
 /// The submissions as trainers reach them.
 #[derive(Debug)]
@@ -78,9 +78,9 @@
         let started_ms = self.clock.now_ms();
         let items = submission.items.len();
         let slots = self.endpoints.slots_of(service);
-        let entered = self.index.add(&submission, service, slots).await;
+        let indexed = self.index.add(&submission, service, slots).await;
         let record = LedgerRecord::Accept(Arc::new(submission));
-        let appended = match entered {
+        let appended = match indexed {
             Ok(()) => self.append(&record).await,
             Err(error) => Err(error),
         };
@@ -92,11 +92,11 @@
                 log::info!(submission = &*id, items, took_ms; "submission accepted");
                 accepted_response()
             }
-            Err(error) => self.not_accepted(&id, &error),
+            Err(error) => self.refuse_submission(&id, &error),
         }
     }
 
-    fn not_accepted(&self, id: &str, error: &StoreError) -> EdgeResponse {
+    fn refuse_submission(&self, id: &str, error: &StoreError) -> EdgeResponse {
         if self.is_accepted(id) {
             return accepted_response();
         }
@@ -109,7 +109,7 @@
             }
             other => {
                 let fault = Fault::new(ResultCode::StoreUnavailable, other.to_string());
-                refusal(&fault, Some(SUBMIT_AGAIN_MS))
+                refusal(&fault, Some(SUBMIT_RETRY_AFTER_MS))
             }
         }
     }
@@ -125,25 +125,25 @@
         let shard = Shard::of(record.submission(), self.partitions);
         let mut batch: Vec<(Arc<str>, Bytes)> = Vec::new();
         let mut bytes = 0;
-        for piece in record.encode("") {
-            if bytes + piece.1.len() > APPEND_BYTES {
+        for entry in record.encode("") {
+            if bytes + entry.1.len() > MAX_APPEND_BYTES {
                 let full = std::mem::take(&mut batch);
-                self.append_pieces(shard, &full).await?;
+                self.append_entries(shard, &full).await?;
                 bytes = 0;
             }
-            bytes += piece.1.len();
-            batch.push(piece);
+            bytes += entry.1.len();
+            batch.push(entry);
         }
-        self.append_pieces(shard, &batch).await
+        self.append_entries(shard, &batch).await
     }
 
-    async fn append_pieces(
+    async fn append_entries(
         &self,
         shard: Shard,
-        pieces: &[(Arc<str>, Bytes)],
+        entries: &[(Arc<str>, Bytes)],
     ) -> Result<(), StoreError> {
         let (topic, partition) = (shard.topic(), shard.partition());
-        let appended = self.store.append(topic, partition, pieces, None).await;
+        let appended = self.store.append(topic, partition, entries, None).await;
         appended.map(|_| ())
     }
 
@@ -152,48 +152,50 @@
     /// "No such submission" is said only after a read of its own: a view that was whole half a second ago knows
     /// nothing of a submission that was accepted 20 ms ago, and its trainer would be told 404.
     pub(crate) async fn results(&self, id: &Arc<str>, after: usize, wait_ms: u64) -> EdgeResponse {
-        let until_ms = self.clock.now_ms() + wait_ms.min(WAIT_AT_MOST_MS);
+        let deadline_ms = self.clock.now_ms() + wait_ms.min(MAX_WAIT_MS);
         if !self.view.load(id).await {
-            return unsure(id);
+            return view_too_old(id);
         }
         loop {
             let changed = self.view.changed.notified();
             if let Some(page) = self.page(id, after, false) {
                 return page;
             }
-            let left_ms = until_ms.saturating_sub(self.clock.now_ms());
-            if left_ms == 0 || self.is_whole(id) || !self.is_accepted(id) {
+            let remaining_ms = deadline_ms.saturating_sub(self.clock.now_ms());
+            if remaining_ms == 0 || self.is_complete(id) || !self.is_accepted(id) {
                 break;
             }
-            within_ms(left_ms, changed).await;
+            within_ms(remaining_ms, changed).await;
         }
-        if !self.is_sure(id).await {
-            return unsure(id);
+        if !self.confirm_view(id).await {
+            return view_too_old(id);
         }
         match self.page(id, after, true) {
             Some(page) => page,
-            None if !self.view.confirm_now(id).await => unsure(id),
-            None => self.page(id, after, true).unwrap_or_else(|| unknown(id)),
+            None if !self.view.confirm_now(id).await => view_too_old(id),
+            None => self
+                .page(id, after, true)
+                .unwrap_or_else(|| unknown_submission(id)),
         }
     }
 
-    fn is_whole(&self, id: &str) -> bool {
-        let is_whole = self.view.with_loaded(id, SubmissionState::is_complete);
-        is_whole.unwrap_or(false)
+    fn is_complete(&self, id: &str) -> bool {
+        let is_complete = self.view.with_loaded(id, SubmissionState::is_complete);
+        is_complete.unwrap_or(false)
     }
 
     /// Makes sure that all that was ever shown of a submission is here.
-    async fn is_sure(&self, id: &Arc<str>) -> bool {
-        self.view.load(id).await && self.view.confirm(id, VIEW_AGE_MS).await
+    async fn confirm_view(&self, id: &Arc<str>) -> bool {
+        self.view.load(id).await && self.view.confirm(id, MAX_VIEW_AGE_MS).await
     }
 
-    /// A page of results, or an empty one where `even_empty` says so.
-    fn page(&self, id: &str, after: usize, even_empty: bool) -> Option<EdgeResponse> {
+    /// A page of results, or an empty one where `allow_empty` says so.
+    fn page(&self, id: &str, after: usize, allow_empty: bool) -> Option<EdgeResponse> {
         let page = |state: &SubmissionState| {
             let total = state.submission()?.items.len();
             let results = state.results().get(after..).unwrap_or_default();
-            let is_given = even_empty || !results.is_empty();
-            is_given.then(|| results_response(total, after, results))
+            let has_page = allow_empty || !results.is_empty();
+            has_page.then(|| results_response(total, after, results))
         };
         self.view.with_loaded(id, page)?
     }
@@ -203,16 +205,17 @@
         if let Some(body) = self.item_body(id, item) {
             return body;
         }
-        if !self.is_sure(id).await {
-            return unsure(id);
+        if !self.confirm_view(id).await {
+            return view_too_old(id);
         }
         if let Some(body) = self.item_body(id, item) {
             return body;
         }
         if !self.view.confirm_now(id).await {
-            return unsure(id);
+            return view_too_old(id);
         }
-        self.item_body(id, item).unwrap_or_else(|| unknown(id))
+        self.item_body(id, item)
+            .unwrap_or_else(|| unknown_submission(id))
     }
 
     fn item_body(&self, id: &str, item: &str) -> Option<EdgeResponse> {
@@ -225,14 +228,14 @@
         if self.is_ended(id) {
             return ok_response();
         }
-        if !self.is_accepted(id) && !self.is_sure(id).await {
-            return unsure(id);
+        if !self.is_accepted(id) && !self.confirm_view(id).await {
+            return view_too_old(id);
         }
         if !self.is_accepted(id) && !self.view.confirm_now(id).await {
-            return unsure(id);
+            return view_too_old(id);
         }
         if !self.is_accepted(id) {
-            return unknown(id);
+            return unknown_submission(id);
         }
         let record = LedgerRecord::End {
             submission: id.clone(),
@@ -249,7 +252,7 @@
                     StoreError::Uncertain(_) => {
                         refusal(&Fault::new(ResultCode::EndUnknown, &**id), None)
                     }
-                    _ => unsure(id),
+                    _ => view_too_old(id),
                 }
             }
         }
@@ -261,11 +264,11 @@
     }
 }
 
-fn unsure(id: &str) -> EdgeResponse {
+fn view_too_old(id: &str) -> EdgeResponse {
     let fault = Fault::new(ResultCode::ViewTooOld, id);
-    refusal(&fault, Some(READ_AGAIN_MS))
+    refusal(&fault, Some(READ_RETRY_AFTER_MS))
 }
 
-fn unknown(id: &str) -> EdgeResponse {
+fn unknown_submission(id: &str) -> EdgeResponse {
     refusal(&Fault::new(ResultCode::UnknownSubmission, id), None)
 }
--- a/crates/borageshore_gateway/src/writer.rs
+++ b/crates/borageshore_gateway/src/writer.rs
@@ -11,11 +11,11 @@
 use crate::{ledger_view::Shard, store_path::Store};
 
 /// Results that end within this time go into one append. A trainer reads twice a second.
-const GATHER_MS: u64 = 15;
+const BATCH_WINDOW_MS: u64 = 15;
 /// The pause after an append that failed.
 const RETRY_MS: u64 = 120;
 /// The most bytes of one append; the store takes 2 MiB.
-const APPEND_BYTES: usize = 1_500_000;
+const MAX_APPEND_BYTES: usize = 1_500_000;
 
 /// Appends results, shard by shard, until the store has them.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 struct Queue {
     waiting: RefCell<Vec<LedgerRecord>>,
-    in_append: RefCell<usize>,
+    in_flight: RefCell<usize>,
     added: Notify,
 }
 
@@ -63,8 +63,8 @@
 
     /// The number of results that the store does not have yet.
     pub(crate) fn unwritten(&self) -> usize {
-        let of_queue = |queue: &Queue| queue.waiting.borrow().len() + *queue.in_append.borrow();
-        self.queues.iter().map(of_queue).sum()
+        let queue_len = |queue: &Queue| queue.waiting.borrow().len() + *queue.in_flight.borrow();
+        self.queues.iter().map(queue_len).sum()
     }
 
     async fn run(self: Rc<Self>, shard: Shard) {
@@ -72,12 +72,12 @@
         loop {
             if queue.waiting.borrow().is_empty() {
                 queue.added.notified().await;
-                sleep_ms(GATHER_MS).await;
+                sleep_ms(BATCH_WINDOW_MS).await;
             }
             let records = queue.waiting.take();
-            *queue.in_append.borrow_mut() = records.len();
+            *queue.in_flight.borrow_mut() = records.len();
             self.append(shard, records).await;
-            *queue.in_append.borrow_mut() = 0;
+            *queue.in_flight.borrow_mut() = 0;
         }
     }
 
@@ -87,7 +87,7 @@
     /// of its own all the same: the fold takes the first result of an item and ignores the other.
     async fn append(&self, shard: Shard, records: Vec<LedgerRecord>) {
         let mut next = 0;
-        let mut is_lost = false;
+        let mut is_failing = false;
         while next < records.len() {
             let (count, batch) = self.encode(&records[next..]);
             match self
@@ -97,7 +97,7 @@
             {
                 Ok(_) => next += count,
                 Err(error) => {
-                    if !std::mem::replace(&mut is_lost, true) {
+                    if !std::mem::replace(&mut is_failing, true) {
                         log::warn!(shard = shard.number(), results = records.len(), error:% = error; "results wait for the store");
                     }
                     sleep_ms(RETRY_MS).await;
@@ -114,7 +114,7 @@
         for record in records {
             let encoded = record.encode(&self.next_attempt());
             bytes += encoded.iter().map(|(_, value)| value.len()).sum::<usize>();
-            if bytes > APPEND_BYTES && count > 0 {
+            if bytes > MAX_APPEND_BYTES && count > 0 {
                 break;
             }
             batch.extend(encoded);
