--- a/crates/borageshore_gateway/src/follow.rs
+++ b/crates/borageshore_gateway/src/follow.rs
@@ -13,12 +13,12 @@
 
 /// How long a read waits at the store for a record. A connection that went silent shows when the
 /// answer is late by more than the store's slack, so this bounds how old a view can get unnoticed.
-const WAIT_MS: u64 = 1_200;
+const LONG_POLL_MS: u64 = 1_200;
 /// The pause after a failed read.
 const RETRY_MS: u64 = 150;
 
 /// The most reads that confirm a view: pages of a megabyte, and a partition takes 20 MB a second.
-const CONFIRMING_READS: usize = 40;
+const MAX_CONFIRM_READS: usize = 40;
 
 /// The partition of topics that are read whole by everybody: one read brings all their records, in one
 /// order.
@@ -61,7 +61,7 @@
 pub(crate) struct Follower<Folded> {
     spec: FollowSpec,
     position: RefCell<ViewPosition>,
-    is_lost: Cell<bool>,
+    is_failing: Cell<bool>,
     is_stopped: Cell<bool>,
     fold: Rc<Folded>,
 }
@@ -72,15 +72,15 @@
 {
     /// Follows a partition on the present event loop.
     pub(crate) fn spawn(spec: FollowSpec, fold: Rc<Folded>) -> Rc<Self> {
-        let follow = Rc::new(Self {
+        let follower = Rc::new(Self {
             spec,
             position: RefCell::default(),
-            is_lost: Cell::new(false),
+            is_failing: Cell::new(false),
             is_stopped: Cell::new(false),
             fold,
         });
-        monoio::spawn(follow.clone().run());
-        follow
+        monoio::spawn(follower.clone().run());
+        follower
     }
 
     /// The offset after the last applied record; `None` before the first read.
@@ -90,31 +90,31 @@
 
     /// Makes sure that the view is no older than `age_ms`, by reads of its own if need be.
     pub(crate) async fn confirm(&self, age_ms: u64) -> bool {
-        let is_whole = || self.is_whole_within(age_ms);
-        is_whole() || self.read_until(is_whole).await
+        let is_current = || self.is_current_within(age_ms);
+        is_current() || self.read_until(is_current).await
     }
 
     /// Brings the view up to what the store has by now, whatever was read a moment ago.
     pub(crate) async fn confirm_now(&self) -> bool {
         let since_ms = self.spec.clock.now_ms();
-        let is_whole = || self.position.borrow().is_current_since(since_ms);
-        self.read_until(is_whole).await
+        let is_current = || self.position.borrow().is_current_since(since_ms);
+        self.read_until(is_current).await
     }
 
-    async fn read_until<Whole>(&self, is_whole: Whole) -> bool
+    async fn read_until<Current>(&self, is_current: Current) -> bool
     where
-        Whole: Fn() -> bool,
+        Current: Fn() -> bool,
     {
-        for _ in 0..CONFIRMING_READS {
-            if self.read(0).await.is_err() || is_whole() {
+        for _ in 0..MAX_CONFIRM_READS {
+            if self.read(0).await.is_err() || is_current() {
                 break;
             }
         }
-        is_whole()
+        is_current()
     }
 
     /// Says whether the view was whole within the last `age_ms`.
-    pub(crate) fn is_whole_within(&self, age_ms: u64) -> bool {
+    pub(crate) fn is_current_within(&self, age_ms: u64) -> bool {
         let position = self.position.borrow();
         position.is_current_within(age_ms, self.spec.clock.now_ms())
     }
@@ -133,7 +133,7 @@
         while !self.is_stopped.get() {
             let read = match self.next_offset() {
                 None => self.load().await,
-                Some(_) => self.read(WAIT_MS).await,
+                Some(_) => self.read(LONG_POLL_MS).await,
             };
             match read {
                 Ok(0) => {}
@@ -144,7 +144,7 @@
                     self.fold.on_gap();
                 }
                 Err(error) => {
-                    self.note_loss(&error);
+                    self.on_store_error(&error);
                     sleep_ms(RETRY_MS).await;
                 }
             }
@@ -191,22 +191,22 @@
             return 0;
         }
         let applied = self.next_offset().unwrap_or(0);
-        let new = page
+        let first_new = page
             .records
             .partition_point(|record| record.offset < applied);
-        let records = &page.records[new..];
+        let records = &page.records[first_new..];
         let after_last = page.records.last().map_or(from, |last| last.offset + 1);
-        let is_whole = self.move_to(after_last, page.end);
-        if is_whole {
+        let is_current = self.move_to(after_last, page.end);
+        if is_current {
             self.fold.on_caught_up();
         }
-        if self.is_lost.replace(false) {
+        if self.is_failing.replace(false) {
             log::info!(topic:? = self.spec.topic, partition = self.spec.partition; "store regained");
         }
         if !records.is_empty() {
             self.fold.apply(records);
         }
-        if is_whole {
+        if is_current {
             self.position.borrow_mut().on_response(requested_at_ms);
         }
         records.len()
@@ -223,8 +223,8 @@
         true
     }
 
-    fn note_loss(&self, error: &StoreError) {
-        if !self.is_lost.replace(true) {
+    fn on_store_error(&self, error: &StoreError) {
+        if !self.is_failing.replace(true) {
             log::warn!(topic:? = self.spec.topic, partition = self.spec.partition, error:% = error; "store lost");
         }
     }
--- a/crates/borageshore_gateway/src/ledger_view.rs
+++ b/crates/borageshore_gateway/src/ledger_view.rs
@@ -24,11 +24,11 @@
 /// follows one submission reads a 32nd of the others.
 const BATCH_TOPICS: u64 = 4;
 /// A shard that nobody asked for is followed for this long; trainers read twice a second.
-const IDLE_MS: u64 = 15_000;
+const IDLE_TIMEOUT_MS: u64 = 15_000;
 /// The pace at which idle shards are looked for.
-const IDLE_CHECK_MS: u64 = 2_000;
+const IDLE_CHECK_INTERVAL_MS: u64 = 2_000;
 /// A shard's first read takes some ms; a slow store answers in 200.
-const BEGIN_MS: u64 = 1_500;
+const START_TIMEOUT_MS: u64 = 1_500;
 
 /// Where a submission's records are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -76,7 +76,7 @@
 
 #[derive(Debug)]
 struct Followed {
-    follow: Rc<Follower<ShardFold>>,
+    follower: Rc<Follower<ShardFold>>,
     used_at_ms: Cell<u64>,
 }
 
@@ -136,19 +136,19 @@
 
     /// Makes sure that the view of a submission is no older than `age_ms`.
     pub(crate) async fn confirm(self: &Rc<Self>, id: &str, age_ms: u64) -> bool {
-        let follow = self.follow(self.shard_of(id));
-        follow.confirm(age_ms).await
+        let follower = self.follow(self.shard_of(id));
+        follower.confirm(age_ms).await
     }
 
     /// Brings the view of a submission up to what the store has by now.
     pub(crate) async fn confirm_now(self: &Rc<Self>, id: &str) -> bool {
-        let follow = self.follow(self.shard_of(id));
-        follow.confirm_now().await
+        let follower = self.follow(self.shard_of(id));
+        follower.confirm_now().await
     }
 
     /// Reads the records of a submission unless they are here; says whether they are now.
     pub(crate) async fn load(self: &Rc<Self>, id: &Arc<str>) -> bool {
-        let follow = self.follow(self.shard_of(id));
+        let follower = self.follow(self.shard_of(id));
         loop {
             let changed = self.changed.notified();
             if self.with_loaded(id, |_| ()).is_some() {
@@ -161,24 +161,24 @@
         }
         self.loading.borrow_mut().push(id.clone());
         let _loading = Loading { view: self, id };
-        self.has_begun(&follow).await && self.load_now(id).await
+        self.wait_until_started(&follower).await && self.load_records(id).await
     }
 
     /// Waits until a shard is being followed: what is loaded must reach to where that began.
-    async fn has_begun(&self, follow: &Follower<ShardFold>) -> bool {
-        let begun = async {
+    async fn wait_until_started(&self, follower: &Follower<ShardFold>) -> bool {
+        let started = async {
             loop {
                 let changed = self.changed.notified();
-                if follow.next_offset().is_some() {
+                if follower.next_offset().is_some() {
                     return;
                 }
                 changed.await;
             }
         };
-        within_ms(BEGIN_MS, begun).await.is_some()
+        within_ms(START_TIMEOUT_MS, started).await.is_some()
     }
 
-    async fn load_now(&self, id: &Arc<str>) -> bool {
+    async fn load_records(&self, id: &Arc<str>) -> bool {
         let shard = self.shard_of(id);
         let now_ms = self.clock.now_ms();
         self.ledger.borrow_mut().track(id, now_ms);
@@ -218,36 +218,36 @@
                 clock: self.clock,
                 pause_ms: FOLLOW_PAUSE_MS,
             };
-            let follow = Follower::spawn(spec, Rc::new(fold));
+            let follower = Follower::spawn(spec, Rc::new(fold));
             Followed {
-                follow,
+                follower,
                 used_at_ms: Cell::new(now_ms),
             }
         });
         followed.used_at_ms.set(now_ms);
-        followed.follow.clone()
+        followed.follower.clone()
     }
 
     async fn release_idle_shards(self: Rc<Self>) {
         loop {
-            sleep_ms(IDLE_CHECK_MS).await;
+            sleep_ms(IDLE_CHECK_INTERVAL_MS).await;
             let now_ms = self.clock.now_ms();
             let mut released = Vec::new();
             self.shards.borrow_mut().retain(|shard, followed| {
-                let is_used = now_ms < followed.used_at_ms.get() + IDLE_MS;
+                let is_used = now_ms < followed.used_at_ms.get() + IDLE_TIMEOUT_MS;
                 if !is_used {
-                    followed.follow.stop();
+                    followed.follower.stop();
                     released.push(*shard);
                 }
                 is_used
             });
             for shard in released {
-                self.forget(shard);
+                self.evict(shard);
             }
         }
     }
 
-    fn forget(&self, shard: Shard) {
+    fn evict(&self, shard: Shard) {
         let is_of_shard = |id: &str| self.shard_of(id) == shard;
         self.ledger.borrow_mut().remove_if(is_of_shard);
         self.changed.notify_waiters();
@@ -300,6 +300,6 @@
     }
 
     fn on_gap(&self) {
-        self.view.forget(self.shard);
+        self.view.evict(self.shard);
     }
 }
