--- a/crates/borageshore_gateway/src/item/attempt.rs
+++ b/crates/borageshore_gateway/src/item/attempt.rs
@@ -1,4 +1,4 @@
-//! One stay of an item at an engine: from its request to its last event there.
+//! One attempt of an item at an engine, from the request to the last event read.
 
 use std::sync::Arc;
 
@@ -13,38 +13,39 @@
     quarantine::{Leave, Sent},
 };
 
-/// An engine answers within some ms of its slot being free; a line of its own lasts half a second.
+/// An engine responds within a few ms of a slot becoming free, and its own queue holds a request for up to
+/// half a second.
 const FIRST_BYTE_TIMEOUT_MS: u64 = 900;
-/// Events come 40 ms apart, 160 ms at an engine that is four times slower. Silence for this long is
-/// a lost engine or connection; going on elsewhere costs a few ms. A load of weights is no reason to be
-/// silent: runs go on during it.
+/// The engine or connection counts as lost after this time without an event. Events are 40 ms apart, 160 ms
+/// at an engine that is four times slower, also while weights are loading; resuming at another engine costs
+/// a few ms.
 const EVENT_TIMEOUT_MS: u64 = 600;
-/// At an engine of the usual pace, give or take its load and noise, nothing better is looked for.
+/// Latency, in percent of the median, from which an engine counts as slow; lower values are within load
+/// variation and noise.
 const MIN_SLOW_PERCENT: u64 = 116;
-/// A better engine is looked for after so many events: a look goes through all engines of the
-/// service, and a daemon that runs three trainers reads 1,800 events a second.
+/// A better engine is searched for once in this many events, as each search visits all engines of the service.
 const MOVE_CHECK_INTERVAL_EVENTS: u64 = 4;
-/// An engine that has made so many events of a text, some 0.4 s, is not crashed by it: a text that crashes engines
-/// does so as it begins to run.
+/// A request counts as not crashing its engine after this many events, some 0.4 s: those that crash engines do
+/// so as they start to run.
 const CRASH_FREE_EVENTS: u64 = 10;
 
-/// How a stay at an engine ended.
+/// How an attempt ended.
 #[derive(Debug)]
 pub(super) enum AttemptOutcome {
     /// The text is complete.
     Complete,
-    /// It goes on at a better engine, where it has a slot.
+    /// The item continues at a faster engine, in the slot already taken there.
     Move(Place),
-    /// It goes on elsewhere: the engine refused or was lost.
+    /// The engine refused or was lost; the item continues at another one.
     Retry { is_refused: bool },
-    /// The engine failed at it.
+    /// The engine failed to run the item.
     Failed,
-    /// It can never be done.
+    /// The engine rejected the item as invalid; retries are useless.
     Invalid,
 }
 
 impl ItemRun<'_> {
-    /// Sends the item to an engine and reads until it leaves there.
+    /// Sends the item to an engine and reads events until the attempt ends.
     pub(super) async fn attempt(
         &self,
         place: Place,
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Reads events until the text is complete or the engine is given up.
+    /// Reads events until the text is complete, the engine fails or a better one has a slot.
     async fn read<Content>(
         &self,
         place: Place,
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Takes a slot at a better engine, if the present one is slow and it pays to move.
+    /// Takes a slot at a better engine if the current one is slow and moving is worthwhile.
     fn better_place(
         &self,
         instance: &Arc<str>,
--- a/crates/borageshore_gateway/src/item/mod.rs
+++ b/crates/borageshore_gateway/src/item/mod.rs
@@ -1,4 +1,4 @@
-//! One item from its first token to its result.
+//! Runs one item of a submission: generates its text, scores it and hands the result to the writer.
 
 mod attempt;
 
@@ -29,14 +29,14 @@
     writer::Writer,
 };
 
-/// An item waits this long for another engine than the one that just refused or lost it.
+/// How long an item waits for a slot at an engine other than those where its last attempts failed.
 const AVOID_TIMEOUT_MS: u64 = 300;
-/// The pause after a refusal, so that a full service is not asked in a tight loop.
+/// The pause after a refusal, so that a full service is not retried in a tight loop.
 const REFUSED_RETRY_MS: u64 = 30;
 /// The pause before a missing route is looked up again.
 const NO_ROUTE_RETRY_MS: u64 = 500;
 
-/// What items need of the rest of the daemon.
+/// The parts of the daemon that running items use.
 #[derive(Debug)]
 pub(crate) struct ItemContext {
     pub(crate) mechanisms: Rc<Mechanisms>,
@@ -54,7 +54,7 @@
     pub(crate) quarantine: Rc<Quarantine>,
 }
 
-/// Runs an item to its result and hands the result to the writer.
+/// Runs an item until it has a result and queues the result for writing.
 pub(crate) async fn run_item(
     context: Rc<ItemContext>,
     submission: Arc<Submission>,
@@ -96,7 +96,7 @@
     context: &'r ItemContext,
     submission: &'r Submission,
     item: &'r Item,
-    /// The name under which its text is cached.
+    /// The key of its text in the text cache and in the stored progress.
     text_key: Arc<str>,
     rank: (u64, ItemRank),
     seen_at_ms: u64,
@@ -105,7 +105,7 @@
     content: OnceCell<Fingerprint>,
 }
 
-/// When an item got its first place and its last event, since the submission was seen.
+/// Progress of an item; times are in ms since its submission was first seen.
 #[derive(Debug, Default)]
 struct Timing {
     placed_ms: Cell<u64>,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The result of the same item in an earlier submission, if its reward call is the same too.
+    /// The result of an identical item, including its reward call, in an earlier submission.
     fn earlier_result(&self) -> Option<ItemResult> {
         let has_one_version = |result: &ItemResult| result.versions.len() <= 1;
         let route = self
@@ -162,13 +162,13 @@
         })
     }
 
-    /// Names what the engine is asked.
+    /// Fingerprint of the request to the engine, computed on first use.
     fn content(&self) -> Fingerprint {
         let name = || item_fingerprint(self.submission, self.item);
         *self.content.get_or_init(name)
     }
 
-    /// When the item may be given up, as long as its route is there.
+    /// When the item may be given up; never while its route is missing.
     fn deadline_ms(&self) -> u64 {
         let (host, path) = (&self.submission.host, &self.submission.path);
         let route = self.context.routes.find(host, path);
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Makes the whole text; says whether it is complete.
+    /// Generates the rest of the text; returns `false` if the item has to be given up.
     async fn generate(&self, text: &mut Text) -> bool {
         self.start_saving(text);
         let mut failures = 0;
@@ -210,7 +210,7 @@
                 Some(place) => place,
                 None => self.place(request.clone()).await,
             };
-            // The wait for a place may have been long.
+            // The request may have been quarantined during the wait for a slot.
             if !leave.is_trial() && !self.context.quarantine.may_repeat(|| self.content()) {
                 continue;
             }
@@ -227,7 +227,7 @@
                     if failures >= route.max_attempts {
                         return false;
                     }
-                    // An engine that fails part of its runs must not use up an item's attempts.
+                    // A single faulty engine must not use up the item's attempts.
                     avoid.push(instance);
                 }
                 AttemptOutcome::Retry { is_refused: true } => {
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Leave to go to an engine; `None` after a wait if the item is held back.
+    /// Asks the quarantine for permission to send the item; `None`, after a wait, if it is held.
     async fn admit(&self, route: &Route) -> Option<Leave> {
         let context = self.context;
         match context.quarantine.admit(|| self.content()).await {
@@ -318,7 +318,7 @@
         dispatch.place(PlaceRequest { avoid, ..request }).await
     }
 
-    /// A text under one version cannot go on once no engine has that version any more.
+    /// A text that must keep to one version restarts once no engine serves that version.
     fn must_restart(&self, text: &Text) -> bool {
         let Some(version) = text.versions().last() else {
             return false;
