--- a/crates/borageshore_gateway/src/runner.rs
+++ b/crates/borageshore_gateway/src/runner.rs
@@ -1,4 +1,4 @@
-//! Which submissions this daemon runs, and their items under way.
+//! Runs the submissions that this daemon owns.
 
 use std::{
     cell::{Cell, RefCell},
@@ -21,18 +21,17 @@
     submission_index::{OpenSubmission, SubmissionIndex},
 };
 
-/// While submissions are open, owners are looked at again after this time: a daemon dies without a
-/// record.
+/// The interval at which ownership is checked while submissions are open; the death of a daemon notifies nobody.
 const RECHECK_INTERVAL_MS: u64 = 250;
 
-/// The pause before records are read again that could not be read.
+/// The pause before a failed read of a submission's records is retried.
 const LOAD_RETRY_MS: u64 = 200;
 
-/// How long a takeover waits for the texts under way: four reads of a slow store. A text that began again
-/// instead would take up to seven seconds more.
+/// How long a takeover waits for stored texts: four reads of a slow store. A text that restarts instead takes up
+/// to seven seconds more.
 const RESTORE_TIMEOUT_MS: u64 = 1_000;
 
-/// Tells futures to end.
+/// Cancels the tasks of a submission.
 #[derive(Debug, Default)]
 struct Cancel {
     is_cancelled: Cell<bool>,
@@ -55,9 +54,9 @@
 
 /// Runs the open submissions that this daemon owns.
 ///
-/// Ownership is a matter of each daemon's view of who lives. Two owners for a moment make an
-/// item twice, which its kind allows, and the ledger takes the first result; no owner for a moment
-/// lets it wait. So no lease is needed here, and a takeover waits for nothing but the failure detector.
+/// Each daemon derives ownership from its own view of the live members. Two owners for a moment run an item
+/// twice, which is safe as the ledger takes the first result; without an owner the submission waits. So ownership
+/// needs no lease, and a takeover waits for the failure detector only.
 #[derive(Debug)]
 pub(crate) struct Runner {
     view: Rc<LedgerView>,
@@ -66,22 +65,23 @@
     context: Rc<ItemContext>,
     running: RefCell<SortedMap<Arc<str>, Rc<Cancel>>>,
     loading: RefCell<Vec<Arc<str>>>,
-    /// The open submissions, and whether texts of theirs may be under way elsewhere.
+    /// The open submissions, and where their texts may be.
     origins: RefCell<SortedMap<Arc<str>, Origin>>,
-    /// Whether the index was known at the last look.
+    /// Whether the index was loaded at the last call of `update_origins`.
     has_read_index: Cell<bool>,
     restoring: RefCell<Vec<Arc<str>>>,
 }
 
-/// Where the texts of a submission may be.
+/// Whether stored texts of a submission have to be restored before it is run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Origin {
-    /// Nobody ran it before it came here, or its texts were read.
+    /// No other process ran the submission, or its texts have been restored.
     Here,
-    /// Another daemon, or an earlier life of this one, may have run it.
+    /// Another daemon, or an earlier incarnation of this one, may have run it.
     Elsewhere,
 }
 
+/// A submission with the indices of its items that have no result yet.
 struct Unfinished {
     submission: Arc<Submission>,
     seen_at_ms: u64,
@@ -110,7 +110,7 @@
         runner
     }
 
-    /// The number of submissions under way here.
+    /// The number of submissions that run on this daemon.
     pub(crate) fn running_count(&self) -> usize {
         self.running.borrow().len()
     }
@@ -131,20 +131,20 @@
         }
     }
 
-    /// Starts what this daemon owns by now, stops what it does not; says whether any submission is
-    /// open.
+    /// Starts the submissions that this daemon now owns and cancels those it no longer owns; returns whether any
+    /// submission is open.
     fn reconcile(self: &Rc<Self>) -> bool {
         let open = self.index.open_submissions();
         let is_own = |known: &&OpenSubmission| self.members.owns(&known.id, &known.work_key);
         let own: Vec<&OpenSubmission> = open.iter().filter(is_own).collect();
         self.update_origins(&open, &own);
         self.running.borrow_mut().retain(|id, cancel| {
-            // Records may have been missed; the items go on meanwhile.
+            // `None` after records may have been missed; the items go on until the submission is loaded again.
             let is_open = self.view.with_loaded(id, SubmissionState::is_open);
             let is_own = own.iter().any(|known| known.id == *id);
             let keeps_running = is_own && is_open.unwrap_or(true);
             if !keeps_running {
-                log::info!(submission = &**id; "submission left");
+                log::info!(submission = &**id; "submission ended or owned by another daemon; cancelling its items");
                 cancel.cancel();
             }
             keeps_running
@@ -159,11 +159,10 @@
         !open.is_empty()
     }
 
-    /// What this daemon runs, and what is whole and not ended yet.
+    /// The submissions that this daemon runs, and the complete ones that are not ended yet.
     ///
-    /// Guards the trainer's last read of a step: readers are sent to the daemon that holds a submission, and
-    /// when that let go of a whole one, the read which the step was waiting for went to a daemon that had
-    /// to load its records first, 0.3 s of a step of 8 s.
+    /// Readers are sent to the holder. A complete submission stays held so that the trainer's last read of a step
+    /// does not go to a daemon that has to load the records first.
     fn held_submissions(&self, own: &[&OpenSubmission]) -> Vec<Arc<str>> {
         let running = self.running.borrow();
         let awaits_end = |id: &Arc<str>| {
@@ -184,8 +183,8 @@
         held
     }
 
-    /// Notes of each open submission whether its texts may be under way elsewhere: one that comes to this
-    /// daemon as soon as it is entered was run by nobody before.
+    /// Updates where the texts of each open submission may be: one that this daemon owns as soon as it appears
+    /// in the index was not run before.
     fn update_origins(&self, open: &[OpenSubmission], own: &[&OpenSubmission]) {
         let has_read_index = self.has_read_index.replace(self.index.is_known());
         let mut origins = self.origins.borrow_mut();
@@ -222,7 +221,7 @@
         }
     }
 
-    /// Reads what a submission's texts had reached elsewhere, one attempt at a time.
+    /// Restores a submission's stored texts, unless that is already under way.
     fn restore(self: &Rc<Self>, id: &Arc<str>) {
         if self.restoring.borrow().contains(id) {
             return;
@@ -239,7 +238,7 @@
         });
     }
 
-    /// Reads a submission's records, one attempt at a time.
+    /// Loads a submission's records, unless that is already under way.
     fn load(self: &Rc<Self>, id: &Arc<str>) {
         if self.loading.borrow().contains(id) {
             return;
@@ -278,13 +277,13 @@
     }
 }
 
-/// What an owner has to do with a submission of the index.
+/// What the owner of an open submission does next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum NextStep {
     Run,
-    /// It is ended and only its entry was left.
+    /// The submission is ended, but its index entry does not say so yet.
     MarkEnded,
-    /// All its items are listed, or only its entry was written yet.
+    /// All items have results, or only the index entry has been written so far.
     Nothing,
 }
 
--- a/crates/borageshore_gateway/src/submission_index.rs
+++ b/crates/borageshore_gateway/src/submission_index.rs
@@ -1,4 +1,4 @@
-//! The index of submissions whose records are kept: small, and read by every daemon.
+//! The index of all stored submissions, which every daemon reads.
 
 use std::{
     cell::{Cell, RefCell},
@@ -21,19 +21,19 @@
 #[derive(Debug, Clone)]
 pub(crate) struct OpenSubmission {
     pub(crate) id: Arc<str>,
-    /// What decides who runs it.
+    /// The key that selects the daemon that runs it.
     pub(crate) work_key: Arc<str>,
 }
 
-/// The submissions by id.
+/// The index entries by submission.
 #[derive(Debug)]
 pub(crate) struct SubmissionIndex {
     store: Store,
     is_known: Cell<bool>,
     entries: RefCell<SortedMap<Arc<str>, IndexEntry>>,
-    /// What the newest submission of each trainer asks for.
+    /// The demand of the newest submission of each trainer.
     demand: RefCell<SortedMap<Arc<str>, Demand>>,
-    /// Told when the index changed.
+    /// Notified when the index changes.
     pub(crate) changed: Notify,
 }
 
@@ -48,7 +48,7 @@
         })
     }
 
-    /// Says whether the index was read since this daemon began.
+    /// Returns whether the index has been read since this daemon started.
     pub(crate) fn is_known(&self) -> bool {
         self.is_known.get()
     }
@@ -74,13 +74,13 @@
         expired.map(|(id, _)| id.clone()).collect()
     }
 
-    /// What the newest submission of a trainer asks for; nothing if there was none.
+    /// The demand of a trainer's newest submission; zero if there was none.
     pub(crate) fn demand_of(&self, trainer: &str) -> Demand {
         let demand = self.demand.borrow();
         demand.get(trainer).copied().unwrap_or_default()
     }
 
-    /// Enters a submission whose items run at a service with so many slots.
+    /// Adds a submission whose items run at a service with `slots` slots.
     pub(crate) async fn add(
         &self,
         submission: &Submission,
@@ -101,7 +101,7 @@
         self.write(&submission.id, Some(&entry)).await
     }
 
-    /// Marks a submission as ended; left open, it costs its owner a look.
+    /// Marks a submission as ended. If that fails, the submission's owner repeats it.
     pub(crate) async fn mark_ended(&self, id: &Arc<str>) {
         let entry = self.entries.borrow().get(id).cloned();
         let Some(entry) = entry else {
@@ -112,11 +112,11 @@
             ..entry
         };
         if let Err(error) = self.write(id, Some(&ended)).await {
-            log::info!(submission = &**id, error:% = error; "submission stays open in the index for now");
+            log::info!(submission = &**id, error:% = error; "submission not marked as ended in the index; its owner will retry");
         }
     }
 
-    /// Takes a submission out.
+    /// Removes a submission's entry.
     pub(crate) async fn remove(&self, id: &Arc<str>) -> Result<(), StoreError> {
         self.write(id, None).await
     }
@@ -151,7 +151,7 @@
                     self.entries.borrow_mut().insert(record.key.clone(), entry);
                 }
                 Err(error) => {
-                    log::error!(submission = &*record.key, error:% = error; "an entry of the index cannot be read");
+                    log::error!(submission = &*record.key, error:% = error; "index entry cannot be decoded; ignoring it");
                 }
             }
         }
--- a/crates/borageshore_gateway/src/submissions.rs
+++ b/crates/borageshore_gateway/src/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions as trainers reach them: accepted into the store, read from this daemon's view.
+//! The submission API for trainers: accepts submissions into the store and answers reads from this daemon's view.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -18,20 +18,20 @@
     submission_index::SubmissionIndex,
 };
 
-/// Readers are told that there is nothing only by a view that is no older. A result that one daemon
-/// has shown must be shown by all a second later; this leaves half of it for the answer's way.
+/// The maximum age of a view from which readers are told that there is nothing. All daemons must show a result
+/// one second after the first did so; the other half of that second is for delivery of the response.
 const MAX_VIEW_AGE_MS: u64 = 500;
-/// The longest that a reader is kept waiting for a result.
+/// The longest wait of a read for a result.
 const MAX_WAIT_MS: u64 = 5_000;
-/// Readers come back after this time when the view may be too old; the next read may succeed.
+/// Retry-after of a read that failed as the view may be too old.
 const READ_RETRY_AFTER_MS: u64 = 300;
-/// A submission that the store did not take comes back after this time: outages of the store last
-/// for seconds, and another daemon may reach it.
+/// Retry-after of a submission that the store did not take: outages of the store last for seconds, and another
+/// daemon may reach it.
 const SUBMIT_RETRY_AFTER_MS: u64 = 250;
-/// The most bytes of one append; the store takes 2 MiB.
+/// The maximum bytes of one append; the store's limit is 2 MiB.
 const MAX_APPEND_BYTES: usize = 1_500_000;
 
-/// The submissions as trainers reach them.
+/// Handles the requests of trainers about submissions.
 #[derive(Debug)]
 pub(crate) struct Submissions {
     store: Store,
@@ -64,11 +64,11 @@
         })
     }
 
-    /// Accepts a submission: it is in the store, whole, before the trainer hears so. Accepting it
-    /// twice writes the same records twice, which changes nothing.
+    /// Accepts a submission: the response is sent after all of it is in the store. Accepting it twice writes the
+    /// same records twice, which is idempotent.
     ///
-    /// The index comes first: a submission without its entry would be accepted and run by nobody,
-    /// an entry without its submission costs its owner a look.
+    /// The index entry is written first: a submission without one would be accepted but never run, while an entry
+    /// without a submission only costs its owner a read.
     pub(crate) async fn accept(&self, submission: Submission, service: &str) -> EdgeResponse {
         let id = submission.id.clone();
         if self.is_accepted(&id) {
@@ -119,38 +119,38 @@
         self.view.with_loaded(id, is_accepted).unwrap_or(false)
     }
 
-    /// Appends a record whose repetition changes nothing. Only the last append, which completes it,
-    /// may stay uncertain.
+    /// Appends a record whose repetition is idempotent. A large one takes several appends; it takes effect with
+    /// its last chunk.
     async fn append(&self, record: &LedgerRecord) -> Result<(), StoreError> {
         let shard = Shard::of(record.submission(), self.partitions);
         let mut batch: Vec<(Arc<str>, Bytes)> = Vec::new();
         let mut bytes = 0;
-        for entry in record.encode("") {
-            if bytes + entry.1.len() > MAX_APPEND_BYTES {
+        for chunk in record.encode("") {
+            if bytes + chunk.1.len() > MAX_APPEND_BYTES {
                 let full = std::mem::take(&mut batch);
-                self.append_entries(shard, &full).await?;
+                self.append_chunks(shard, &full).await?;
                 bytes = 0;
             }
-            bytes += entry.1.len();
-            batch.push(entry);
+            bytes += chunk.1.len();
+            batch.push(chunk);
         }
-        self.append_entries(shard, &batch).await
+        self.append_chunks(shard, &batch).await
     }
 
-    async fn append_entries(
+    async fn append_chunks(
         &self,
         shard: Shard,
-        entries: &[(Arc<str>, Bytes)],
+        chunks: &[(Arc<str>, Bytes)],
     ) -> Result<(), StoreError> {
         let (topic, partition) = (shard.topic(), shard.partition());
-        let appended = self.store.append(topic, partition, entries, None).await;
+        let appended = self.store.append(topic, partition, chunks, None).await;
         appended.map(|_| ())
     }
 
-    /// Answers with the results from a position on, waiting for the first one.
+    /// Responds with the results from position `after` on; waits up to `wait_ms` if there are none yet.
     ///
-    /// "No such submission" is said only after a read of its own: a view that was whole half a second ago knows
-    /// nothing of a submission that was accepted 20 ms ago, and its trainer would be told 404.
+    /// "No such submission" is only reported after a new read of the store: the view may be older than a
+    /// submission that was accepted by another daemon a moment ago.
     pub(crate) async fn results(&self, id: &Arc<str>, after: usize, wait_ms: u64) -> EdgeResponse {
         let deadline_ms = self.clock.now_ms() + wait_ms.min(MAX_WAIT_MS);
         if !self.view.load(id).await {
@@ -184,12 +184,12 @@
         is_complete.unwrap_or(false)
     }
 
-    /// Makes sure that all that was ever shown of a submission is here.
+    /// Loads a submission and brings its view up to date, so that it has all results that any daemon has shown.
     async fn confirm_view(&self, id: &Arc<str>) -> bool {
         self.view.load(id).await && self.view.confirm(id, MAX_VIEW_AGE_MS).await
     }
 
-    /// A page of results, or an empty one where `allow_empty` says so.
+    /// A page of results; `None` if the submission is not loaded, or if there are none and not `allow_empty`.
     fn page(&self, id: &str, after: usize, allow_empty: bool) -> Option<EdgeResponse> {
         let page = |state: &SubmissionState| {
             let total = state.submission()?.items.len();
@@ -200,7 +200,7 @@
         self.view.with_loaded(id, page)?
     }
 
-    /// Answers with the body of an item.
+    /// Responds with the body of an item.
     pub(crate) async fn body(&self, id: &Arc<str>, item: &str) -> EdgeResponse {
         if let Some(body) = self.item_body(id, item) {
             return body;
@@ -223,7 +223,7 @@
         self.view.with_loaded(id, body)?
     }
 
-    /// Ends a submission: the store has the end before the trainer hears so.
+    /// Ends a submission: the response is sent after the end is in the store.
     pub(crate) async fn end(&self, id: &Arc<str>) -> EdgeResponse {
         if self.is_ended(id) {
             return ok_response();
