--- a/crates/borageshore_gateway/src/progress.rs
+++ b/crates/borageshore_gateway/src/progress.rs
@@ -1,4 +1,4 @@
-//! Progress of texts under way, kept in the store: a successor goes on where the last owner was.
+//! Saves unfinished texts to the store, so that a new owner resumes them after a takeover.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,35 +17,35 @@
 
 use crate::{ledger_view::Shard, members::Members, store_path::Store};
 
-/// The pace at which new events are stored; a full stop loses what was made since.
+/// The minimum interval at which new events are saved; a crash loses the events since the last save.
 const SAVE_INTERVAL_MS: u64 = 250;
-/// The pace falls by this much for each daemon that runs steps beyond ten, so that all of them together make
-/// 80 appends a second at the most, of the 800 to 1,200 that the store takes.
+/// The interval for each daemon that runs submissions: it keeps the total of all of them constant from ten daemons
+/// on, at 80 appends a second at most.
 const SAVE_INTERVAL_MS_PER_HOLDER: u64 = 25;
-/// A text with fewer events is made again in a third of a second, no longer than a takeover takes.
+/// The minimum number of events of a text to save; fewer are generated again within the time of a takeover.
 const MIN_EVENTS: usize = 10;
-/// The bytes a second that all daemons together store: the store keeps 20 s of history or more, and takes
-/// 400 MB of all topics.
+/// The bytes a second that all daemons together save: the store keeps at least 20 s of history, and 400 MB in
+/// all topics.
 const MAX_TOTAL_BYTES_PER_S: usize = 6_000_000;
-/// The most bytes of events in a record: the store takes 256 KiB, and the encoding may double quotes and line
-/// ends. A text of which more waits to be stored, in an outage of the store, is not stored any more: with a part
-/// of its events it could not be said which versions made them. Usual ones have 9 to 65 kB in all.
+/// The maximum bytes of events in a record: the store's limit is 256 KiB, and the encoding may double the size of
+/// quotes and line ends. A text with more unsaved events, as in an outage of the store, is no longer saved: a
+/// part of its events could not be matched to the versions that generated them. Most texts have 9 to 65 kB.
 const MAX_RECORD_BYTES: usize = 100_000;
-/// The last records of a shard from which a reader learns where the pieces begin that are needed: eight
-/// seconds of one daemon's, or four of two that write to the same shard. With the last 8 of a partition for
-/// all submissions of a trainer, those of an owner that was cut off two seconds ago were not among them.
+/// The number of last records of a shard in which a reader looks for the offset of the oldest needed piece: eight
+/// seconds of one daemon's records, or four if two write to the same shard. Must be enough to find the last
+/// records of an owner whose death was detected some seconds later.
 const TAIL_RECORDS: u64 = 32;
 
-/// A run whose text is stored as it grows.
+/// The run of an item whose text is being saved.
 #[derive(Debug)]
 struct SavedRun {
     item: Arc<str>,
     shard: Shard,
-    /// The number of the next event to store.
+    /// The number of the first unsaved event, counted from 1.
     next_event: u64,
     unsaved: Vec<Bytes>,
     versions: Vec<u64>,
-    /// Where its first piece lies; `None` before that was stored.
+    /// The offset of its first piece; `None` until that is saved.
     first_offset: Option<u64>,
 }
 
@@ -54,24 +54,23 @@
         self.unsaved.iter().map(Bytes::len).sum()
     }
 
-    /// Whether it is worth storing: a short text is, once it was begun with.
+    /// Whether its unsaved events are to be saved: a text with few events is only if others of it were saved.
     fn is_due(&self) -> bool {
         let is_worth_storing = self.unsaved.len() >= MIN_EVENTS || self.first_offset.is_some();
         is_worth_storing && !self.unsaved.is_empty()
     }
 }
 
-/// Stores and restores texts under way.
+/// Saves and restores unfinished texts.
 ///
-/// Guards a step against the end of the daemon that runs it. Texts of seven seconds began again when all
-/// processes stopped: the step took 12.4 s instead of 8, and two later ones were never asked for. What is
-/// stored is only ever read by a successor; where it is missing or the store is away, texts begin again.
+/// Guards against a slow step after the death of the daemon that runs it. Only a new owner reads what is saved;
+/// texts that are missing, or that cannot be read during an outage of the store, restart.
 #[derive(Debug)]
 pub(crate) struct Progress {
     store: Store,
     clock: Clock,
     members: Rc<Members>,
-    /// Names this process among all that ever wrote.
+    /// The name of this process, unique over all processes ever started.
     author: Arc<str>,
     partitions: u64,
     is_enabled: bool,
@@ -106,7 +105,7 @@
         progress
     }
 
-    /// Begins to store the text of an item, with what there is of it already.
+    /// Starts to save the text of an item, including the events that it already has.
     pub(crate) fn start_saving(
         self: &Rc<Self>,
         submission: &str,
@@ -156,7 +155,7 @@
         join_all(shards.iter().map(|(shard, runs)| self.append(*shard, runs))).await;
     }
 
-    /// The runs to store now, with their shards: the longest texts first, as far as the bytes go.
+    /// The runs to save now, with their shards: the longest texts first, up to a total of `bytes`.
     fn due(&self, bytes: usize) -> Vec<(Shard, u64)> {
         let runs = self.runs.borrow();
         let due = runs.iter().filter(|(_, run)| run.is_due());
@@ -195,7 +194,7 @@
         }
     }
 
-    /// Shares runs out over records.
+    /// Groups runs into records of at most `MAX_RECORD_BYTES`.
     fn records(&self, due: &[u64]) -> Vec<Vec<u64>> {
         let runs = self.runs.borrow();
         let mut records: Vec<Vec<u64>> = Vec::new();
@@ -212,7 +211,7 @@
         records
     }
 
-    /// The pieces of some runs, and the event after the last of each; `None` if all have ended meanwhile.
+    /// The unsaved pieces of some runs, and the number after the last event of each; `None` if all runs have ended.
     fn batch(&self, shard: Shard, numbers: &[u64]) -> Option<(PieceBatch, Vec<(u64, u64)>)> {
         let runs = self.runs.borrow();
         let known = numbers
@@ -241,7 +240,7 @@
         (!stored_until.is_empty()).then_some((batch, stored_until))
     }
 
-    /// Notes what an append has stored; another one under way at the same time may have stored it too.
+    /// Removes saved events from the runs; an overlapping append may have removed some already.
     fn on_saved(&self, stored_until: &[(u64, u64)], offset: u64) {
         let mut runs = self.runs.borrow_mut();
         for (number, stored_until) in stored_until {
@@ -256,11 +255,11 @@
 
     fn on_store_error(&self, error: &StoreError) {
         if !self.is_failing.replace(true) {
-            log::warn!(error:% = error; "texts under way are not stored, a successor would begin them again");
+            log::warn!(error:% = error; "unfinished texts not saved; a new owner would restart them");
         }
     }
 
-    /// Reads the texts under way of a submission's items, as far as they are stored.
+    /// Reads the saved texts in a submission's shard; none if that fails or exceeds the timeout.
     pub(crate) async fn restore(&self, submission: &str, timeout_ms: u64) -> Vec<(Arc<str>, Text)> {
         if !self.is_enabled {
             return Vec::new();
@@ -278,11 +277,11 @@
                 texts
             }
             Some(Err(error)) => {
-                log::warn!(submission, error:% = error; "texts under way cannot be read, they begin again");
+                log::warn!(submission, error:% = error; "saved texts cannot be read; unfinished items restart");
                 Vec::new()
             }
             None => {
-                log::warn!(submission, within = timeout_ms; "texts under way took too long to read, they begin again");
+                log::warn!(submission, within = timeout_ms; "read of saved texts timed out; unfinished items restart");
                 Vec::new()
             }
         }
@@ -303,7 +302,7 @@
         Ok(joiner.texts())
     }
 
-    /// Reads the batches between two offsets, as far as they are still kept.
+    /// Reads the batches between two offsets; skips those that have expired in the store.
     async fn read_batches(
         &self,
         shard: Shard,
@@ -329,12 +328,12 @@
     }
 }
 
-/// This daemon's part of what all that run steps store.
+/// The bytes that this daemon may save at a time: an equal share of `MAX_TOTAL_BYTES_PER_S`.
 fn bytes_per_save(interval_ms: u64, holders: usize) -> usize {
     MAX_TOTAL_BYTES_PER_S * interval_ms as usize / 1_000 / holders
 }
 
-/// Stores the text of one run until it is dropped.
+/// Saves the text of one run until it is dropped.
 #[derive(Debug)]
 pub(crate) struct SaveHandle {
     progress: Rc<Progress>,
@@ -342,7 +341,7 @@
 }
 
 impl SaveHandle {
-    /// Takes over the next event of the text.
+    /// Adds the next event of the text.
     pub(crate) fn push(&self, data: Bytes, version: u64) {
         let mut runs = self.progress.runs.borrow_mut();
         if let Some(run) = runs.get_mut(&self.run) {
@@ -351,7 +350,7 @@
                 run.versions.push(version);
             }
             if run.unsaved_bytes() > MAX_RECORD_BYTES {
-                log::info!(item = &*run.item; "too much of a text waits to be stored, it is not any more");
+                log::info!(item = &*run.item; "too many unsaved bytes of a text; no longer saving it");
                 runs.remove(&self.run);
             }
         }
--- a/crates/borageshore_gateway/src/text_cache.rs
+++ b/crates/borageshore_gateway/src/text_cache.rs
@@ -1,31 +1,31 @@
-//! Texts that were cut off unfinished, for the next submission that asks for the same item.
+//! A cache of unfinished texts, so that a later submission of the same item resumes them.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
 use borageshore_base::SortedMap;
 use borageshore_batch::Text;
 
-/// The most items whose texts are kept: those of two steps of three trainers. A text has 9 kB in the mean.
+/// The maximum number of cached items: those of two steps of three trainers, with some 9 kB of text each.
 const MAX_ITEMS: usize = 1_000;
 
-/// What is kept of an item.
+/// The cached texts of an item.
 #[derive(Debug)]
 struct CachedItem {
-    /// Items in the order in which they were last kept.
+    /// Increases with each insertion; the item with the lowest number is evicted first.
     sequence: u64,
     /// Texts of different runs, which may have been made under different versions.
     texts: Vec<Text>,
 }
 
-/// Texts by item.
+/// Unfinished texts by item.
 ///
-/// A trainer ends a step when enough groups are complete and sends the other groups again with a
-/// later step. What was made of their texts goes on then instead of beginning anew.
+/// A trainer ends a step when enough groups are complete and submits the other groups again in a later step. Their
+/// texts then continue from the cache instead of restarting.
 #[derive(Debug)]
 pub(crate) struct TextCache {
     items: RefCell<SortedMap<Arc<str>, CachedItem>>,
     last_sequence: RefCell<u64>,
-    /// Whether texts outlive their run.
+    /// Whether texts are cached when their run is cancelled.
     is_enabled: bool,
 }
 
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Takes the longest text of an item that was made under `min_version` or newer ones, empty if there
-    /// is none; all others are too old for good.
+    /// Takes the longest text of an item that was generated under `min_version` or newer, or an empty one. The
+    /// item's other texts are dropped.
     pub(crate) fn take(self: &Rc<Self>, item: &Arc<str>, min_version: u64) -> CachedText {
         let cached = self.items.borrow_mut().remove(item);
         let texts = cached.into_iter().flat_map(|cached| cached.texts);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes over texts that another daemon, or an earlier life of this one, had under way.
+    /// Inserts unfinished texts of another daemon, or of an earlier incarnation of this one.
     pub(crate) fn restore(&self, texts: Vec<(Arc<str>, Text)>) {
         for (item, text) in texts {
             self.put(item, text);
@@ -79,7 +79,7 @@
     }
 }
 
-/// A text that goes back among the kept ones when it is dropped.
+/// A text taken from the cache, which returns to it when dropped.
 #[derive(Debug)]
 pub(crate) struct CachedText {
     cache: Rc<TextCache>,
@@ -93,7 +93,7 @@
         self.text.get_or_insert_default()
     }
 
-    /// Takes the text out for good.
+    /// Removes the text from the cache for good and returns it.
     pub(crate) fn remove(mut self) -> Text {
         self.text.take().unwrap_or_default()
     }
--- a/crates/borageshore_gateway/src/writer.rs
+++ b/crates/borageshore_gateway/src/writer.rs
@@ -1,4 +1,4 @@
-//! Results on their way into the store.
+//! Writes item results to the store.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
@@ -10,18 +10,18 @@
 
 use crate::{ledger_view::Shard, store_path::Store};
 
-/// Results that end within this time go into one append. A trainer reads twice a second.
+/// Results that arrive within this time are appended together; trainers read twice a second.
 const BATCH_WINDOW_MS: u64 = 15;
 /// The pause after an append that failed.
 const RETRY_MS: u64 = 120;
-/// The most bytes of one append; the store takes 2 MiB.
+/// The maximum bytes of one append; the store's limit is 2 MiB.
 const MAX_APPEND_BYTES: usize = 1_500_000;
 
-/// Appends results, shard by shard, until the store has them.
+/// Appends queued results, one queue per shard, and retries until the store has them.
 #[derive(Debug)]
 pub(crate) struct Writer {
     store: Store,
-    /// Names this process among all that ever wrote.
+    /// The name of this process, unique over all processes ever started.
     author: String,
     queues: Vec<Queue>,
     partitions: u64,
@@ -50,7 +50,7 @@
         writer
     }
 
-    /// Hands a result over.
+    /// Queues a result.
     pub(crate) fn write(&self, submission: Arc<str>, result: ItemResult) {
         let shard = Shard::of(&submission, self.partitions);
         let queue = &self.queues[shard.number()];
@@ -81,10 +81,10 @@
         }
     }
 
-    /// Appends until it is known that the store has the records.
+    /// Retries until the store confirms the append of all records.
     ///
-    /// An append without an answer may have been done, or be done later. It is repeated under a key
-    /// of its own all the same: the fold takes the first result of an item and ignores the other.
+    /// An append without a response may have succeeded, or succeed later. The retry uses a new key: the ledger takes
+    /// the first result of an item and ignores the second.
     async fn append(&self, shard: Shard, records: Vec<LedgerRecord>) {
         let mut next = 0;
         let mut is_failing = false;
