--- a/crates/borageshore_gateway/src/cleaner.rs
+++ b/crates/borageshore_gateway/src/cleaner.rs
@@ -1,4 +1,4 @@
-//! Records of submissions that nobody may ask for any more, taken out of the store.
+//! Removes the records of expired submissions from the store.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -13,17 +13,17 @@
     submission_index::SubmissionIndex,
 };
 
-/// The pace at which expired submissions are looked for.
+/// The interval at which expired submissions are removed.
 const INTERVAL_MS: u64 = 5_000;
-/// Clocks of two VMs differ by less.
+/// The maximum difference between the clocks of two VMs.
 const MAX_CLOCK_SKEW_MS: u64 = 10_000;
-/// Keys of one append, as each is a record of its own.
+/// The maximum number of keys removed by one append; each takes a record.
 const KEYS_PER_APPEND: usize = 500;
 
-/// Removes the records of submissions whose time is over.
+/// Removes the records of submissions whose retention period is over.
 ///
-/// Guards against a full store: it keeps the newest record of each key for good, 13 MB a minute on a
-/// heavy day, and refuses every append at 400 MB.
+/// Guards against a full store: it keeps the newest record of each key until that is removed, and refuses all appends
+/// at 400 MB.
 #[derive(Debug)]
 pub(crate) struct Cleaner {
     pub(crate) store: Store,
@@ -31,12 +31,13 @@
     pub(crate) index: Rc<SubmissionIndex>,
     pub(crate) members: Rc<Members>,
     pub(crate) quarantine: Rc<Quarantine>,
-    /// How long after its submission a result can be read.
+    /// How long results can be read, counted from their submission.
     pub(crate) retention_ms: u64,
 }
 
 impl Cleaner {
-    /// Cleans until the process ends. Two daemons that both do so for a moment remove the same keys.
+    /// Runs until the process ends. One daemon removes records at a time; if two do for a moment, they remove the
+    /// same keys, which is harmless.
     pub(crate) async fn run(self) {
         let clock_skew_ms = MAX_CLOCK_SKEW_MS.min(self.retention_ms);
         loop {
@@ -51,9 +52,9 @@
             }
             for id in self.index.expired(self.retention_ms, clock_skew_ms) {
                 match self.remove(&id).await {
-                    Ok(()) => log::info!(submission = &*id; "records removed, their time is over"),
+                    Ok(()) => log::info!(submission = &*id; "expired submission removed"),
                     Err(error) => {
-                        log::info!(submission = &*id, error:% = error; "records not removed");
+                        log::info!(submission = &*id, error:% = error; "expired submission not removed; will retry");
                     }
                 }
             }
@@ -67,7 +68,7 @@
         responsible == Some(&*self.members.own_name())
     }
 
-    /// The index goes last: what is left by a failure is found again.
+    /// Removes the index entry last, so that a removal that failed halfway is repeated.
     async fn remove(&self, id: &Arc<str>) -> Result<(), StoreError> {
         let shard = Shard::of(id, self.partitions);
         let (topic, partition) = (shard.topic(), shard.partition());
--- a/crates/borageshore_gateway/src/follow.rs
+++ b/crates/borageshore_gateway/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following a partition of the store.
+//! Reads a partition of the store continuously and applies its records to a view.
 
 use std::{
     cell::{Cell, RefCell},
@@ -11,40 +11,38 @@
 
 use crate::store_path::Store;
 
-/// How long a read waits at the store for a record. A connection that went silent shows when the
-/// answer is late by more than the store's slack, so this bounds how old a view can get unnoticed.
+/// How long a read waits at the store for a record. A dead connection is detected when the response is late, so
+/// this limits the age that a view can reach unnoticed.
 const LONG_POLL_MS: u64 = 1_200;
 /// The pause after a failed read.
 const RETRY_MS: u64 = 150;
 
-/// The most reads that confirm a view: pages of a megabyte, and a partition takes 20 MB a second.
+/// The maximum number of reads to confirm a view: pages have a megabyte, and a partition takes 20 MB a second.
 const MAX_CONFIRM_READS: usize = 40;
 
-/// The partition of topics that are read whole by everybody: one read brings all their records, in one
-/// order.
+/// The partition of topics that every daemon reads as a whole: a single one gives their records a total order.
 pub(crate) const ONLY_PARTITION: u64 = 0;
 
-/// Folds the records of a partition.
+/// A view that is built from the records of a partition.
 pub(crate) trait Fold {
-    /// Takes records in the order of their offsets.
+    /// Applies records, in the order of their offsets.
     fn apply(&self, records: &[KeyedRecord]);
-    /// Notes that all records up to now were applied.
+    /// Called when a read reached the end of the partition, before its records are applied.
     fn on_caught_up(&self) {}
-    /// Notes that records may have been missed: what comes next begins at the newest records, or at
-    /// the end.
+    /// Called when records may have been missed; the next ones start at [`FollowSpec::start_from`].
     fn on_gap(&self) {}
 }
 
-/// Where a follower begins, and goes on after a gap.
+/// Where a follower starts, and restarts after a gap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StartFrom {
-    /// With the newest record of each key.
+    /// At the newest record of each key.
     Newest,
-    /// With what is appended from now on.
+    /// At the end of the partition.
     End,
 }
 
-/// What is followed, and how.
+/// The settings of a follower.
 #[derive(Debug, Clone)]
 pub(crate) struct FollowSpec {
     pub(crate) store: Store,
@@ -52,11 +50,11 @@
     pub(crate) partition: u64,
     pub(crate) start_from: StartFrom,
     pub(crate) clock: Clock,
-    /// Records that come close together are read together: the pause before the next read.
+    /// The pause after a read that brought records, so that those that follow closely are read together.
     pub(crate) pause_ms: u64,
 }
 
-/// A followed partition.
+/// Follows a partition and applies its records to a view.
 #[derive(Debug)]
 pub(crate) struct Follower<Folded> {
     spec: FollowSpec,
@@ -70,7 +68,7 @@
 where
     Folded: Fold + 'static,
 {
-    /// Follows a partition on the present event loop.
+    /// Starts to follow a partition on the current thread's event loop.
     pub(crate) fn spawn(spec: FollowSpec, fold: Rc<Folded>) -> Rc<Self> {
         let follower = Rc::new(Self {
             spec,
@@ -88,13 +86,15 @@
         self.position.borrow().next_offset()
     }
 
-    /// Makes sure that the view is no older than `age_ms`, by reads of its own if need be.
+    /// Brings the view to an age of at most `age_ms`, with additional reads if necessary; returns whether that
+    /// succeeded.
     pub(crate) async fn confirm(&self, age_ms: u64) -> bool {
         let is_current = || self.is_current_within(age_ms);
         is_current() || self.read_until(is_current).await
     }
 
-    /// Brings the view up to what the store has by now, whatever was read a moment ago.
+    /// Brings the view up to the present end of the partition, always with a new read; returns whether that
+    /// succeeded.
     pub(crate) async fn confirm_now(&self) -> bool {
         let since_ms = self.spec.clock.now_ms();
         let is_current = || self.position.borrow().is_current_since(since_ms);
@@ -113,18 +113,19 @@
         is_current()
     }
 
-    /// Says whether the view was whole within the last `age_ms`.
+    /// Returns whether the view was up to date within the last `age_ms`.
     pub(crate) fn is_current_within(&self, age_ms: u64) -> bool {
         let position = self.position.borrow();
         position.is_current_within(age_ms, self.spec.clock.now_ms())
     }
 
-    /// When the newest question was asked whose answer made the view whole, on the clock that counts suspensions.
+    /// When the newest read that brought the view up to date was sent, in ms of the boot-time clock, which counts
+    /// suspensions.
     pub(crate) fn requested_at_ms(&self) -> Option<u64> {
         self.position.borrow().requested_at_ms()
     }
 
-    /// Ends the following once the present read is over.
+    /// Stops the follower after the current read.
     pub(crate) fn stop(&self) {
         self.is_stopped.set(true);
     }
@@ -139,7 +140,7 @@
                 Ok(0) => {}
                 Ok(_) => sleep_ms(self.spec.pause_ms).await,
                 Err(StoreError::Expired { first }) => {
-                    log::info!(topic:? = self.spec.topic, partition = self.spec.partition, first; "history is gone, the view begins anew");
+                    log::info!(topic:? = self.spec.topic, partition = self.spec.partition, first; "records expired before they were read; restarting the view");
                     self.position.borrow_mut().reset();
                     self.fold.on_gap();
                 }
@@ -185,7 +186,7 @@
         Ok(self.take(page, from, requested_at_ms))
     }
 
-    /// Applies what is new: two reads may bring the same records.
+    /// Applies the records that are new, as two reads may return the same ones; returns their number.
     fn take(&self, page: Page, from: u64, requested_at_ms: u64) -> usize {
         if self.is_stopped.get() {
             return 0;
@@ -212,7 +213,7 @@
         records.len()
     }
 
-    /// Moves to the end of a read; says whether the view is whole now.
+    /// Moves the position behind a read's records; returns whether the view is up to date now.
     fn move_to(&self, after_last: u64, end: u64) -> bool {
         let now_ms = self.spec.clock.now_ms();
         let mut position = self.position.borrow_mut();
--- a/crates/borageshore_gateway/src/item/mod.rs
+++ b/crates/borageshore_gateway/src/item/mod.rs
@@ -96,7 +96,7 @@
     context: &'r ItemContext,
     submission: &'r Submission,
     item: &'r Item,
-    /// The key of its text in the text cache and in the stored progress.
+    /// The key of its text in the text cache and in the saved progress.
     text_key: Arc<str>,
     rank: (u64, ItemRank),
     seen_at_ms: u64,
--- a/crates/borageshore_gateway/src/ledger_view.rs
+++ b/crates/borageshore_gateway/src/ledger_view.rs
@@ -1,4 +1,4 @@
-//! This daemon's view of the submissions that it runs or is asked for.
+//! This daemon's view of the submissions that it runs or that are read from it.
 
 use std::{
     cell::{Cell, RefCell},
@@ -18,19 +18,19 @@
     store_path::Store,
 };
 
-/// Records of results come in bursts; reading them together saves most of the reads.
+/// The pause between reads of a shard: results come in bursts, and reading them together saves most of the reads.
 const FOLLOW_PAUSE_MS: u64 = 25;
-/// The topics over whose partitions submissions are spread. With 8 partitions each, a daemon that
-/// follows one submission reads a 32nd of the others.
+/// The number of topics over whose partitions submissions are spread. With 8 partitions each, a daemon that
+/// follows one submission also reads a 32nd of the others.
 const BATCH_TOPICS: u64 = 4;
-/// A shard that nobody asked for is followed for this long; trainers read twice a second.
+/// How long a shard is followed after its last use; trainers read twice a second.
 const IDLE_TIMEOUT_MS: u64 = 15_000;
-/// The pace at which idle shards are looked for.
+/// The interval at which idle shards are released.
 const IDLE_CHECK_INTERVAL_MS: u64 = 2_000;
-/// A shard's first read takes some ms; a slow store answers in 200.
+/// The maximum wait for a shard's first read, which takes some ms, or 200 ms if the store is slow.
 const START_TIMEOUT_MS: u64 = 1_500;
 
-/// Where a submission's records are.
+/// The partition of the batch topics that has a submission's records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Shard {
     number: u64,
@@ -38,7 +38,7 @@
 }
 
 impl Shard {
-    /// The shard of a submission, where a topic has so many partitions.
+    /// The shard of a submission, with `partitions` partitions per topic.
     pub(crate) fn of(submission: &str, partitions: u64) -> Self {
         let partitions = partitions.max(1);
         Self {
@@ -53,22 +53,22 @@
         (0..partitions * BATCH_TOPICS).map(move |number| Self { number, partitions })
     }
 
-    /// Its place among all shards.
+    /// The index of the shard among all shards.
     pub(crate) fn number(self) -> usize {
         self.number as usize
     }
 
-    /// Its topic.
+    /// The topic of its submissions' records.
     pub(crate) fn topic(self) -> Topic {
         Topic::Batch(self.number / self.partitions)
     }
 
-    /// The topic of its texts under way.
+    /// The topic of its saved unfinished texts.
     pub(crate) fn progress_topic(self) -> Topic {
         Topic::Progress(self.number / self.partitions)
     }
 
-    /// Its partition of either topic.
+    /// Its partition in both topics.
     pub(crate) fn partition(self) -> u64 {
         self.number % self.partitions
     }
@@ -80,7 +80,7 @@
     used_at_ms: Cell<u64>,
 }
 
-/// The submissions as this daemon knows them.
+/// The ledger of the shards that this daemon follows.
 #[derive(Debug)]
 pub(crate) struct LedgerView {
     store: Store,
@@ -89,12 +89,12 @@
     ledger: RefCell<Ledger>,
     loading: RefCell<Vec<Arc<str>>>,
     shards: RefCell<SortedMap<Shard, Followed>>,
-    /// Told when anything changed.
+    /// Notified on each change.
     pub(crate) changed: Notify,
 }
 
 impl LedgerView {
-    /// Opens a view without any submission.
+    /// Starts an empty view.
     pub(crate) fn spawn(store: Store, partitions: u64, clock: Clock) -> Rc<Self> {
         let view = Rc::new(Self {
             store,
@@ -117,7 +117,7 @@
         make(&self.ledger.borrow())
     }
 
-    /// Runs a function on a submission whose records are all here.
+    /// Runs a function on a submission; `None` if its records are not all loaded.
     pub(crate) fn with_loaded<Use, Made>(&self, id: &str, make: Use) -> Option<Made>
     where
         Use: FnOnce(&SubmissionState) -> Made,
@@ -127,26 +127,26 @@
         Some(make(state))
     }
 
-    /// Keeps a submission's shard followed.
+    /// Marks a submission's shard as in use, which keeps it followed.
     pub(crate) fn touch(&self, id: &str) {
         if let Some(followed) = self.shards.borrow().get(&self.shard_of(id)) {
             followed.used_at_ms.set(self.clock.now_ms());
         }
     }
 
-    /// Makes sure that the view of a submission is no older than `age_ms`.
+    /// Brings the view of a submission to an age of at most `age_ms`; returns whether that succeeded.
     pub(crate) async fn confirm(self: &Rc<Self>, id: &str, age_ms: u64) -> bool {
         let follower = self.follow(self.shard_of(id));
         follower.confirm(age_ms).await
     }
 
-    /// Brings the view of a submission up to what the store has by now.
+    /// Brings the view of a submission up to the present end of the store; returns whether that succeeded.
     pub(crate) async fn confirm_now(self: &Rc<Self>, id: &str) -> bool {
         let follower = self.follow(self.shard_of(id));
         follower.confirm_now().await
     }
 
-    /// Reads the records of a submission unless they are here; says whether they are now.
+    /// Loads the records of a submission unless they are loaded; returns whether they are now.
     pub(crate) async fn load(self: &Rc<Self>, id: &Arc<str>) -> bool {
         let follower = self.follow(self.shard_of(id));
         loop {
@@ -164,7 +164,7 @@
         self.wait_until_started(&follower).await && self.load_records(id).await
     }
 
-    /// Waits until a shard is being followed: what is loaded must reach to where that began.
+    /// Waits until a shard is being followed: records loaded before that could leave a gap.
     async fn wait_until_started(&self, follower: &Follower<ShardFold>) -> bool {
         let started = async {
             loop {
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Follows a shard from its end on.
+    /// Returns the shard's follower; starts one at the end of the shard if there is none.
     fn follow(self: &Rc<Self>, shard: Shard) -> Rc<Follower<ShardFold>> {
         let now_ms = self.clock.now_ms();
         let mut shards = self.shards.borrow_mut();
@@ -278,7 +278,7 @@
     Some((record.offset, record.key, record.value?))
 }
 
-/// Folds one shard.
+/// Applies the records of one shard to the view.
 #[derive(Debug)]
 pub(crate) struct ShardFold {
     view: Rc<LedgerView>,
--- a/crates/borageshore_gateway/src/mechanisms.rs
+++ b/crates/borageshore_gateway/src/mechanisms.rs
@@ -1,40 +1,40 @@
-//! The mechanisms that decide, each of which can be switched off to measure what it is worth.
+//! Optional mechanisms, each of which can be disabled to compare results with and without it.
 
 use serde::Deserialize;
 
-/// A mechanism.
+/// A mechanism that can be disabled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mechanism {
-    /// Texts under way are stored, and a successor goes on with them.
+    /// Unfinished texts are saved in the store, and a new owner resumes them.
     StoredTexts,
-    /// A call to the store goes by a peer where this daemon's own way is closed.
+    /// Calls to the store take the peer route while the direct route fails.
     StoreDetour,
-    /// Texts that were cut off at the end of a step are kept for the next that asks for them.
+    /// Texts that are unfinished at the end of a step are cached for the next submission of the same item.
     KeptTexts,
-    /// Long texts leave slow engines.
+    /// Items with long texts move from slow engines to faster ones.
     MovesToBetterEngines,
-    /// The pace of an engine counts in the choice of one.
+    /// Placement takes the latency of engines into account.
     Pace,
-    /// A whole submission stays with its owner until it is ended.
+    /// A complete submission stays with its owner until it is ended.
     HeldUntilEnded,
-    /// Another engine is chosen after a refusal or a loss, for a while.
+    /// After a refused or lost attempt, other engines are preferred for a while.
     Avoidance,
 }
 
-/// Which mechanisms are on.
+/// The set of enabled mechanisms.
 #[derive(Debug, Clone, Default)]
 pub struct Mechanisms {
     disabled: Vec<Mechanism>,
 }
 
 impl Mechanisms {
-    /// All but some.
+    /// Enables all mechanisms except those in `disabled`.
     pub fn without(disabled: Vec<Mechanism>) -> Self {
         Self { disabled }
     }
 
-    /// Says whether a mechanism is on.
+    /// Returns whether a mechanism is enabled.
     pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.disabled.contains(&mechanism)
     }
--- a/crates/borageshore_gateway/src/runner.rs
+++ b/crates/borageshore_gateway/src/runner.rs
@@ -27,7 +27,7 @@
 /// The pause before a failed read of a submission's records is retried.
 const LOAD_RETRY_MS: u64 = 200;
 
-/// How long a takeover waits for stored texts: four reads of a slow store. A text that restarts instead takes up
+/// How long a takeover waits for saved texts: four reads of a slow store. A text that restarts instead takes up
 /// to seven seconds more.
 const RESTORE_TIMEOUT_MS: u64 = 1_000;
 
@@ -72,7 +72,7 @@
     restoring: RefCell<Vec<Arc<str>>>,
 }
 
-/// Whether stored texts of a submission have to be restored before it is run.
+/// Whether saved texts of a submission have to be restored before it is run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Origin {
     /// No other process ran the submission, or its texts have been restored.
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Restores a submission's stored texts, unless that is already under way.
+    /// Restores a submission's saved texts, unless that is already under way.
     fn restore(self: &Rc<Self>, id: &Arc<str>) {
         if self.restoring.borrow().contains(id) {
             return;
--- a/crates/borageshore_gateway/src/text_cache.rs
+++ b/crates/borageshore_gateway/src/text_cache.rs
@@ -13,7 +13,7 @@
 struct CachedItem {
     /// Increases with each insertion; the item with the lowest number is evicted first.
     sequence: u64,
-    /// Texts of different runs, which may have been made under different versions.
+    /// Texts of different runs, which may have been generated under different versions.
     texts: Vec<Text>,
 }
 
