--- a/crates/borageshore_gateway/src/access.rs
+++ b/crates/borageshore_gateway/src/access.rs
@@ -9,7 +9,7 @@
 use borageshore_platform::refusal;
 use tokio::sync::Mutex;
 
-use crate::{follow::Follow, routes::Routes};
+use crate::{follow::Follower, routes::Routes};
 
 /// How long a caller waits for the view of the keys to be confirmed by the store.
 const CONFIRM_TIMEOUT_MS: u64 = 250;
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub(crate) struct CallerAccess {
     routes: Rc<Routes>,
-    follow: Rc<Follow<Routes>>,
+    follow: Rc<Follower<Routes>>,
     /// Maximum age of the view, counted from when it was requested; `None` for no limit.
     max_age_ms: Option<u64>,
     /// Serializes confirmations, so that one serves all waiting callers.
@@ -70,7 +70,7 @@
 impl CallerAccess {
     pub(crate) fn open(
         routes: Rc<Routes>,
-        follow: Rc<Follow<Routes>>,
+        follow: Rc<Follower<Routes>>,
         max_age_ms: Option<u64>,
         instruments: Rc<Instruments>,
     ) -> Rc<Self> {
@@ -132,7 +132,7 @@
     fn view(&self) -> KeyView {
         let asked_at_ms = self
             .follow
-            .asked_at_ms()
+            .requested_at_ms()
             .filter(|_| self.routes.is_latest_readable());
         KeyView {
             age_ms: asked_at_ms.map(|asked_at_ms| boot_time_ms().saturating_sub(asked_at_ms)),
--- a/crates/borageshore_gateway/src/follow.rs
+++ b/crates/borageshore_gateway/src/follow.rs
@@ -1,4 +1,4 @@
-//! Following a partition of the store.
+//! Reads a partition of the store continuously and applies its records to a view.
 
 use std::{
     cell::{Cell, RefCell},
@@ -11,76 +11,74 @@
 
 use crate::store_path::Store;
 
-/// How long a read waits at the store for a record. A connection that went silent shows when the
-/// answer is late by more than the store's slack, so this bounds how old a view can get unnoticed.
-const WAIT_MS: u64 = 1_200;
+/// How long a read waits at the store for a record. A dead connection is detected when the response is late, so
+/// this limits the age that a view can reach unnoticed.
+const LONG_POLL_MS: u64 = 1_200;
 /// The pause after a failed read.
 const RETRY_MS: u64 = 150;
 
-/// The most reads that confirm a view: pages of a megabyte, and a partition takes 20 MB a second.
-const CONFIRMING_READS: usize = 40;
+/// The maximum number of reads to confirm a view: pages have a megabyte, and a partition takes 20 MB a second.
+const MAX_CONFIRM_READS: usize = 40;
 
-/// The partition of topics that are read whole by everybody: one read brings all their records, in one
-/// order.
+/// The partition of topics that every daemon reads as a whole: a single one gives their records a total order.
 pub(crate) const ONLY_PARTITION: u64 = 0;
 
-/// Folds the records of a partition.
+/// A view that is built from the records of a partition.
 pub(crate) trait Fold {
-    /// Takes records in the order of their offsets.
+    /// Applies records, in the order of their offsets.
     fn apply(&self, records: &[KeyedRecord]);
-    /// Notes that all records up to now were applied.
-    fn on_fresh(&self) {}
-    /// Notes that records may have been missed: what comes next begins at the newest records, or at
-    /// the end.
+    /// Called when a read reached the end of the partition, before its records are applied.
+    fn on_caught_up(&self) {}
+    /// Called when records may have been missed; the next ones start at [`FollowSpec::start_from`].
     fn on_gap(&self) {}
 }
 
-/// Where a follower begins, and goes on after a gap.
+/// Where a follower starts, and restarts after a gap.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Begin {
-    /// With the newest record of each key.
+pub(crate) enum StartFrom {
+    /// At the newest record of each key.
     Newest,
-    /// With what is appended from now on.
+    /// At the end of the partition.
     End,
 }
 
-/// What is followed, and how.
+/// The settings of a follower.
 #[derive(Debug, Clone)]
 pub(crate) struct FollowSpec {
     pub(crate) store: Store,
     pub(crate) topic: Topic,
     pub(crate) partition: u64,
-    pub(crate) begin: Begin,
+    pub(crate) start_from: StartFrom,
     pub(crate) clock: Clock,
-    /// Records that come close together are read together: the pause before the next read.
+    /// The pause after a read that brought records, so that those that follow closely are read together.
     pub(crate) pause_ms: u64,
 }
 
-/// A followed partition.
+/// Follows a partition and applies its records to a view.
 #[derive(Debug)]
-pub(crate) struct Follow<Folded> {
+pub(crate) struct Follower<Folded> {
     spec: FollowSpec,
     position: RefCell<ViewPosition>,
-    is_lost: Cell<bool>,
+    is_failing: Cell<bool>,
     is_stopped: Cell<bool>,
     fold: Rc<Folded>,
 }
 
-impl<Folded> Follow<Folded>
+impl<Folded> Follower<Folded>
 where
     Folded: Fold + 'static,
 {
-    /// Follows a partition on the present event loop.
+    /// Starts to follow a partition on the current thread's event loop.
     pub(crate) fn spawn(spec: FollowSpec, fold: Rc<Folded>) -> Rc<Self> {
-        let follow = Rc::new(Self {
+        let follower = Rc::new(Self {
             spec,
             position: RefCell::default(),
-            is_lost: Cell::new(false),
+            is_failing: Cell::new(false),
             is_stopped: Cell::new(false),
             fold,
         });
-        monoio::spawn(follow.clone().run());
-        follow
+        monoio::spawn(follower.clone().run());
+        follower
     }
 
     /// The offset after the last applied record; `None` before the first read.
@@ -88,43 +86,46 @@
         self.position.borrow().next_offset()
     }
 
-    /// Makes sure that the view is no older than `age_ms`, by reads of its own if need be.
+    /// Brings the view to an age of at most `age_ms`, with additional reads if necessary; returns whether that
+    /// succeeded.
     pub(crate) async fn confirm(&self, age_ms: u64) -> bool {
-        let is_whole = || self.is_whole_within(age_ms);
-        is_whole() || self.read_until(is_whole).await
+        let is_current = || self.is_current_within(age_ms);
+        is_current() || self.read_until(is_current).await
     }
 
-    /// Brings the view up to what the store has by now, whatever was read a moment ago.
+    /// Brings the view up to the present end of the partition, always with a new read; returns whether that
+    /// succeeded.
     pub(crate) async fn confirm_now(&self) -> bool {
         let since_ms = self.spec.clock.now_ms();
-        let is_whole = || self.position.borrow().is_current_since(since_ms);
-        self.read_until(is_whole).await
+        let is_current = || self.position.borrow().is_current_since(since_ms);
+        self.read_until(is_current).await
     }
 
-    async fn read_until<Whole>(&self, is_whole: Whole) -> bool
+    async fn read_until<Current>(&self, is_current: Current) -> bool
     where
-        Whole: Fn() -> bool,
+        Current: Fn() -> bool,
     {
-        for _ in 0..CONFIRMING_READS {
-            if self.read(0).await.is_err() || is_whole() {
+        for _ in 0..MAX_CONFIRM_READS {
+            if self.read(0).await.is_err() || is_current() {
                 break;
             }
         }
-        is_whole()
+        is_current()
     }
 
-    /// Says whether the view was whole within the last `age_ms`.
-    pub(crate) fn is_whole_within(&self, age_ms: u64) -> bool {
+    /// Returns whether the view was up to date within the last `age_ms`.
+    pub(crate) fn is_current_within(&self, age_ms: u64) -> bool {
         let position = self.position.borrow();
         position.is_current_within(age_ms, self.spec.clock.now_ms())
     }
 
-    /// When the newest question was asked whose answer made the view whole, on the clock that counts suspensions.
-    pub(crate) fn asked_at_ms(&self) -> Option<u64> {
+    /// When the newest read that brought the view up to date was sent, in ms of the boot-time clock, which counts
+    /// suspensions.
+    pub(crate) fn requested_at_ms(&self) -> Option<u64> {
         self.position.borrow().requested_at_ms()
     }
 
-    /// Ends the following once the present read is over.
+    /// Stops the follower after the current read.
     pub(crate) fn stop(&self) {
         self.is_stopped.set(true);
     }
@@ -133,18 +134,18 @@
         while !self.is_stopped.get() {
             let read = match self.next_offset() {
                 None => self.load().await,
-                Some(_) => self.read(WAIT_MS).await,
+                Some(_) => self.read(LONG_POLL_MS).await,
             };
             match read {
                 Ok(0) => {}
                 Ok(_) => sleep_ms(self.spec.pause_ms).await,
                 Err(StoreError::Expired { first }) => {
-                    log::info!(topic:? = self.spec.topic, partition = self.spec.partition, first; "history is gone, the view begins anew");
+                    log::info!(topic:? = self.spec.topic, partition = self.spec.partition, first; "records expired before they were read; restarting the view");
                     self.position.borrow_mut().reset();
                     self.fold.on_gap();
                 }
                 Err(error) => {
-                    self.note_loss(&error);
+                    self.on_store_error(&error);
                     sleep_ms(RETRY_MS).await;
                 }
             }
@@ -152,15 +153,15 @@
     }
 
     async fn load(&self) -> Result<usize, StoreError> {
-        let asked_at_ms = boot_time_ms();
-        let page = match self.spec.begin {
-            Begin::Newest => {
+        let requested_at_ms = boot_time_ms();
+        let page = match self.spec.start_from {
+            StartFrom::Newest => {
                 self.spec
                     .store
                     .newest(self.spec.topic, self.spec.partition, "")
                     .await?
             }
-            Begin::End => Page {
+            StartFrom::End => Page {
                 end: self
                     .spec
                     .store
@@ -169,7 +170,7 @@
                 records: Vec::new(),
             },
         };
-        Ok(self.take(page, 0, asked_at_ms))
+        Ok(self.take(page, 0, requested_at_ms))
     }
 
     async fn read(&self, wait_ms: u64) -> Result<usize, StoreError> {
@@ -177,42 +178,42 @@
             return Err(StoreError::NotDone("nothing was read yet".into()));
         };
         let spec = &self.spec;
-        let asked_at_ms = boot_time_ms();
+        let requested_at_ms = boot_time_ms();
         let page = spec
             .store
             .read(spec.topic, spec.partition, from, wait_ms)
             .await?;
-        Ok(self.take(page, from, asked_at_ms))
+        Ok(self.take(page, from, requested_at_ms))
     }
 
-    /// Applies what is new: two reads may bring the same records.
-    fn take(&self, page: Page, from: u64, asked_at_ms: u64) -> usize {
+    /// Applies the records that are new, as two reads may return the same ones; returns their number.
+    fn take(&self, page: Page, from: u64, requested_at_ms: u64) -> usize {
         if self.is_stopped.get() {
             return 0;
         }
         let applied = self.next_offset().unwrap_or(0);
-        let new = page
+        let first_new = page
             .records
             .partition_point(|record| record.offset < applied);
-        let records = &page.records[new..];
+        let records = &page.records[first_new..];
         let after_last = page.records.last().map_or(from, |last| last.offset + 1);
-        let is_whole = self.move_to(after_last, page.end);
-        if is_whole {
-            self.fold.on_fresh();
+        let is_current = self.move_to(after_last, page.end);
+        if is_current {
+            self.fold.on_caught_up();
         }
-        if self.is_lost.replace(false) {
+        if self.is_failing.replace(false) {
             log::info!(topic:? = self.spec.topic, partition = self.spec.partition; "store regained");
         }
         if !records.is_empty() {
             self.fold.apply(records);
         }
-        if is_whole {
-            self.position.borrow_mut().on_response(asked_at_ms);
+        if is_current {
+            self.position.borrow_mut().on_response(requested_at_ms);
         }
         records.len()
     }
 
-    /// Moves to the end of a read; says whether the view is whole now.
+    /// Moves the position behind a read's records; returns whether the view is up to date now.
     fn move_to(&self, after_last: u64, end: u64) -> bool {
         let now_ms = self.spec.clock.now_ms();
         let mut position = self.position.borrow_mut();
@@ -223,8 +224,8 @@
         true
     }
 
-    fn note_loss(&self, error: &StoreError) {
-        if !self.is_lost.replace(true) {
+    fn on_store_error(&self, error: &StoreError) {
+        if !self.is_failing.replace(true) {
             log::warn!(topic:? = self.spec.topic, partition = self.spec.partition, error:% = error; "store lost");
         }
     }
--- a/crates/borageshore_gateway/src/gateway.rs
+++ b/crates/borageshore_gateway/src/gateway.rs
@@ -18,7 +18,7 @@
     duties::Duties,
     endpoints::Endpoints,
     fleet_records::FleetRecords,
-    follow::{Begin, Follow, FollowSpec, ONLY_PARTITION},
+    follow::{FollowSpec, Follower, ONLY_PARTITION, StartFrom},
     item::ItemContext,
     ledger_view::LedgerView,
     life::{self, DrainTimes, Life, Signals},
@@ -35,7 +35,7 @@
     store_path::{Store, StorePath, StoreRelay},
     submission_index::SubmissionIndex,
     submissions::Submissions,
-    texts::Texts,
+    text_cache::TextCache,
     true_time::SharedTime,
     usage::{Reporter, ReporterParts, UsageCounter, UsageReports},
     watch::Watch,
@@ -65,7 +65,7 @@
     members: Rc<Members>,
     routes: Rc<Routes>,
     endpoints: Rc<Endpoints>,
-    open: Rc<Follow<SubmissionIndex>>,
+    open: Rc<Follower<SubmissionIndex>>,
     usage: Option<Rc<UsageCounter>>,
     runner: Rc<Runner>,
     writer: Rc<Writer>,
@@ -85,7 +85,7 @@
         let store_path = StorePath::open(
             config.store_address.clone(),
             clock,
-            mechanisms.has(Mechanism::StoreDetour),
+            mechanisms.is_enabled(Mechanism::StoreDetour),
         );
         let store = Store::open(store_path.clone());
         let client = EndpointClient::open();
@@ -131,7 +131,7 @@
             members.clone(),
             author.as_str().into(),
             partitions,
-            mechanisms.has(Mechanism::StoredTexts),
+            mechanisms.is_enabled(Mechanism::StoredTexts),
         );
         let writer = Writer::spawn(store.clone(), author, partitions);
         let context = ItemContext {
@@ -150,7 +150,7 @@
             quarantine: quarantine.clone(),
             writer: writer.clone(),
             view: view.clone(),
-            texts: Rc::new(Texts::open(mechanisms.has(Mechanism::KeptTexts))),
+            texts: Rc::new(TextCache::open(mechanisms.is_enabled(Mechanism::KeptTexts))),
             mechanisms,
             progress,
             instruments: instruments.clone(),
@@ -160,27 +160,27 @@
             store: store.clone(),
             topic,
             partition: ONLY_PARTITION,
-            begin: Begin::Newest,
+            start_from: StartFrom::Newest,
             clock,
             pause_ms,
         };
-        let followed_routes = Follow::spawn(spec(Topic::Operator, AT_ONCE_MS), routes.clone());
+        let followed_routes = Follower::spawn(spec(Topic::Operator, AT_ONCE_MS), routes.clone());
         let access = CallerAccess::open(
             routes.clone(),
             followed_routes,
             config.key_revocation_ms,
             instruments.clone(),
         );
-        Follow::spawn(spec(Topic::Endpoints, AT_ONCE_MS), endpoints.clone());
+        Follower::spawn(spec(Topic::Endpoints, AT_ONCE_MS), endpoints.clone());
         let fleet_records = FleetRecords {
             members: members.clone(),
             quarantine: quarantine.clone(),
         };
-        Follow::spawn(
+        Follower::spawn(
             spec(Topic::Members, MEMBERS_PAUSE_MS),
             Rc::new(fleet_records),
         );
-        let open = Follow::spawn(spec(Topic::Index, OPEN_PAUSE_MS), index.clone());
+        let open = Follower::spawn(spec(Topic::Index, OPEN_PAUSE_MS), index.clone());
         let orders = spec(Topic::Orders, ORDERS_PAUSE_MS);
         let time = SharedTime::spawn(members.clone());
         let reports = Rc::<UsageReports>::default();
@@ -223,7 +223,7 @@
             index,
             members: members.clone(),
             quarantine: quarantine.clone(),
-            kept_ms: config.results_kept_s * 1_000,
+            retention_ms: config.results_kept_s * 1_000,
         };
         monoio::spawn(cleaner.run());
         monoio::spawn(members.clone().announce(store.clone()));
--- a/crates/borageshore_gateway/src/item/stay.rs
+++ b/crates/borageshore_gateway/src/item/attempt.rs
@@ -1,4 +1,4 @@
-//! One stay of an item at an engine: from its request to its last event there.
+//! One attempt of an item at an engine, from the request to the last event read.
 
 use std::sync::Arc;
 
@@ -13,46 +13,47 @@
     quarantine::{Permit, SentRequest},
 };
 
-/// An engine answers within some ms of its slot being free; a line of its own lasts half a second.
-const FIRST_BYTE_MS: u64 = 900;
-/// Events come 40 ms apart, 160 ms at an engine that is four times slower. Silence for this long is
-/// a lost engine or connection; going on elsewhere costs a few ms. A load of weights is no reason to be
-/// silent: runs go on during it.
-const SILENCE_MS: u64 = 600;
-/// At an engine of the usual pace, give or take its load and noise, nothing better is looked for.
-const SLOW_PERCENT: u64 = 116;
-/// A better engine is looked for after so many events: a look goes through all engines of the
-/// service, and a daemon that runs three trainers reads 1,800 events a second.
-const LOOK_EVERY_EVENTS: u64 = 4;
-/// An engine that has made so many events of a text, some 0.4 s, is not crashed by it: a text that crashes engines
-/// does so as it begins to run.
-const SOUND_EVENTS: u64 = 10;
+/// An engine responds within a few ms of a slot becoming free, and its own queue holds a request for up to
+/// half a second.
+const FIRST_BYTE_TIMEOUT_MS: u64 = 900;
+/// The engine or connection counts as lost after this time without an event. Events are 40 ms apart, 160 ms
+/// at an engine that is four times slower, also while weights are loading; resuming at another engine costs
+/// a few ms.
+const EVENT_TIMEOUT_MS: u64 = 600;
+/// Latency, in percent of the median, from which an engine counts as slow; lower values are within load
+/// variation and noise.
+const MIN_SLOW_PERCENT: u64 = 116;
+/// A better engine is searched for once in this many events, as each search visits all engines of the service.
+const MOVE_CHECK_INTERVAL_EVENTS: u64 = 4;
+/// A request counts as not crashing its engine after this many events, some 0.4 s: those that crash engines do
+/// so as they start to run.
+const CRASH_FREE_EVENTS: u64 = 10;
 
-/// How a stay at an engine ended.
+/// How an attempt ended.
 #[derive(Debug)]
-pub(super) enum Stay {
+pub(super) enum AttemptOutcome {
     /// The text is complete.
     Complete,
-    /// It goes on at a better engine, where it has a slot.
+    /// The item continues at a faster engine, in the slot already taken there.
     Move(EngineSlot),
-    /// It goes on elsewhere: the engine refused or was lost.
-    GoOn { is_refused: bool },
-    /// The engine failed at it.
+    /// The engine refused or was lost; the item continues at another one.
+    Retry { is_refused: bool },
+    /// The engine failed to run the item.
     Failed,
-    /// It can never be done.
+    /// The engine rejected the item as invalid; retries are useless.
     Invalid,
 }
 
 impl ItemRun<'_> {
-    /// Sends the item to an engine and reads until it leaves there.
-    pub(super) async fn stay(
+    /// Sends the item to an engine and reads events until the attempt ends.
+    pub(super) async fn attempt(
         &self,
         place: EngineSlot,
         leave: &Permit,
         route: &Route,
         request: &SlotRequest,
         text: &mut Text,
-    ) -> Stay {
+    ) -> AttemptOutcome {
         let organisation = self.submission.organisation.as_deref();
         let generation_request = GenerationRequest {
             host: &self.submission.host,
@@ -60,7 +61,7 @@
             item: self.item,
             last_event: text.last_event(),
             priority: self.context.routes.priority(route, organisation),
-            first_byte_ms: FIRST_BYTE_MS,
+            first_byte_ms: FIRST_BYTE_TIMEOUT_MS,
         };
         let instance = place.target.instance.clone();
         let mut sent = self
@@ -72,28 +73,28 @@
             .client
             .generate(&place.target, &generation_request)
             .await;
-        let stay = match started {
+        let outcome = match started {
             Ok(generation) => self.read(place, generation, request, text, &mut sent).await,
             Err(GenerationError::Failed) => {
                 place.in_flight.fail();
-                Stay::Failed
+                AttemptOutcome::Failed
             }
             Err(GenerationError::Invalid) => {
                 place.in_flight.succeed();
-                Stay::Invalid
+                AttemptOutcome::Invalid
             }
-            Err(GenerationError::Attempt(error)) => self.lose(place, &error, &mut sent),
+            Err(GenerationError::Attempt(error)) => self.on_attempt_error(place, &error, &mut sent),
         };
         sent.on_end();
-        stay
+        outcome
     }
 
-    fn lose<Content>(
+    fn on_attempt_error<Content>(
         &self,
         place: EngineSlot,
         error: &AttemptError,
         sent: &mut SentRequest<Content>,
-    ) -> Stay
+    ) -> AttemptOutcome
     where
         Content: Fn() -> Fingerprint,
     {
@@ -103,20 +104,20 @@
         match error {
             AttemptError::Refused { status: 421, .. } => {
                 place.in_flight.fail();
-                Stay::GoOn { is_refused: true }
+                AttemptOutcome::Retry { is_refused: true }
             }
             AttemptError::Refused { load, .. } => {
                 place.in_flight.on_load(*load);
-                Stay::GoOn { is_refused: true }
+                AttemptOutcome::Retry { is_refused: true }
             }
             AttemptError::NotSent(_) | AttemptError::Lost(_) | AttemptError::Broken(_) => {
                 place.in_flight.fail();
-                Stay::GoOn { is_refused: false }
+                AttemptOutcome::Retry { is_refused: false }
             }
         }
     }
 
-    /// Reads events until the text is complete or the engine is given up.
+    /// Reads events until the text is complete, the engine fails or a better one has a slot.
     async fn read<Content>(
         &self,
         place: EngineSlot,
@@ -124,7 +125,7 @@
         request: &SlotRequest,
         text: &mut Text,
         sent: &mut SentRequest<Content>,
-    ) -> Stay
+    ) -> AttemptOutcome
     where
         Content: Fn() -> Fingerprint,
     {
@@ -132,40 +133,40 @@
         place.in_flight.on_load(generation.load);
         let mut version = generation.version;
         let mut event_at_us = None;
-        let sound_from = text.last_event() + SOUND_EVENTS;
+        let crash_free_at = text.last_event() + CRASH_FREE_EVENTS;
         loop {
             if let Some(version) = version {
-                self.note_version(&instance, version);
+                self.record_version(&instance, version);
                 if version < request.min_version || version > request.max_version {
-                    return Stay::GoOn { is_refused: true };
+                    return AttemptOutcome::Retry { is_refused: true };
                 }
             }
-            let event = match generation.next_event(SILENCE_MS).await {
+            let event = match generation.next_event(EVENT_TIMEOUT_MS).await {
                 Ok(Some(event)) => event,
                 Ok(None) => {
                     text.mark_complete();
                     sent.on_success();
                     generation.release(&self.context.client);
                     place.in_flight.succeed();
-                    return Stay::Complete;
+                    return AttemptOutcome::Complete;
                 }
-                Err(error) => return self.lose(place, &error, sent),
+                Err(error) => return self.on_attempt_error(place, &error, sent),
             };
             version = event.version.or(version);
             if version.is_some_and(|version| version > request.max_version) {
-                return Stay::GoOn { is_refused: true };
+                return AttemptOutcome::Retry { is_refused: true };
             }
             let events_before = text.last_event();
             let pushed = text.push(event.id, event.data.clone(), version);
             if text.last_event() > events_before {
                 self.save_event(event.data, version);
-                if text.last_event() == sound_from {
+                if text.last_event() == crash_free_at {
                     sent.on_success();
                 }
             }
             if let Err(fault) = pushed {
                 let error = AttemptError::Lost(format!("event {}: {fault:?}", event.id));
-                return self.lose(place, &error, sent);
+                return self.on_attempt_error(place, &error, sent);
             }
             let now_us = self.context.clock.now_us();
             if let Some(before_us) = event_at_us.replace(now_us) {
@@ -174,27 +175,30 @@
                     .on_event_gap(&instance, now_us - before_us);
             }
             if let Some(better) = self.better_place(&instance, event.id, request) {
-                return Stay::Move(better);
+                return AttemptOutcome::Move(better);
             }
         }
     }
 
-    /// Takes a slot at a better engine, if the present one is slow and it pays to move.
+    /// Takes a slot at a better engine if the current one is slow and moving is worthwhile.
     fn better_place(
         &self,
         instance: &Arc<str>,
         events: u64,
         request: &SlotRequest,
     ) -> Option<EngineSlot> {
-        let is_on = self.context.mechanisms.has(Mechanism::MovesToBetterEngines);
-        if !is_on || !events.is_multiple_of(LOOK_EVERY_EVENTS) {
+        let is_enabled = self
+            .context
+            .mechanisms
+            .is_enabled(Mechanism::MovesToBetterEngines);
+        if !is_enabled || !events.is_multiple_of(MOVE_CHECK_INTERVAL_EVENTS) {
             return None;
         }
         let item = RunningItem {
             latency_percent: self.context.endpoints.latency_percent_of(instance),
             events,
         };
-        if item.latency_percent < SLOW_PERCENT {
+        if item.latency_percent < MIN_SLOW_PERCENT {
             return None;
         }
         let better = self.context.dispatch.try_move(request, item)?;
@@ -206,7 +210,7 @@
         Some(better)
     }
 
-    fn note_version(&self, instance: &Arc<str>, version: u64) {
+    fn record_version(&self, instance: &Arc<str>, version: u64) {
         if let Some(model) = &self.submission.model {
             let known =
                 |versions: &borageshore_batch::EngineVersions| versions.get(instance, model);
--- a/crates/borageshore_gateway/src/item/mod.rs
+++ b/crates/borageshore_gateway/src/item/mod.rs
@@ -1,6 +1,6 @@
-//! One item from its first token to its result.
+//! Runs one item of a submission: generates its text, scores it and hands the result to the writer.
 
-mod stay;
+mod attempt;
 
 use std::{
     cell::{Cell, OnceCell, RefCell},
@@ -15,28 +15,28 @@
 use borageshore_routing::{Fingerprint, Route};
 use bytes::Bytes;
 
-use self::stay::Stay;
+use self::attempt::AttemptOutcome;
 use crate::{
     dispatch::{Dispatch, EngineSlot, SlotRequest},
     endpoints::Endpoints,
     ledger_view::LedgerView,
     mechanisms::{Mechanism, Mechanisms},
-    progress::{Progress, Saving},
+    progress::{Progress, SaveHandle},
     quarantine::{Permit, Quarantine},
     rewards::{Reward, Rewards},
     routes::Routes,
-    texts::Texts,
+    text_cache::TextCache,
     writer::Writer,
 };
 
-/// An item waits this long for another engine than the one that just refused or lost it.
-const AVOID_MS: u64 = 300;
-/// The pause after a refusal, so that a full service is not asked in a tight loop.
-const REFUSED_PAUSE_MS: u64 = 30;
+/// How long an item waits for a slot at an engine other than those where its last attempts failed.
+const AVOID_TIMEOUT_MS: u64 = 300;
+/// The pause after a refusal, so that a full service is not retried in a tight loop.
+const REFUSED_RETRY_MS: u64 = 30;
 /// The pause before a missing route is looked up again.
-const NO_ROUTE_PAUSE_MS: u64 = 500;
+const NO_ROUTE_RETRY_MS: u64 = 500;
 
-/// What items need of the rest of the daemon.
+/// The parts of the daemon that running items use.
 #[derive(Debug)]
 pub(crate) struct ItemContext {
     pub(crate) mechanisms: Rc<Mechanisms>,
@@ -47,14 +47,14 @@
     pub(crate) client: EndpointClient,
     pub(crate) rewards: Rc<Rewards>,
     pub(crate) view: Rc<LedgerView>,
-    pub(crate) texts: Rc<Texts>,
+    pub(crate) texts: Rc<TextCache>,
     pub(crate) progress: Rc<Progress>,
     pub(crate) instruments: Rc<Instruments>,
     pub(crate) writer: Rc<Writer>,
     pub(crate) quarantine: Rc<Quarantine>,
 }
 
-/// Runs an item to its result and hands the result to the writer.
+/// Runs an item until it has a result and queues the result for writing.
 pub(crate) async fn run_item(
     context: Rc<ItemContext>,
     submission: Arc<Submission>,
@@ -67,11 +67,11 @@
         context: &context,
         submission: &submission,
         item,
-        kept_name: submission.scoped_item_id(item),
+        text_key: submission.scoped_item_id(item),
         rank,
         seen_at_ms,
         timing: Timing::default(),
-        saving: RefCell::default(),
+        save_handle: RefCell::default(),
         content: OnceCell::new(),
     };
     let result = run.finish().await;
@@ -86,7 +86,7 @@
         hint_tokens = item.length_hint_tokens.unwrap_or(0), state:? = result.state,
         versions:? = result.versions, waited_ms = context.clock.now_ms() - seen_at_ms,
         placed_ms = run.timing.placed_ms.get(), generated_ms = run.timing.generated_ms.get(),
-        stays = run.timing.stays.get(), events = run.timing.events.get();
+        stays = run.timing.attempts.get(), events = run.timing.events.get();
         "item finished"
     );
     context.writer.write(submission.id.clone(), result);
@@ -96,21 +96,21 @@
     context: &'r ItemContext,
     submission: &'r Submission,
     item: &'r Item,
-    /// The name under which its text is kept.
-    kept_name: Arc<str>,
+    /// The key of its text in the text cache and in the saved progress.
+    text_key: Arc<str>,
     rank: (u64, ItemRank),
     seen_at_ms: u64,
     timing: Timing,
-    saving: RefCell<Option<Saving>>,
+    save_handle: RefCell<Option<SaveHandle>>,
     content: OnceCell<Fingerprint>,
 }
 
-/// When an item got its first place and its last event, since the submission was seen.
+/// Progress of an item; times are in ms since its submission was first seen.
 #[derive(Debug, Default)]
 struct Timing {
     placed_ms: Cell<u64>,
     generated_ms: Cell<u64>,
-    stays: Cell<u64>,
+    attempts: Cell<u64>,
     events: Cell<u64>,
 }
 
@@ -120,25 +120,25 @@
             return result;
         }
         let texts = &self.context.texts;
-        let mut kept = texts.take(&self.kept_name, self.submission.min_version);
-        let text = kept.text();
+        let mut cached = texts.take(&self.text_key, self.submission.min_version);
+        let text = cached.text();
         if !text.is_complete() && !self.generate(text).await {
-            kept.discard();
+            cached.remove();
             return self.given_up();
         }
         self.timing.generated_ms.set(self.waited_ms());
         self.timing.events.set(text.last_event());
         let mut score = None;
         if let Some(call) = &self.item.reward {
-            match self.context.rewards.score(call, self.give_up_ms()).await {
+            match self.context.rewards.score(call, self.deadline_ms()).await {
                 Reward::Score(stamp) => score = Some(stamp),
                 Reward::Failed => {
-                    kept.discard();
+                    cached.remove();
                     return self.given_up();
                 }
             }
         }
-        let text = kept.discard();
+        let text = cached.remove();
         ItemResult {
             item: self.item.id.clone(),
             state: ItemState::Done,
@@ -148,28 +148,28 @@
         }
     }
 
-    /// The result of the same item in an earlier submission, if its reward call is the same too.
+    /// The result of an identical item, including its reward call, in an earlier submission.
     fn earlier_result(&self) -> Option<ItemResult> {
-        let is_one_version = |result: &ItemResult| result.versions.len() <= 1;
+        let has_one_version = |result: &ItemResult| result.versions.len() <= 1;
         let route = self
             .context
             .routes
             .find(&self.submission.host, &self.submission.path)?;
         self.context.view.with(|ledger| {
             let earlier = ledger.earlier_result(self.submission, self.item)?;
-            let fits = !route.is_single_version || is_one_version(&earlier);
-            fits.then(|| ItemResult::clone(&earlier))
+            let is_valid = !route.is_single_version || has_one_version(&earlier);
+            is_valid.then(|| ItemResult::clone(&earlier))
         })
     }
 
-    /// Names what the engine is asked.
+    /// Fingerprint of the request to the engine, computed on first use.
     fn content(&self) -> Fingerprint {
         let name = || item_fingerprint(self.submission, self.item);
         *self.content.get_or_init(name)
     }
 
-    /// When the item may be given up, as long as its route is there.
-    fn give_up_ms(&self) -> u64 {
+    /// When the item may be given up; never while its route is missing.
+    fn deadline_ms(&self) -> u64 {
         let (host, path) = (&self.submission.host, &self.submission.path);
         let route = self.context.routes.find(host, path);
         let retention_ms = route.map_or(u64::MAX, |route| route.retention_ms);
@@ -190,86 +190,86 @@
         }
     }
 
-    /// Makes the whole text; says whether it is complete.
+    /// Generates the rest of the text; returns `false` if the item has to be given up.
     async fn generate(&self, text: &mut Text) -> bool {
-        self.begin_saving(text);
+        self.start_saving(text);
         let mut failures = 0;
         let mut avoid = Vec::new();
-        let mut better = None;
+        let mut next_place = None;
         loop {
             let route = self.route().await;
             if self.context.clock.now_ms() >= self.seen_at_ms.saturating_add(route.retention_ms) {
                 return false;
             }
-            let Some(leave) = self.leave(&route).await else {
-                better = None;
+            let Some(leave) = self.admit(&route).await else {
+                next_place = None;
                 continue;
             };
             let request = self.place_request(&route, text, std::mem::take(&mut avoid));
-            let place = match better.take() {
+            let place = match next_place.take() {
                 Some(place) => place,
                 None => self.place(request.clone()).await,
             };
-            // The wait for a place may have been long.
+            // The request may have been quarantined during the wait for a slot.
             if !leave.is_trial() && !self.context.quarantine.may_repeat(|| self.content()) {
                 continue;
             }
             let instance = place.target.instance.clone();
-            if self.timing.stays.replace(self.timing.stays.get() + 1) == 0 {
+            if self.timing.attempts.replace(self.timing.attempts.get() + 1) == 0 {
                 self.timing.placed_ms.set(self.waited_ms());
             }
-            match self.stay(place, &leave, &route, &request, text).await {
-                Stay::Complete => return true,
-                Stay::Move(place) => better = Some(place),
-                Stay::Invalid => return false,
-                Stay::Failed => {
+            match self.attempt(place, &leave, &route, &request, text).await {
+                AttemptOutcome::Complete => return true,
+                AttemptOutcome::Move(place) => next_place = Some(place),
+                AttemptOutcome::Invalid => return false,
+                AttemptOutcome::Failed => {
                     failures += 1;
                     if failures >= route.max_attempts {
                         return false;
                     }
-                    // An engine that fails part of its runs must not use up an item's attempts.
+                    // A single faulty engine must not use up the item's attempts.
                     avoid.push(instance);
                 }
-                Stay::GoOn { is_refused: true } => {
+                AttemptOutcome::Retry { is_refused: true } => {
                     avoid.push(instance);
-                    sleep_ms(REFUSED_PAUSE_MS).await;
+                    sleep_ms(REFUSED_RETRY_MS).await;
                 }
-                Stay::GoOn { is_refused: false } => avoid.push(instance),
+                AttemptOutcome::Retry { is_refused: false } => avoid.push(instance),
             }
-            if route.is_single_version && self.must_begin_again(text) {
+            if route.is_single_version && self.must_restart(text) {
                 *text = Text::default();
-                self.begin_saving(text);
+                self.start_saving(text);
             }
         }
     }
 
-    /// Leave to go to an engine; `None` after a wait if the item is held back.
-    async fn leave(&self, route: &Route) -> Option<Permit> {
+    /// Asks the quarantine for permission to send the item; `None`, after a wait, if it is held.
+    async fn admit(&self, route: &Route) -> Option<Permit> {
         let context = self.context;
         match context.quarantine.admit(|| self.content()).await {
             Ok(leave) => Some(leave),
             Err(held) => {
-                let give_up_ms = self.seen_at_ms.saturating_add(route.retention_ms);
-                let left_ms = give_up_ms.saturating_sub(context.clock.now_ms());
+                let deadline_ms = self.seen_at_ms.saturating_add(route.retention_ms);
+                let remaining_ms = deadline_ms.saturating_sub(context.clock.now_ms());
                 context.instruments.count("quarantine", "waits");
                 log::info!(item = &*self.item.id, content:% = self.content(), again_ms = held.retry_after_ms; "item held back");
                 let content = self.content();
-                context.quarantine.wait(content, held, left_ms).await;
+                context.quarantine.wait(content, held, remaining_ms).await;
                 None
             }
         }
     }
 
-    fn begin_saving(&self, text: &Text) {
+    fn start_saving(&self, text: &Text) {
         let submission = &self.submission.id;
         let progress = &self.context.progress;
-        let saving = progress.begin(submission, &self.kept_name, text);
-        self.saving.replace(Some(saving));
+        let handle = progress.start_saving(submission, &self.text_key, text);
+        self.save_handle.replace(Some(handle));
     }
 
     fn save_event(&self, data: Bytes, version: Option<u64>) {
-        if let (Some(saving), Some(version)) = (&*self.saving.borrow(), version) {
-            saving.push(data, version);
+        if let (Some(handle), Some(version)) = (&*self.save_handle.borrow(), version) {
+            handle.push(data, version);
         }
     }
 
@@ -282,19 +282,19 @@
             if let Some(route) = route {
                 return route;
             }
-            sleep_ms(NO_ROUTE_PAUSE_MS).await;
+            sleep_ms(NO_ROUTE_RETRY_MS).await;
         }
     }
 
     fn place_request(&self, route: &Route, text: &Text, avoid: Vec<Arc<str>>) -> SlotRequest {
-        let made_under = text.versions().last().copied();
-        let only = made_under.filter(|_| route.is_single_version);
+        let version = text.versions().last().copied();
+        let pinned_version = version.filter(|_| route.is_single_version);
         let service = route.service_for(self.context.endpoints.random()).cloned();
         SlotRequest {
             service: service.unwrap_or_default(),
             model: self.submission.model.clone(),
-            min_version: only.unwrap_or(self.submission.min_version),
-            max_version: only.unwrap_or(u64::MAX),
+            min_version: pinned_version.unwrap_or(self.submission.min_version),
+            max_version: pinned_version.unwrap_or(u64::MAX),
             group: self.item.group.clone(),
             rank: self.rank,
             avoid,
@@ -303,15 +303,15 @@
 
     async fn place(&self, request: SlotRequest) -> EngineSlot {
         let dispatch = &self.context.dispatch;
-        let is_on = self.context.mechanisms.has(Mechanism::Avoidance);
-        if request.avoid.is_empty() || !is_on {
+        let is_enabled = self.context.mechanisms.is_enabled(Mechanism::Avoidance);
+        if request.avoid.is_empty() || !is_enabled {
             let request = SlotRequest {
                 avoid: Vec::new(),
                 ..request
             };
             return dispatch.wait_for_slot(request).await;
         }
-        if let Some(place) = within_ms(AVOID_MS, dispatch.wait_for_slot(request.clone())).await {
+        if let Some(place) = within_ms(AVOID_TIMEOUT_MS, dispatch.wait_for_slot(request.clone())).await {
             return place;
         }
         let avoid = Vec::new();
@@ -320,8 +320,8 @@
             .await
     }
 
-    /// A text under one version cannot go on once no engine has that version any more.
-    fn must_begin_again(&self, text: &Text) -> bool {
+    /// A text that must keep to one version restarts once no engine serves that version.
+    fn must_restart(&self, text: &Text) -> bool {
         let Some(version) = text.versions().last() else {
             return false;
         };
--- a/crates/borageshore_gateway/src/ledger_view.rs
+++ b/crates/borageshore_gateway/src/ledger_view.rs
@@ -1,4 +1,4 @@
-//! This daemon's view of the submissions that it runs or is asked for.
+//! This daemon's view of the submissions that it runs or that are read from it.
 
 use std::{
     cell::{Cell, RefCell},
@@ -14,23 +14,23 @@
 use tokio::sync::Notify;
 
 use crate::{
-    follow::{Begin, Fold, Follow, FollowSpec},
+    follow::{Fold, FollowSpec, Follower, StartFrom},
     store_path::Store,
 };
 
-/// Records of results come in bursts; reading them together saves most of the reads.
+/// The pause between reads of a shard: results come in bursts, and reading them together saves most of the reads.
 const FOLLOW_PAUSE_MS: u64 = 25;
-/// The topics over whose partitions submissions are spread. With 8 partitions each, a daemon that
-/// follows one submission reads a 32nd of the others.
+/// The number of topics over whose partitions submissions are spread. With 8 partitions each, a daemon that
+/// follows one submission also reads a 32nd of the others.
 const BATCH_TOPICS: u64 = 4;
-/// A shard that nobody asked for is followed for this long; trainers read twice a second.
-const IDLE_MS: u64 = 15_000;
-/// The pace at which idle shards are looked for.
-const IDLE_CHECK_MS: u64 = 2_000;
-/// A shard's first read takes some ms; a slow store answers in 200.
-const BEGIN_MS: u64 = 1_500;
-
-/// Where a submission's records are.
+/// How long a shard is followed after its last use; trainers read twice a second.
+const IDLE_TIMEOUT_MS: u64 = 15_000;
+/// The interval at which idle shards are released.
+const IDLE_CHECK_INTERVAL_MS: u64 = 2_000;
+/// The maximum wait for a shard's first read, which takes some ms, or 200 ms if the store is slow.
+const START_TIMEOUT_MS: u64 = 1_500;
+
+/// The partition of the batch topics that has a submission's records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Shard {
     number: u64,
@@ -38,7 +38,7 @@
 }
 
 impl Shard {
-    /// The shard of a submission, where a topic has so many partitions.
+    /// The shard of a submission, with `partitions` partitions per topic.
     pub(crate) fn of(submission: &str, partitions: u64) -> Self {
         let partitions = partitions.max(1);
         Self {
@@ -53,22 +53,22 @@
         (0..partitions * BATCH_TOPICS).map(move |number| Self { number, partitions })
     }
 
-    /// Its place among all shards.
+    /// The index of the shard among all shards.
     pub(crate) fn number(self) -> usize {
         self.number as usize
     }
 
-    /// Its topic.
+    /// The topic of its submissions' records.
     pub(crate) fn topic(self) -> Topic {
         Topic::Batch(self.number / self.partitions)
     }
 
-    /// The topic of its texts under way.
+    /// The topic of its saved unfinished texts.
     pub(crate) fn progress_topic(self) -> Topic {
         Topic::Progress(self.number / self.partitions)
     }
 
-    /// Its partition of either topic.
+    /// Its partition in both topics.
     pub(crate) fn partition(self) -> u64 {
         self.number % self.partitions
     }
@@ -76,11 +76,11 @@
 
 #[derive(Debug)]
 struct Followed {
-    follow: Rc<Follow<ShardFold>>,
+    follower: Rc<Follower<ShardFold>>,
     used_at_ms: Cell<u64>,
 }
 
-/// The submissions as this daemon knows them.
+/// The ledger of the shards that this daemon follows.
 #[derive(Debug)]
 pub(crate) struct LedgerView {
     store: Store,
@@ -89,12 +89,12 @@
     ledger: RefCell<Ledger>,
     loading: RefCell<Vec<Arc<str>>>,
     shards: RefCell<SortedMap<Shard, Followed>>,
-    /// Told when anything changed.
+    /// Notified on each change.
     pub(crate) changed: Notify,
 }
 
 impl LedgerView {
-    /// Opens a view without any submission.
+    /// Starts an empty view.
     pub(crate) fn spawn(store: Store, partitions: u64, clock: Clock) -> Rc<Self> {
         let view = Rc::new(Self {
             store,
@@ -117,7 +117,7 @@
         make(&self.ledger.borrow())
     }
 
-    /// Runs a function on a submission whose records are all here.
+    /// Runs a function on a submission; `None` if its records are not all loaded.
     pub(crate) fn with_loaded<Use, Made>(&self, id: &str, make: Use) -> Option<Made>
     where
         Use: FnOnce(&SubmissionState) -> Made,
@@ -127,28 +127,28 @@
         Some(make(state))
     }
 
-    /// Keeps a submission's shard followed.
+    /// Marks a submission's shard as in use, which keeps it followed.
     pub(crate) fn touch(&self, id: &str) {
         if let Some(followed) = self.shards.borrow().get(&self.shard_of(id)) {
             followed.used_at_ms.set(self.clock.now_ms());
         }
     }
 
-    /// Makes sure that the view of a submission is no older than `age_ms`.
+    /// Brings the view of a submission to an age of at most `age_ms`; returns whether that succeeded.
     pub(crate) async fn confirm(self: &Rc<Self>, id: &str, age_ms: u64) -> bool {
-        let follow = self.follow(self.shard_of(id));
-        follow.confirm(age_ms).await
+        let follower = self.follow(self.shard_of(id));
+        follower.confirm(age_ms).await
     }
 
-    /// Brings the view of a submission up to what the store has by now.
+    /// Brings the view of a submission up to the present end of the store; returns whether that succeeded.
     pub(crate) async fn confirm_now(self: &Rc<Self>, id: &str) -> bool {
-        let follow = self.follow(self.shard_of(id));
-        follow.confirm_now().await
+        let follower = self.follow(self.shard_of(id));
+        follower.confirm_now().await
     }
 
-    /// Reads the records of a submission unless they are here; says whether they are now.
+    /// Loads the records of a submission unless they are loaded; returns whether they are now.
     pub(crate) async fn load(self: &Rc<Self>, id: &Arc<str>) -> bool {
-        let follow = self.follow(self.shard_of(id));
+        let follower = self.follow(self.shard_of(id));
         loop {
             let changed = self.changed.notified();
             if self.with_loaded(id, |_| ()).is_some() {
@@ -161,24 +161,24 @@
         }
         self.loading.borrow_mut().push(id.clone());
         let _loading = Loading { view: self, id };
-        self.has_begun(&follow).await && self.load_now(id).await
+        self.wait_until_started(&follower).await && self.load_records(id).await
     }
 
-    /// Waits until a shard is being followed: what is loaded must reach to where that began.
-    async fn has_begun(&self, follow: &Follow<ShardFold>) -> bool {
-        let begun = async {
+    /// Waits until a shard is being followed: records loaded before that could leave a gap.
+    async fn wait_until_started(&self, follower: &Follower<ShardFold>) -> bool {
+        let started = async {
             loop {
                 let changed = self.changed.notified();
-                if follow.next_offset().is_some() {
+                if follower.next_offset().is_some() {
                     return;
                 }
                 changed.await;
             }
         };
-        within_ms(BEGIN_MS, begun).await.is_some()
+        within_ms(START_TIMEOUT_MS, started).await.is_some()
     }
 
-    async fn load_now(&self, id: &Arc<str>) -> bool {
+    async fn load_records(&self, id: &Arc<str>) -> bool {
         let shard = self.shard_of(id);
         let now_ms = self.clock.now_ms();
         self.ledger.borrow_mut().track(id, now_ms);
@@ -201,8 +201,8 @@
         }
     }
 
-    /// Follows a shard from its end on.
-    fn follow(self: &Rc<Self>, shard: Shard) -> Rc<Follow<ShardFold>> {
+    /// Returns the shard's follower; starts one at the end of the shard if there is none.
+    fn follow(self: &Rc<Self>, shard: Shard) -> Rc<Follower<ShardFold>> {
         let now_ms = self.clock.now_ms();
         let mut shards = self.shards.borrow_mut();
         let followed = shards.get_or_insert_with(shard, || {
@@ -214,40 +214,40 @@
                 store: self.store.clone(),
                 topic: shard.topic(),
                 partition: shard.partition(),
-                begin: Begin::End,
+                start_from: StartFrom::End,
                 clock: self.clock,
                 pause_ms: FOLLOW_PAUSE_MS,
             };
-            let follow = Follow::spawn(spec, Rc::new(fold));
+            let follower = Follower::spawn(spec, Rc::new(fold));
             Followed {
-                follow,
+                follower,
                 used_at_ms: Cell::new(now_ms),
             }
         });
         followed.used_at_ms.set(now_ms);
-        followed.follow.clone()
+        followed.follower.clone()
     }
 
     async fn release_idle_shards(self: Rc<Self>) {
         loop {
-            sleep_ms(IDLE_CHECK_MS).await;
+            sleep_ms(IDLE_CHECK_INTERVAL_MS).await;
             let now_ms = self.clock.now_ms();
             let mut released = Vec::new();
             self.shards.borrow_mut().retain(|shard, followed| {
-                let is_used = now_ms < followed.used_at_ms.get() + IDLE_MS;
+                let is_used = now_ms < followed.used_at_ms.get() + IDLE_TIMEOUT_MS;
                 if !is_used {
-                    followed.follow.stop();
+                    followed.follower.stop();
                     released.push(*shard);
                 }
                 is_used
             });
             for shard in released {
-                self.forget(shard);
+                self.evict(shard);
             }
         }
     }
 
-    fn forget(&self, shard: Shard) {
+    fn evict(&self, shard: Shard) {
         let is_of_shard = |id: &str| self.shard_of(id) == shard;
         self.ledger.borrow_mut().remove_if(is_of_shard);
         self.changed.notify_waiters();
@@ -278,7 +278,7 @@
     Some((record.offset, record.key, record.value?))
 }
 
-/// Folds one shard.
+/// Applies the records of one shard to the view.
 #[derive(Debug)]
 pub(crate) struct ShardFold {
     view: Rc<LedgerView>,
@@ -295,11 +295,11 @@
         self.view.changed.notify_waiters();
     }
 
-    fn on_fresh(&self) {
+    fn on_caught_up(&self) {
         self.view.changed.notify_waiters();
     }
 
     fn on_gap(&self) {
-        self.view.forget(self.shard);
+        self.view.evict(self.shard);
     }
 }
--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -342,7 +342,7 @@
         }
     }
 
-    fn on_fresh(&self) {
+    fn on_caught_up(&self) {
         self.is_known.set(true);
         self.became_known.notify_waiters();
     }
--- a/crates/borageshore_gateway/src/submissions.rs
+++ b/crates/borageshore_gateway/src/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions as trainers reach them: accepted into the store, read from this daemon's view.
+//! The submission API for trainers: accepts submissions into the store and answers reads from this daemon's view.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -18,20 +18,20 @@
     submission_index::SubmissionIndex,
 };
 
-/// Readers are told that there is nothing only by a view that is no older. A result that one daemon
-/// has shown must be shown by all a second later; this leaves half of it for the answer's way.
-const VIEW_AGE_MS: u64 = 500;
-/// The longest that a reader is kept waiting for a result.
-const WAIT_AT_MOST_MS: u64 = 5_000;
-/// Readers come back after this time when the view may be too old; the next read may succeed.
-const READ_AGAIN_MS: u64 = 300;
-/// A submission that the store did not take comes back after this time: outages of the store last
-/// for seconds, and another daemon may reach it.
-const SUBMIT_AGAIN_MS: u64 = 250;
-/// The most bytes of one append; the store takes 2 MiB.
-const APPEND_BYTES: usize = 1_500_000;
+/// The maximum age of a view from which readers are told that there is nothing. All daemons must show a result
+/// one second after the first did so; the other half of that second is for delivery of the response.
+const MAX_VIEW_AGE_MS: u64 = 500;
+/// The longest wait of a read for a result.
+const MAX_WAIT_MS: u64 = 5_000;
+/// Retry-after of a read that failed as the view may be too old.
+const READ_RETRY_AFTER_MS: u64 = 300;
+/// Retry-after of a submission that the store did not take: outages of the store last for seconds, and another
+/// daemon may reach it.
+const SUBMIT_RETRY_AFTER_MS: u64 = 250;
+/// The maximum bytes of one append; the store's limit is 2 MiB.
+const MAX_APPEND_BYTES: usize = 1_500_000;
 
-/// The submissions as trainers reach them.
+/// Handles the requests of trainers about submissions.
 #[derive(Debug)]
 pub(crate) struct Submissions {
     store: Store,
@@ -64,11 +64,11 @@
         })
     }
 
-    /// Accepts a submission: it is in the store, whole, before the trainer hears so. Accepting it
-    /// twice writes the same records twice, which changes nothing.
+    /// Accepts a submission: the response is sent after all of it is in the store. Accepting it twice writes the
+    /// same records twice, which is idempotent.
     ///
-    /// The index comes first: a submission without its entry would be accepted and run by nobody,
-    /// an entry without its submission costs its owner a look.
+    /// The index entry is written first: a submission without one would be accepted but never run, while an entry
+    /// without a submission only costs its owner a read.
     pub(crate) async fn accept(&self, submission: Submission, service: &str) -> EdgeResponse {
         let id = submission.id.clone();
         if self.is_accepted(&id) {
@@ -78,9 +78,9 @@
         let started_ms = self.clock.now_ms();
         let items = submission.items.len();
         let slots = self.endpoints.slots_of(service);
-        let entered = self.index.enter(&submission, service, slots).await;
+        let indexed = self.index.add(&submission, service, slots).await;
         let record = LedgerRecord::Accept(Arc::new(submission));
-        let appended = match entered {
+        let appended = match indexed {
             Ok(()) => self.append(&record).await,
             Err(error) => Err(error),
         };
@@ -92,11 +92,11 @@
                 log::info!(submission = &*id, items, took_ms; "submission accepted");
                 accepted_response()
             }
-            Err(error) => self.not_accepted(&id, &error),
+            Err(error) => self.refuse_submission(&id, &error),
         }
     }
 
-    fn not_accepted(&self, id: &str, error: &StoreError) -> EdgeResponse {
+    fn refuse_submission(&self, id: &str, error: &StoreError) -> EdgeResponse {
         if self.is_accepted(id) {
             return accepted_response();
         }
@@ -109,7 +109,7 @@
             }
             other => {
                 let fault = Fault::new(ResultCode::StoreUnavailable, other.to_string());
-                refusal(&fault, Some(SUBMIT_AGAIN_MS))
+                refusal(&fault, Some(SUBMIT_RETRY_AFTER_MS))
             }
         }
     }
@@ -119,100 +119,103 @@
         self.view.with_loaded(id, is_accepted).unwrap_or(false)
     }
 
-    /// Appends a record whose repetition changes nothing. Only the last append, which completes it,
-    /// may stay uncertain.
+    /// Appends a record whose repetition is idempotent. A large one takes several appends; it takes effect with
+    /// its last chunk.
     async fn append(&self, record: &LedgerRecord) -> Result<(), StoreError> {
         let shard = Shard::of(record.submission(), self.partitions);
         let mut batch: Vec<(Arc<str>, Bytes)> = Vec::new();
         let mut bytes = 0;
-        for piece in record.encode("") {
-            if bytes + piece.1.len() > APPEND_BYTES {
+        for chunk in record.encode("") {
+            if bytes + chunk.1.len() > MAX_APPEND_BYTES {
                 let full = std::mem::take(&mut batch);
-                self.append_pieces(shard, &full).await?;
+                self.append_chunks(shard, &full).await?;
                 bytes = 0;
             }
-            bytes += piece.1.len();
-            batch.push(piece);
+            bytes += chunk.1.len();
+            batch.push(chunk);
         }
-        self.append_pieces(shard, &batch).await
+        self.append_chunks(shard, &batch).await
     }
 
-    async fn append_pieces(
+    async fn append_chunks(
         &self,
         shard: Shard,
-        pieces: &[(Arc<str>, Bytes)],
+        chunks: &[(Arc<str>, Bytes)],
     ) -> Result<(), StoreError> {
         let (topic, partition) = (shard.topic(), shard.partition());
-        let appended = self.store.append(topic, partition, pieces, None).await;
+        let appended = self.store.append(topic, partition, chunks, None).await;
         appended.map(|_| ())
     }
 
-    /// Answers with the results from a position on, waiting for the first one.
+    /// Responds with the results from position `after` on; waits up to `wait_ms` if there are none yet.
     ///
-    /// "No such submission" is said only after a read of its own: a view that was whole half a second ago knows
-    /// nothing of a submission that was accepted 20 ms ago, and its trainer would be told 404.
+    /// "No such submission" is only reported after a new read of the store: the view may be older than a
+    /// submission that was accepted by another daemon a moment ago.
     pub(crate) async fn results(&self, id: &Arc<str>, after: usize, wait_ms: u64) -> EdgeResponse {
-        let until_ms = self.clock.now_ms() + wait_ms.min(WAIT_AT_MOST_MS);
+        let deadline_ms = self.clock.now_ms() + wait_ms.min(MAX_WAIT_MS);
         if !self.view.load(id).await {
-            return unsure(id);
+            return view_too_old(id);
         }
         loop {
             let changed = self.view.changed.notified();
             if let Some(page) = self.page(id, after, false) {
                 return page;
             }
-            let left_ms = until_ms.saturating_sub(self.clock.now_ms());
-            if left_ms == 0 || self.is_whole(id) || !self.is_accepted(id) {
+            let remaining_ms = deadline_ms.saturating_sub(self.clock.now_ms());
+            if remaining_ms == 0 || self.is_complete(id) || !self.is_accepted(id) {
                 break;
             }
-            within_ms(left_ms, changed).await;
+            within_ms(remaining_ms, changed).await;
         }
-        if !self.is_sure(id).await {
-            return unsure(id);
+        if !self.confirm_view(id).await {
+            return view_too_old(id);
         }
         match self.page(id, after, true) {
             Some(page) => page,
-            None if !self.view.confirm_now(id).await => unsure(id),
-            None => self.page(id, after, true).unwrap_or_else(|| unknown(id)),
+            None if !self.view.confirm_now(id).await => view_too_old(id),
+            None => self
+                .page(id, after, true)
+                .unwrap_or_else(|| unknown_submission(id)),
         }
     }
 
-    fn is_whole(&self, id: &str) -> bool {
-        let is_whole = self.view.with_loaded(id, SubmissionState::is_complete);
-        is_whole.unwrap_or(false)
+    fn is_complete(&self, id: &str) -> bool {
+        let is_complete = self.view.with_loaded(id, SubmissionState::is_complete);
+        is_complete.unwrap_or(false)
     }
 
-    /// Makes sure that all that was ever shown of a submission is here.
-    async fn is_sure(&self, id: &Arc<str>) -> bool {
-        self.view.load(id).await && self.view.confirm(id, VIEW_AGE_MS).await
+    /// Loads a submission and brings its view up to date, so that it has all results that any daemon has shown.
+    async fn confirm_view(&self, id: &Arc<str>) -> bool {
+        self.view.load(id).await && self.view.confirm(id, MAX_VIEW_AGE_MS).await
     }
 
-    /// A page of results, or an empty one where `even_empty` says so.
-    fn page(&self, id: &str, after: usize, even_empty: bool) -> Option<EdgeResponse> {
+    /// A page of results; `None` if the submission is not loaded, or if there are none and not `allow_empty`.
+    fn page(&self, id: &str, after: usize, allow_empty: bool) -> Option<EdgeResponse> {
         let page = |state: &SubmissionState| {
             let total = state.submission()?.items.len();
             let results = state.results().get(after..).unwrap_or_default();
-            let is_given = even_empty || !results.is_empty();
-            is_given.then(|| results_response(total, after, results))
+            let has_page = allow_empty || !results.is_empty();
+            has_page.then(|| results_response(total, after, results))
         };
         self.view.with_loaded(id, page)?
     }
 
-    /// Answers with the body of an item.
+    /// Responds with the body of an item.
     pub(crate) async fn body(&self, id: &Arc<str>, item: &str) -> EdgeResponse {
         if let Some(body) = self.item_body(id, item) {
             return body;
         }
-        if !self.is_sure(id).await {
-            return unsure(id);
+        if !self.confirm_view(id).await {
+            return view_too_old(id);
         }
         if let Some(body) = self.item_body(id, item) {
             return body;
         }
         if !self.view.confirm_now(id).await {
-            return unsure(id);
+            return view_too_old(id);
         }
-        self.item_body(id, item).unwrap_or_else(|| unknown(id))
+        self.item_body(id, item)
+            .unwrap_or_else(|| unknown_submission(id))
     }
 
     fn item_body(&self, id: &str, item: &str) -> Option<EdgeResponse> {
@@ -220,19 +223,19 @@
         self.view.with_loaded(id, body)?
     }
 
-    /// Ends a submission: the store has the end before the trainer hears so.
+    /// Ends a submission: the response is sent after the end is in the store.
     pub(crate) async fn end(&self, id: &Arc<str>) -> EdgeResponse {
         if self.is_ended(id) {
             return ok_response();
         }
-        if !self.is_accepted(id) && !self.is_sure(id).await {
-            return unsure(id);
+        if !self.is_accepted(id) && !self.confirm_view(id).await {
+            return view_too_old(id);
         }
         if !self.is_accepted(id) && !self.view.confirm_now(id).await {
-            return unsure(id);
+            return view_too_old(id);
         }
         if !self.is_accepted(id) {
-            return unknown(id);
+            return unknown_submission(id);
         }
         let record = LedgerRecord::End {
             submission: id.clone(),
@@ -240,7 +243,7 @@
         match self.append(&record).await {
             Ok(()) => {
                 log::info!(submission = &**id; "submission ended");
-                self.index.close(id).await;
+                self.index.mark_ended(id).await;
                 ok_response()
             }
             Err(error) => {
@@ -249,7 +252,7 @@
                     StoreError::Uncertain(_) => {
                         refusal(&Fault::new(ResultCode::EndUnknown, &**id), None)
                     }
-                    _ => unsure(id),
+                    _ => view_too_old(id),
                 }
             }
         }
@@ -261,11 +264,11 @@
     }
 }
 
-fn unsure(id: &str) -> EdgeResponse {
+fn view_too_old(id: &str) -> EdgeResponse {
     let fault = Fault::new(ResultCode::ViewTooOld, id);
-    refusal(&fault, Some(READ_AGAIN_MS))
+    refusal(&fault, Some(READ_RETRY_AFTER_MS))
 }
 
-fn unknown(id: &str) -> EdgeResponse {
+fn unknown_submission(id: &str) -> EdgeResponse {
     refusal(&Fault::new(ResultCode::UnknownSubmission, id), None)
 }
