--- a/crates/borageshore_gateway/src/item/mod.rs
+++ b/crates/borageshore_gateway/src/item/mod.rs
@@ -311,7 +311,9 @@
             };
             return dispatch.wait_for_slot(request).await;
         }
-        if let Some(place) = within_ms(AVOID_TIMEOUT_MS, dispatch.wait_for_slot(request.clone())).await {
+        if let Some(place) =
+            within_ms(AVOID_TIMEOUT_MS, dispatch.wait_for_slot(request.clone())).await
+        {
             return place;
         }
         let avoid = Vec::new();
