--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -24,7 +24,7 @@
     access::{CallerAccess, Denial, Pass},
     endpoints::Endpoints,
     quarantine::{Held, Leave, Quarantine},
-    usage::{RequestUse, UsageCounter},
+    usage::{RequestUsage, UsageCounter},
 };
 
 /// A final answer goes out this long before the caller stops waiting for it, so that it arrives.
@@ -57,7 +57,7 @@
 struct Asked {
     outbound: OutboundRequest,
     pass: Pass,
-    request_use: RequestUse,
+    request_use: RequestUsage,
     content: OnceCell<Fingerprint>,
 }
 
@@ -119,7 +119,7 @@
         };
         let asked = Asked {
             outbound,
-            request_use: RequestUse::begin(self.usage.as_ref(), pass.organisation()),
+            request_use: RequestUsage::begin(self.usage.as_ref(), pass.organisation()),
             pass,
             content: OnceCell::new(),
         };
--- a/crates/borageshore_gateway/src/cleaner.rs
+++ b/crates/borageshore_gateway/src/cleaner.rs
@@ -46,7 +46,7 @@
             if !is_first {
                 continue;
             }
-            if let Err(error) = self.members.forget_dead(&self.store).await {
+            if let Err(error) = self.members.remove_expired(&self.store).await {
                 log::info!(error:% = error; "records of dead daemons not removed");
             }
             for id in self.index.expired(self.kept_ms, slack_ms) {
@@ -61,7 +61,7 @@
     }
 
     fn is_first(&self) -> bool {
-        let able = self.members.able_names();
+        let able = self.members.eligible_names();
         let names = able.iter().map(|name| &**name);
         let first = rank_by_rendezvous("cleaner", names).into_iter().next();
         first == Some(&*self.members.own_name())
--- a/crates/borageshore_gateway/src/config.rs
+++ b/crates/borageshore_gateway/src/config.rs
@@ -70,7 +70,7 @@
 
 impl DutyConfig {
     /// The times of reports of usage, if they are wanted.
-    pub fn usage_times(&self) -> Option<UsageTiming> {
+    pub fn usage_timing(&self) -> Option<UsageTiming> {
         Some(UsageTiming {
             window_ms: self.usage_window_s? * 1_000,
             report_deadline_ms: self.usage_late_s? * 1_000,
--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -33,7 +33,7 @@
     endpoints: Rc<Endpoints>,
     usage: Rc<UsageReports>,
     leases: RefCell<OrderLeases>,
-    round_came: Notify,
+    round_announced: Notify,
 }
 
 impl Announcements {
@@ -51,13 +51,13 @@
         }
         let mut leases = self.leases.borrow_mut();
         leases.on_round(&round, boot_time_ms());
-        self.round_came.notify_waiters();
+        self.round_announced.notify_waiters();
     }
 }
 
 impl Announcements {
     fn take_report(&self, report: &ReportRecord) {
-        self.usage.take(report);
+        self.usage.on_report(report);
         let mut leases = self.leases.borrow_mut();
         let subjects = [USAGE.into()];
         let duties = leases.duties_mut();
@@ -104,12 +104,12 @@
 
 /// What was announced: its epoch, and until when it may be sent.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Announced {
+pub(crate) struct SendPermit {
     pub(crate) epoch: u64,
     window: SendWindow,
 }
 
-impl Announced {
+impl SendPermit {
     /// Says whether it may still be sent.
     pub(crate) fn may_send(&self) -> bool {
         self.window.is_open(boot_time_ms())
@@ -134,7 +134,7 @@
             endpoints,
             usage,
             leases: RefCell::new(OrderLeases::open(boot_time_ms(), terms.takeover_delay_ms())),
-            round_came: Notify::new(),
+            round_announced: Notify::new(),
         });
         Rc::new(Self {
             store: spec.store.clone(),
@@ -146,14 +146,14 @@
     }
 
     /// Told when a round of orders was announced.
-    pub(crate) fn round_came(&self) -> Notified<'_> {
-        self.announcements.round_came.notified()
+    pub(crate) fn round_announced(&self) -> Notified<'_> {
+        self.announcements.round_announced.notified()
     }
 
     /// Where the partition ends as far as this daemon has read, if it holds the duties: what it decides from here on is
     /// announced on the condition that nothing came meanwhile.
-    pub(crate) fn position_if_held(&self) -> Option<u64> {
-        let able = self.members.able_names();
+    pub(crate) fn offset_if_holder(&self) -> Option<u64> {
+        let able = self.members.eligible_names();
         let holder = {
             let leases = self.announcements.leases.borrow();
             let last = leases.newest_holder();
@@ -183,7 +183,7 @@
     }
 
     /// Announces a round of orders.
-    pub(crate) async fn announce_round(&self, at: u64, round: &SwapRound) -> Option<Announced> {
+    pub(crate) async fn announce_round(&self, at: u64, round: &SwapRound) -> Option<SendPermit> {
         let value = serde_json::to_vec(round).expect("plain data");
         self.announce(at, &[(ROUND_KEY.into(), value.into())]).await
     }
@@ -193,14 +193,14 @@
         &self,
         at: u64,
         records: &[(Arc<str>, Bytes)],
-    ) -> Option<Announced> {
+    ) -> Option<SendPermit> {
         let window = self.terms.send_window(boot_time_ms());
         let appended = self
             .store
             .append(Topic::Orders, ONLY_PARTITION, records, Some(at))
             .await;
         match appended {
-            Ok(appended) => Some(Announced {
+            Ok(appended) => Some(SendPermit {
                 epoch: appended.offset,
                 window,
             }),
--- a/crates/borageshore_gateway/src/gateway.rs
+++ b/crates/borageshore_gateway/src/gateway.rs
@@ -21,7 +21,7 @@
     follow::{Begin, Follow, FollowSpec, ONLY_PARTITION},
     item::ItemContext,
     ledger_view::LedgerView,
-    life::{self, DrainTimes, Life, Signals},
+    life::{self, DrainTimes, Lifecycle, Signals},
     mechanisms::{Mechanism, Mechanisms},
     members::Members,
     orderer::{Orderer, OrdererParts},
@@ -32,7 +32,7 @@
     routes::Routes,
     runner::Runner,
     server::{MetricsPage, Server, server_limits},
-    store_path::{Store, StorePath, StoreRelay},
+    store_path::{FailoverTransport, PeerHandler, Store},
     submission_index::SubmissionIndex,
     submissions::Submissions,
     texts::Texts,
@@ -61,7 +61,7 @@
     config_file: PathBuf,
     clock: Clock,
     store: Store,
-    life: Rc<Life>,
+    life: Rc<Lifecycle>,
     members: Rc<Members>,
     routes: Rc<Routes>,
     endpoints: Rc<Endpoints>,
@@ -82,7 +82,7 @@
         // Rises with every start, as long as the VM's clock is not set back by more than a life.
         let incarnation = jiff::Timestamp::now().as_millisecond() as u64;
         let mechanisms = Rc::new(Mechanisms::without(config.mechanisms_off.clone()));
-        let store_path = StorePath::open(
+        let store_path = FailoverTransport::open(
             config.store_address.clone(),
             clock,
             mechanisms.has(Mechanism::StoreDetour),
@@ -227,9 +227,9 @@
         };
         monoio::spawn(cleaner.run());
         monoio::spawn(members.clone().announce(store.clone()));
-        monoio::spawn(members.clone().note_deaths());
+        monoio::spawn(members.clone().expire_suspicions());
         Watch::bind(&config.peer_address, members.clone(), store.clone())?;
-        let life = Life::open();
+        let life = Lifecycle::open();
         let server = Server {
             life: life.clone(),
             routes: routes.clone(),
@@ -258,7 +258,7 @@
             .into_iter()
             .map(|address| bind(address))
             .collect::<io::Result<Vec<HttpServer>>>()?;
-        let relay = StoreRelay {
+        let relay = PeerHandler {
             path: store_path,
             quarantine,
             time,
@@ -347,7 +347,7 @@
             && !self
                 .usage
                 .as_ref()
-                .is_some_and(|usage| usage.is_unwritten())
+                .is_some_and(|usage| usage.has_unwritten())
     }
 
     /// Takes this daemon's record out of the store, so that others need not wait for its silence.
@@ -371,7 +371,7 @@
 /// Counts and reports usage, if the platform wants to know of it.
 fn spawn_usage(config: &GatewayConfig, parts: UsageParts) -> Option<Rc<UsageCounter>> {
     let duties = config.duties.as_ref()?;
-    let times = duties.usage_times()?;
+    let times = duties.usage_timing()?;
     let counter = UsageCounter::spawn(
         times,
         parts.time.clone(),
--- a/crates/borageshore_gateway/src/life.rs
+++ b/crates/borageshore_gateway/src/life.rs
@@ -45,12 +45,12 @@
 
 /// Where this daemon is in its life.
 #[derive(Debug)]
-pub(crate) struct Life {
+pub(crate) struct Lifecycle {
     state: Cell<PresenceState>,
     in_flight: Rc<Cell<usize>>,
 }
 
-impl Life {
+impl Lifecycle {
     pub(crate) fn open() -> Rc<Self> {
         Rc::new(Self {
             state: Cell::new(PresenceState::Starting),
@@ -78,9 +78,9 @@
     }
 
     /// Counts a request until the guard is dropped.
-    pub(crate) fn begin(&self) -> Request {
+    pub(crate) fn track_request(&self) -> InFlightRequest {
         self.in_flight.set(self.in_flight.get() + 1);
-        Request {
+        InFlightRequest {
             in_flight: self.in_flight.clone(),
         }
     }
@@ -93,11 +93,11 @@
 
 /// A request that is being answered.
 #[derive(Debug)]
-pub(crate) struct Request {
+pub(crate) struct InFlightRequest {
     in_flight: Rc<Cell<usize>>,
 }
 
-impl Drop for Request {
+impl Drop for InFlightRequest {
     fn drop(&mut self) {
         self.in_flight.set(self.in_flight.get() - 1);
     }
--- a/crates/borageshore_gateway/src/members/mod.rs
+++ b/crates/borageshore_gateway/src/members/mod.rs
@@ -17,7 +17,7 @@
 use borageshore_platform::KeyedRecord;
 use tokio::sync::Notify;
 
-use crate::{follow::Fold, store_path::StorePath};
+use crate::{follow::Fold, store_path::FailoverTransport};
 
 /// What the key of a suspicion begins with; the name of the suspected daemon follows.
 const SUSPICION_PREFIX: &str = "suspect/";
@@ -30,7 +30,7 @@
     own: RefCell<Presence>,
     table: RefCell<PresenceTable>,
     clock: Clock,
-    store_path: StorePath,
+    store_path: FailoverTransport,
     watch: RefCell<WatchTable>,
     ring: RefCell<KnownRing>,
     has_left: Cell<bool>,
@@ -49,7 +49,7 @@
 
 /// What a look at those that this daemon watches asks for.
 #[derive(Debug)]
-pub(crate) struct Look {
+pub(crate) struct WatchCheck {
     /// Where its own watchers are; nowhere if it must not say that it lives.
     pub(crate) watchers: Vec<Arc<str>>,
     /// The daemons that it suspects from now on.
@@ -57,7 +57,7 @@
 }
 
 impl Members {
-    pub(crate) fn open(own: Presence, clock: Clock, store_path: StorePath) -> Rc<Self> {
+    pub(crate) fn open(own: Presence, clock: Clock, store_path: FailoverTransport) -> Rc<Self> {
         Rc::new(Self {
             own: RefCell::new(own),
             table: RefCell::default(),
@@ -73,7 +73,7 @@
     }
 
     /// Takes suspicions for deaths when their time is over.
-    pub(crate) async fn note_deaths(self: Rc<Self>) {
+    pub(crate) async fn expire_suspicions(self: Rc<Self>) {
         loop {
             self.suspected.notified().await;
             sleep_ms(SUSPICION_TIMEOUT_MS).await;
@@ -99,7 +99,7 @@
     }
 
     /// Looks who of those that this daemon watches has gone silent.
-    pub(crate) fn look(&self) -> Look {
+    pub(crate) fn check_watched(&self) -> WatchCheck {
         self.advance();
         let now_ms = self.clock.now_ms();
         let own_name = self.own_name();
@@ -126,7 +126,7 @@
                 by: own_name.clone(),
             })
         };
-        Look {
+        WatchCheck {
             watchers: match store_silent_ms < HEARTBEAT_LOG_TIMEOUT_MS {
                 true => known.ring.watchers_of(&own_name),
                 false => Vec::new(),
@@ -156,7 +156,7 @@
     }
 
     /// This daemon's name and incarnation.
-    pub(crate) fn own_life(&self) -> (Arc<str>, u64) {
+    pub(crate) fn own_identity(&self) -> (Arc<str>, u64) {
         let own = self.own.borrow();
         (own.name.clone(), own.incarnation)
     }
@@ -202,7 +202,7 @@
     }
 
     /// The number of daemons that run submissions.
-    pub(crate) fn holders(&self) -> usize {
+    pub(crate) fn holder_count(&self) -> usize {
         let table = self.table.borrow();
         table
             .live()
@@ -212,7 +212,7 @@
 
     /// Where the daemon is asked that has a submission's records: the one that runs it, else one for
     /// all readers; `None` if that is this one.
-    pub(crate) fn home_of(&self, submission: &str) -> Option<Arc<str>> {
+    pub(crate) fn owner_address(&self, submission: &str) -> Option<Arc<str>> {
         let table = self.table.borrow();
         let home = table.owner_of(submission, submission)?;
         if home == &*self.own.borrow().name {
@@ -227,7 +227,7 @@
     }
 
     /// Where some other daemons are that take work, each time others.
-    pub(crate) fn some_peers(&self, count: usize) -> Vec<Arc<str>> {
+    pub(crate) fn pick_eligible(&self, count: usize) -> Vec<Arc<str>> {
         let own_name = self.own_name();
         let table = self.table.borrow();
         let turn = self.clock.now_ms().to_string();
@@ -238,7 +238,7 @@
     }
 
     /// Where some other daemons are told of crashes, each time others.
-    pub(crate) fn some_relays(&self, count: usize) -> Vec<Arc<str>> {
+    pub(crate) fn pick_peer_addresses(&self, count: usize) -> Vec<Arc<str>> {
         let own = self.own.borrow();
         let relays = self.table.borrow().peer_addresses(&own.name, &own.zone);
         let turn = self.clock.now_us().to_string();
@@ -252,7 +252,7 @@
     }
 
     /// The names of the daemons that take work of others.
-    pub(crate) fn able_names(&self) -> Vec<Arc<str>> {
+    pub(crate) fn eligible_names(&self) -> Vec<Arc<str>> {
         self.table.borrow().eligible().map(Into::into).collect()
     }
 
--- a/crates/borageshore_gateway/src/members/writing.rs
+++ b/crates/borageshore_gateway/src/members/writing.rs
@@ -27,7 +27,7 @@
             let pause_ms = self.table.borrow().record_interval_ms();
             let pause_ms = match &written {
                 // This record is also what tries out a closed way to the store.
-                Ok(_) if self.store_path.is_detour() => pause_ms.min(PROBE_INTERVAL_MS),
+                Ok(_) if self.store_path.uses_peers() => pause_ms.min(PROBE_INTERVAL_MS),
                 Ok(_) => pause_ms,
                 Err(_) => WRITE_AGAIN_MS,
             };
@@ -42,7 +42,7 @@
     }
 
     /// Writes suspicions; others take them for deaths unless they are refuted.
-    pub(crate) async fn suspect(&self, store: &Store, silent: &[Suspicion]) {
+    pub(crate) async fn write_suspicions(&self, store: &Store, silent: &[Suspicion]) {
         let record = |suspicion: &Suspicion| {
             let key = format!("{SUSPICION_PREFIX}{}", suspicion.name);
             let value = serde_json::to_vec(suspicion).expect("plain data");
@@ -70,7 +70,7 @@
     ///
     /// Guards against a start that reads all VMs of a year: the store keeps the newest record of each for good,
     /// and thousands are replaced a day.
-    pub(crate) async fn forget_dead(&self, store: &Store) -> Result<(), StoreError> {
+    pub(crate) async fn remove_expired(&self, store: &Store) -> Result<(), StoreError> {
         let forgotten = self.table.borrow().expired();
         let keys = forgotten
             .iter()
--- a/crates/borageshore_gateway/src/orderer.rs
+++ b/crates/borageshore_gateway/src/orderer.rs
@@ -13,7 +13,7 @@
 use futures_util::future::{join_all, select};
 
 use crate::{
-    duties::{Announced, Duties},
+    duties::{Duties, SendPermit},
     endpoints::Endpoints,
     members::Members,
     routes::Routes,
@@ -68,8 +68,8 @@
     async fn run(self: Rc<Self>) {
         loop {
             let named = pin!(self.parts.routes.version_named.notified());
-            let round = pin!(self.parts.duties.round_came());
-            let is_busy = match self.parts.duties.position_if_held() {
+            let round = pin!(self.parts.duties.round_announced());
+            let is_busy = match self.parts.duties.offset_if_holder() {
                 Some(at) => self.step(at).await,
                 None => false,
             };
@@ -219,7 +219,7 @@
         target: EndpointTarget,
         version: ModelVersion,
         order: VersionOrder,
-        announced: Announced,
+        announced: SendPermit,
     ) {
         if !announced.may_send() {
             log::warn!(instance = &*target.instance; "an order is too late, it is not given");
--- a/crates/borageshore_gateway/src/peers.rs
+++ b/crates/borageshore_gateway/src/peers.rs
@@ -14,7 +14,7 @@
 };
 
 /// Marks a request that a peer has passed on, so that it is not passed on again.
-pub(crate) const PASSED_ON: &str = "borageshore-passed-on";
+pub(crate) const FORWARDED_HEADER: &str = "borageshore-passed-on";
 /// A peer is a few ms away.
 const CONNECT_MS: u64 = 200;
 /// What an answer may take beyond the time that the reader wants to wait.
@@ -27,13 +27,13 @@
 
 /// What came of a submission that was passed on.
 #[derive(Debug)]
-pub(crate) enum HandedOn {
+pub(crate) enum SubmitOutcome {
     /// A peer has accepted it.
     Accepted(EdgeResponse),
     /// A peer may have accepted it.
     Unknown,
     /// No peer has taken anything of it.
-    Nowhere,
+    NotAccepted,
 }
 
 /// The client of peers.
@@ -71,24 +71,24 @@
     }
 
     /// Passes a submission on to the first peer that accepts it.
-    pub(crate) async fn hand_on(
+    pub(crate) async fn submit(
         &self,
         addresses: &[Arc<str>],
         head: &Parts,
         body: &Bytes,
-    ) -> HandedOn {
+    ) -> SubmitOutcome {
         for address in addresses {
             match self.pass_on(address, head, body.clone(), SUBMIT_MS).await {
-                Ok((StatusCode::ACCEPTED, response)) => return HandedOn::Accepted(response),
+                Ok((StatusCode::ACCEPTED, response)) => return SubmitOutcome::Accepted(response),
                 // The peer says the same as this daemon: nothing of it runs.
                 Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::UNAUTHORIZED, _))
                 | Err(CallError::NotSent(_)) => {}
                 Ok(_) | Err(CallError::NoAnswer(_) | CallError::Broken(_)) => {
-                    return HandedOn::Unknown;
+                    return SubmitOutcome::Unknown;
                 }
             }
         }
-        HandedOn::Nowhere
+        SubmitOutcome::NotAccepted
     }
 
     async fn pass_on(
@@ -115,7 +115,7 @@
         for framing in [CONTENT_LENGTH, TRANSFER_ENCODING, CONNECTION] {
             request.headers_mut().remove(framing);
         }
-        let passed_on = HeaderName::from_static(PASSED_ON);
+        let passed_on = HeaderName::from_static(FORWARDED_HEADER);
         request.headers_mut().insert(passed_on, 1.into());
         let timeouts = Timeouts {
             connect_ms: CONNECT_MS,
--- a/crates/borageshore_gateway/src/progress.rs
+++ b/crates/borageshore_gateway/src/progress.rs
@@ -133,7 +133,7 @@
             if self.runs.borrow().is_empty() {
                 self.began.notified().await;
             }
-            let holders = self.members.holders().max(1);
+            let holders = self.members.holder_count().max(1);
             let pause_ms = SAVE_EVERY_MS.max(holders as u64 * SAVE_EVERY_MS_PER_HOLDER);
             sleep_ms(pause_ms).await;
             self.save(bytes_a_turn(pause_ms, holders)).await;
--- a/crates/borageshore_gateway/src/quarantine/telling.rs
+++ b/crates/borageshore_gateway/src/quarantine/telling.rs
@@ -145,7 +145,7 @@
                 if reports.is_empty() && cleared.is_empty() {
                     break;
                 }
-                let peers = self.members.some_relays(PEERS_TOLD);
+                let peers = self.members.pick_peer_addresses(PEERS_TOLD);
                 // What was cleared comes last, as a crash may have been told before it.
                 if !reports.is_empty() {
                     tell(&http, &peers, CRASHES_PATH, &encode_reports(&reports)).await;
--- a/crates/borageshore_gateway/src/quarantine/trials.rs
+++ b/crates/borageshore_gateway/src/quarantine/trials.rs
@@ -56,7 +56,7 @@
     /// Claims the trial of a request: of all daemons that do, the one whose record comes first in the log makes it.
     pub(super) async fn claim(self: &Rc<Self>, content: Fingerprint) -> Result<Leave, Held> {
         let count = self.claims.replace(self.claims.get() + 1);
-        let (name, incarnation) = self.members.own_life();
+        let (name, incarnation) = self.members.own_identity();
         let note = TrialNote {
             content,
             number: self.table.borrow().trials(&content) + 1,
--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -26,9 +26,9 @@
 use crate::{
     access::CallerAccess,
     calls::Calls,
-    life::Life,
+    life::Lifecycle,
     members::Members,
-    peers::{HandedOn, PASSED_ON, Peers},
+    peers::{FORWARDED_HEADER, Peers, SubmitOutcome},
     routes::Routes,
     submissions::Submissions,
 };
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub(crate) struct MetricsPage {
     pub(crate) instruments: Rc<Instruments>,
-    pub(crate) life: Rc<Life>,
+    pub(crate) life: Rc<Lifecycle>,
 }
 
 impl Handler for MetricsPage {
@@ -71,7 +71,7 @@
 /// Decodes requests and hands them to their subjects.
 #[derive(Debug, Clone)]
 pub(crate) struct Server {
-    pub(crate) life: Rc<Life>,
+    pub(crate) life: Rc<Lifecycle>,
     pub(crate) routes: Rc<Routes>,
     pub(crate) members: Rc<Members>,
     pub(crate) access: Rc<CallerAccess>,
@@ -83,7 +83,7 @@
 
 impl Handler for Server {
     async fn handle(&self, request: EdgeRequest, _remote: SocketAddr) -> EdgeResponse {
-        let _in_flight = self.life.begin();
+        let _in_flight = self.life.track_request();
         let mut response = self.answer(request).await;
         if self.life.state() == PresenceState::Draining {
             // The caller opens its next connection elsewhere instead of meeting a closed one.
@@ -159,10 +159,10 @@
             SubmissionRequest::Results { wait_ms, .. } => *wait_ms,
             SubmissionRequest::Body { .. } | SubmissionRequest::End => 0,
         };
-        if head.headers.contains_key(PASSED_ON) {
+        if head.headers.contains_key(FORWARDED_HEADER) {
             return None;
         }
-        let home = self.members.home_of(submission)?;
+        let home = self.members.owner_address(submission)?;
         self.peers.ask(&home, head, wait_ms).await
     }
 
@@ -242,20 +242,20 @@
         let id = submission.id.clone();
         let response = self.submissions.accept(submission, service).await;
         let is_refused = response.status() == StatusCode::SERVICE_UNAVAILABLE;
-        if !is_refused || head.headers.contains_key(PASSED_ON) {
+        if !is_refused || head.headers.contains_key(FORWARDED_HEADER) {
             return response;
         }
-        let peers = self.members.some_peers(PEERS_ASKED);
-        match self.peers.hand_on(&peers, head, body).await {
-            HandedOn::Accepted(accepted) => {
+        let peers = self.members.pick_eligible(PEERS_ASKED);
+        match self.peers.submit(&peers, head, body).await {
+            SubmitOutcome::Accepted(accepted) => {
                 log::info!(submission = &*id; "submission accepted by a peer");
                 accepted
             }
-            HandedOn::Unknown => {
+            SubmitOutcome::Unknown => {
                 let fault = Fault::new(ResultCode::AcceptanceUnknown, "a peer did not answer");
                 refusal(&fault, None)
             }
-            HandedOn::Nowhere => response,
+            SubmitOutcome::NotAccepted => response,
         }
     }
 }
--- a/crates/borageshore_gateway/src/store_path.rs
+++ b/crates/borageshore_gateway/src/store_path.rs
@@ -23,7 +23,7 @@
 };
 
 /// The store as this daemon calls it.
-pub(crate) type Store = borageshore_platform::Store<StorePath>;
+pub(crate) type Store = borageshore_platform::Store<FailoverTransport>;
 
 /// An append that has no answer by then is given to a peer as well. A slow store answers in 200 ms, and
 /// an append may be repeated; a daemon that reaches nobody stops its heartbeats after 3 s.
@@ -37,7 +37,7 @@
 
 /// The ways to the store.
 #[derive(Debug, Clone)]
-pub(crate) struct StorePath {
+pub(crate) struct FailoverTransport {
     inner: Rc<Inner>,
 }
 
@@ -56,7 +56,7 @@
     closed: Notify,
 }
 
-impl StorePath {
+impl FailoverTransport {
     pub(crate) fn open(address: Arc<str>, clock: Clock, has_detour: bool) -> Self {
         Self {
             inner: Rc::new(Inner {
@@ -87,7 +87,7 @@
     }
 
     /// Says whether calls go through peers.
-    pub(crate) fn is_detour(&self) -> bool {
+    pub(crate) fn uses_peers(&self) -> bool {
         self.inner.way.borrow().uses_peers()
     }
 
@@ -186,7 +186,7 @@
     }
 }
 
-impl StoreTransport for StorePath {
+impl StoreTransport for FailoverTransport {
     async fn call(&self, call: StoreCall) -> Answer {
         let now_ms = self.inner.clock.now_ms();
         let may_probe = call.is_append() && call.is_idempotent;
@@ -229,13 +229,13 @@
 /// What peers ask of this daemon: to pass calls on to the store, as long as it reaches that itself, to take over what
 /// they tell of crashes, and to show its clocks.
 #[derive(Debug, Clone)]
-pub(crate) struct StoreRelay {
-    pub(crate) path: StorePath,
+pub(crate) struct PeerHandler {
+    pub(crate) path: FailoverTransport,
     pub(crate) quarantine: Rc<Quarantine>,
     pub(crate) time: Rc<SharedTime>,
 }
 
-impl Handler for StoreRelay {
+impl Handler for PeerHandler {
     async fn handle(&self, request: EdgeRequest, _remote: SocketAddr) -> EdgeResponse {
         if request.uri().path() == CRASHES_PATH {
             return self.quarantine.on_told(request).await;
--- a/crates/borageshore_gateway/src/usage/counter.rs
+++ b/crates/borageshore_gateway/src/usage/counter.rs
@@ -69,7 +69,7 @@
     }
 
     /// Says whether something counted is not in the store yet.
-    pub(crate) fn is_unwritten(&self) -> bool {
+    pub(crate) fn has_unwritten(&self) -> bool {
         self.is_writing.get() || self.counts.borrow().is_dirty()
     }
 
@@ -107,7 +107,7 @@
         let oldest = self.times.first_reportable(self.time.unix_ms());
         self.counts.borrow_mut().forget_before(oldest);
         let untold = self.counts.borrow_mut().take_dirty();
-        let (name, incarnation) = self.members.own_life();
+        let (name, incarnation) = self.members.own_identity();
         let author = Author {
             life: format!("{name}.{incarnation}").into(),
             generation: self.generation.get(),
@@ -138,14 +138,14 @@
 /// A request of an organisation, counted once when it is over: in the window in which the first of its attempts
 /// began that ran, or may have run.
 #[derive(Debug)]
-pub(crate) struct RequestUse {
+pub(crate) struct RequestUsage {
     /// Where it is counted; nowhere if nobody is to be told of it.
     counted: Option<(Rc<UsageCounter>, Arc<str>)>,
     /// When each attempt began, in true time; none for one that has not run.
     attempts: RefCell<Vec<Option<u64>>>,
 }
 
-impl RequestUse {
+impl RequestUsage {
     /// Begins with a request without attempts.
     pub(crate) fn begin(
         counter: Option<&Rc<UsageCounter>>,
@@ -176,7 +176,7 @@
     }
 }
 
-impl Drop for RequestUse {
+impl Drop for RequestUsage {
     fn drop(&mut self) {
         let begun_at_ms = self.attempts.borrow().iter().flatten().min().copied();
         if let (Some((counter, organisation)), Some(begun_at_ms)) = (&self.counted, begun_at_ms) {
--- a/crates/borageshore_gateway/src/usage/mod.rs
+++ b/crates/borageshore_gateway/src/usage/mod.rs
@@ -6,7 +6,7 @@
 mod view;
 
 pub(crate) use self::{
-    counter::{RequestUse, UsageCounter},
+    counter::{RequestUsage, UsageCounter},
     records::{ReportRecord, UsageReports},
     reporter::{Reporter, ReporterParts},
 };
--- a/crates/borageshore_gateway/src/usage/records.rs
+++ b/crates/borageshore_gateway/src/usage/records.rs
@@ -64,7 +64,7 @@
     }
 
     /// Takes over a report.
-    pub(crate) fn take(&self, record: &ReportRecord) {
+    pub(crate) fn on_report(&self, record: &ReportRecord) {
         let mut reports = self.reports.borrow_mut();
         let counts = counted(record.counts.clone());
         reports.on_finalized(Window(record.window), &counts);
@@ -94,7 +94,7 @@
         Some((window, counts.cloned()))
     }
 
-    pub(super) fn on_taken(&self, window: Window) {
+    pub(super) fn on_accepted(&self, window: Window) {
         self.reports.borrow_mut().on_accepted(window);
     }
 
--- a/crates/borageshore_gateway/src/usage/reporter.rs
+++ b/crates/borageshore_gateway/src/usage/reporter.rs
@@ -45,7 +45,7 @@
         let mut cleaned = Window(0);
         loop {
             sleep_ms(PACE_MS).await;
-            let Some(at) = self.parts.duties.position_if_held() else {
+            let Some(at) = self.parts.duties.offset_if_holder() else {
                 view = None;
                 continue;
             };
@@ -105,7 +105,7 @@
 
     fn on_taken(&self, window: Window, counts: &Counts, epoch: u64) {
         let parts = &self.parts;
-        parts.reports.on_taken(window);
+        parts.reports.on_accepted(window);
         parts.instruments.count("usage_report", "taken");
         let end_ms = window.end_ms(parts.times.window_ms);
         let late_ms = parts.time.unix_ms().saturating_sub(end_ms);
--- a/crates/borageshore_gateway/src/watch.rs
+++ b/crates/borageshore_gateway/src/watch.rs
@@ -39,21 +39,24 @@
     async fn look(self: Rc<Self>) {
         let mut counter = 0;
         loop {
-            let look = self.members.look();
+            let look = self.members.check_watched();
             counter += 1;
             self.send_heartbeats(&look.watchers, counter).await;
             if !look.silent.is_empty() {
                 let watch = self.clone();
-                monoio::spawn(
-                    async move { watch.members.suspect(&watch.store, &look.silent).await },
-                );
+                monoio::spawn(async move {
+                    watch
+                        .members
+                        .write_suspicions(&watch.store, &look.silent)
+                        .await
+                });
             }
             sleep_ms(HEARTBEAT_INTERVAL_MS).await;
         }
     }
 
     async fn send_heartbeats(&self, watchers: &[Arc<str>], counter: i64) {
-        let (name, incarnation) = self.members.own_life();
+        let (name, incarnation) = self.members.own_identity();
         let heartbeat = WireHeartbeat::new(name.to_string(), incarnation as i64, counter);
         let Ok(datagram) = encode(&heartbeat) else {
             return;
