--- a/crates/borageshore_gateway/src/cleaner.rs
+++ b/crates/borageshore_gateway/src/cleaner.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 
 use crate::{
-    ledger_view::Shard, members::Members, quarantine::Quarantine, store_path::Store,
+    ledger_view::Shard, members::Members, quarantine::Quarantine, store_transport::Store,
     submission_index::SubmissionIndex,
 };
 
--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -14,7 +14,7 @@
     endpoints::Endpoints,
     follow::{Fold, Follow, FollowSpec, ONLY_PARTITION},
     members::Members,
-    store_path::Store,
+    store_transport::Store,
     usage::{ReportRecord, USAGE, UsageReports},
 };
 
--- a/crates/borageshore_gateway/src/follow.rs
+++ b/crates/borageshore_gateway/src/follow.rs
@@ -9,7 +9,7 @@
 use borageshore_net::{Clock, boot_time_ms, sleep_ms};
 use borageshore_platform::{KeyedRecord, Page, StoreError, Topic};
 
-use crate::store_path::Store;
+use crate::store_transport::Store;
 
 /// How long a read waits at the store for a record. A connection that went silent shows when the
 /// answer is late by more than the store's slack, so this bounds how old a view can get unnoticed.
--- a/crates/borageshore_gateway/src/gateway.rs
+++ b/crates/borageshore_gateway/src/gateway.rs
@@ -21,7 +21,7 @@
     follow::{Begin, Follow, FollowSpec, ONLY_PARTITION},
     item::ItemContext,
     ledger_view::LedgerView,
-    life::{self, DrainTimes, Lifecycle, Signals},
+    lifecycle::{self, DrainTimes, Lifecycle, Signals},
     mechanisms::{Mechanism, Mechanisms},
     members::Members,
     orderer::{Orderer, OrdererParts},
@@ -32,7 +32,7 @@
     routes::Routes,
     runner::Runner,
     server::{MetricsPage, Server, server_limits},
-    store_path::{FailoverTransport, PeerHandler, Store},
+    store_transport::{FailoverTransport, PeerHandler, Store},
     submission_index::SubmissionIndex,
     submissions::Submissions,
     texts::Texts,
@@ -61,7 +61,7 @@
     config_file: PathBuf,
     clock: Clock,
     store: Store,
-    life: Rc<Lifecycle>,
+    lifecycle: Rc<Lifecycle>,
     members: Rc<Members>,
     routes: Rc<Routes>,
     endpoints: Rc<Endpoints>,
@@ -82,12 +82,12 @@
         // Rises with every start, as long as the VM's clock is not set back by more than a life.
         let incarnation = jiff::Timestamp::now().as_millisecond() as u64;
         let mechanisms = Rc::new(Mechanisms::without(config.mechanisms_off.clone()));
-        let store_path = FailoverTransport::open(
+        let transport = FailoverTransport::open(
             config.store_address.clone(),
             clock,
             mechanisms.has(Mechanism::StoreDetour),
         );
-        let store = Store::open(store_path.clone());
+        let store = Store::open(transport.clone());
         let client = EndpointClient::open();
         let seed = rendezvous_weight(&config.name, &incarnation.to_string());
         let routes = Rc::new(Routes::default());
@@ -99,11 +99,7 @@
             client.clone(),
             mechanisms.clone(),
         );
-        let members = Members::open(
-            own_presence(&config, incarnation),
-            clock,
-            store_path.clone(),
-        );
+        let members = Members::open(own_presence(&config, incarnation), clock, transport.clone());
         let quarantine = Quarantine::spawn(
             store.clone(),
             members.clone(),
@@ -229,9 +225,9 @@
         monoio::spawn(members.clone().announce(store.clone()));
         monoio::spawn(members.clone().expire_suspicions());
         Watch::bind(&config.peer_address, members.clone(), store.clone())?;
-        let life = Lifecycle::open();
+        let lifecycle = Lifecycle::open();
         let server = Server {
-            life: life.clone(),
+            lifecycle: lifecycle.clone(),
             routes: routes.clone(),
             members: members.clone(),
             access: access.clone(),
@@ -259,7 +255,7 @@
             .map(|address| bind(address))
             .collect::<io::Result<Vec<HttpServer>>>()?;
         let relay = PeerHandler {
-            path: store_path,
+            path: transport,
             quarantine,
             time,
         };
@@ -270,7 +266,7 @@
         )?);
         let metrics_page = MetricsPage {
             instruments,
-            life: life.clone(),
+            lifecycle: lifecycle.clone(),
         };
         let metrics = HttpServer::bind(&config.metrics_address, server_limits(), metrics_page)?;
         log::info!(zone = &*config.zone, http_address = &*config.http_address, incarnation; "daemon started");
@@ -279,7 +275,7 @@
             config_file,
             clock,
             store,
-            life,
+            lifecycle,
             members,
             routes,
             endpoints,
@@ -299,7 +295,7 @@
             grace_ms: self.config.stop_grace_s * 1_000,
             lists_kept_ms: LISTS_KEPT_TTLS * self.config.address_ttl_s * 1_000,
         };
-        life::drain(self, &self.servers, times).await;
+        lifecycle::drain(self, &self.servers, times).await;
         Ok(())
     }
 
@@ -313,8 +309,8 @@
         let is_known = self.routes.is_known()
             && self.endpoints.is_known()
             && self.open.next_offset().is_some();
-        if is_known && self.life.state() == PresenceState::Starting {
-            self.life.enter(PresenceState::Ready, &self.members);
+        if is_known && self.lifecycle.state() == PresenceState::Starting {
+            self.lifecycle.enter(PresenceState::Ready, &self.members);
         }
     }
 
@@ -332,16 +328,16 @@
     }
 
     pub(crate) fn poll_ms(&self) -> u64 {
-        self.life.poll_ms()
+        self.lifecycle.poll_ms()
     }
 
     pub(crate) fn enter_draining(&self) {
-        self.life.enter(PresenceState::Draining, &self.members);
+        self.lifecycle.enter(PresenceState::Draining, &self.members);
     }
 
     /// Says whether no request, submission or result is under way.
     pub(crate) fn is_idle(&self) -> bool {
-        self.life.in_flight() == 0
+        self.lifecycle.in_flight() == 0
             && self.runner.running_count() == 0
             && self.writer.unwritten() == 0
             && !self
--- a/crates/borageshore_gateway/src/ledger_view.rs
+++ b/crates/borageshore_gateway/src/ledger_view.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     follow::{Begin, Fold, Follow, FollowSpec},
-    store_path::Store,
+    store_transport::Store,
 };
 
 /// Records of results come in bursts; reading them together saves most of the reads.
--- a/crates/borageshore_gateway/src/members/mod.rs
+++ b/crates/borageshore_gateway/src/members/mod.rs
@@ -17,7 +17,7 @@
 use borageshore_platform::KeyedRecord;
 use tokio::sync::Notify;
 
-use crate::{follow::Fold, store_path::FailoverTransport};
+use crate::{follow::Fold, store_transport::FailoverTransport};
 
 /// What the key of a suspicion begins with; the name of the suspected daemon follows.
 const SUSPICION_PREFIX: &str = "suspect/";
@@ -30,7 +30,7 @@
     own: RefCell<Presence>,
     table: RefCell<PresenceTable>,
     clock: Clock,
-    store_path: FailoverTransport,
+    transport: FailoverTransport,
     watch: RefCell<WatchTable>,
     ring: RefCell<KnownRing>,
     has_left: Cell<bool>,
@@ -57,12 +57,12 @@
 }
 
 impl Members {
-    pub(crate) fn open(own: Presence, clock: Clock, store_path: FailoverTransport) -> Rc<Self> {
+    pub(crate) fn open(own: Presence, clock: Clock, transport: FailoverTransport) -> Rc<Self> {
         Rc::new(Self {
             own: RefCell::new(own),
             table: RefCell::default(),
             clock,
-            store_path,
+            transport,
             watch: RefCell::default(),
             ring: RefCell::default(),
             has_left: Cell::default(),
@@ -111,7 +111,7 @@
             known.as_of_changes = Some(table.changes());
             watch.set_watched(known.ring.watched_by(&own_name), now_ms);
         }
-        let store_silent_ms = self.store_path.silent_ms();
+        let store_silent_ms = self.transport.silent_ms();
         let silent = match store_silent_ms < WATCHER_LOG_TIMEOUT_MS {
             true => watch.take_silent(now_ms),
             false => {
@@ -274,7 +274,7 @@
     fn follow_peers(&self) {
         let own = self.own.borrow();
         let peers = self.table.borrow().peer_addresses(&own.name, &own.zone);
-        self.store_path.set_peers(peers);
+        self.transport.set_peers(peers);
     }
 
     fn on_own_record(&self, record: &KeyedRecord) {
--- a/crates/borageshore_gateway/src/members/writing.rs
+++ b/crates/borageshore_gateway/src/members/writing.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 
 use super::{Members, SUSPICION_PREFIX};
-use crate::{follow::ONLY_PARTITION, store_path::Store};
+use crate::{follow::ONLY_PARTITION, store_transport::Store};
 
 /// The pause before a record that could not be written is written again: others may wait for it.
 const WRITE_AGAIN_MS: u64 = 500;
@@ -27,7 +27,7 @@
             let pause_ms = self.table.borrow().record_interval_ms();
             let pause_ms = match &written {
                 // This record is also what tries out a closed way to the store.
-                Ok(_) if self.store_path.uses_peers() => pause_ms.min(PROBE_INTERVAL_MS),
+                Ok(_) if self.transport.uses_peers() => pause_ms.min(PROBE_INTERVAL_MS),
                 Ok(_) => pause_ms,
                 Err(_) => WRITE_AGAIN_MS,
             };
--- a/crates/borageshore_gateway/src/progress.rs
+++ b/crates/borageshore_gateway/src/progress.rs
@@ -15,7 +15,7 @@
 use futures_util::future::join_all;
 use tokio::sync::Notify;
 
-use crate::{ledger_view::Shard, members::Members, store_path::Store};
+use crate::{ledger_view::Shard, members::Members, store_transport::Store};
 
 /// The pace at which new events are stored; a full stop loses what was made since.
 const SAVE_EVERY_MS: u64 = 250;
--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -32,7 +32,7 @@
     telling::{CLEARED_PATH, CRASHES_PATH},
     trials::Leave,
 };
-use crate::{endpoints::Endpoints, follow::Fold, members::Members, store_path::Store};
+use crate::{endpoints::Endpoints, follow::Fold, members::Members, store_transport::Store};
 
 /// A claim is in the store and read back in 60 ms; a caller is not kept waiting for longer.
 const CLAIM_MS: u64 = 400;
--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -26,7 +26,7 @@
 use crate::{
     access::CallerAccess,
     calls::Calls,
-    life::Lifecycle,
+    lifecycle::Lifecycle,
     members::Members,
     peers::{FORWARDED_HEADER, Peers, SubmitOutcome},
     routes::Routes,
@@ -57,13 +57,13 @@
 #[derive(Debug)]
 pub(crate) struct MetricsPage {
     pub(crate) instruments: Rc<Instruments>,
-    pub(crate) life: Rc<Lifecycle>,
+    pub(crate) lifecycle: Rc<Lifecycle>,
 }
 
 impl Handler for MetricsPage {
     async fn handle(&self, _request: EdgeRequest, _remote: SocketAddr) -> EdgeResponse {
         self.instruments
-            .set("requests_in_flight", self.life.in_flight() as u64);
+            .set("requests_in_flight", self.lifecycle.in_flight() as u64);
         Response::new(full_body(self.instruments.to_text()))
     }
 }
@@ -71,7 +71,7 @@
 /// Decodes requests and hands them to their subjects.
 #[derive(Debug, Clone)]
 pub(crate) struct Server {
-    pub(crate) life: Rc<Lifecycle>,
+    pub(crate) lifecycle: Rc<Lifecycle>,
     pub(crate) routes: Rc<Routes>,
     pub(crate) members: Rc<Members>,
     pub(crate) access: Rc<CallerAccess>,
@@ -83,9 +83,9 @@
 
 impl Handler for Server {
     async fn handle(&self, request: EdgeRequest, _remote: SocketAddr) -> EdgeResponse {
-        let _in_flight = self.life.track_request();
+        let _in_flight = self.lifecycle.track_request();
         let mut response = self.answer(request).await;
-        if self.life.state() == PresenceState::Draining {
+        if self.lifecycle.state() == PresenceState::Draining {
             // The caller opens its next connection elsewhere instead of meeting a closed one.
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
@@ -167,7 +167,7 @@
     }
 
     fn ready(&self) -> EdgeResponse {
-        match self.life.state() {
+        match self.lifecycle.state() {
             PresenceState::Ready => ok_response(),
             PresenceState::Starting => not_ready(),
             PresenceState::Draining => refusal(&Fault::new(ResultCode::Draining, ""), None),
--- a/crates/borageshore_gateway/src/submission_index.rs
+++ b/crates/borageshore_gateway/src/submission_index.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     follow::{Fold, ONLY_PARTITION},
-    store_path::Store,
+    store_transport::Store,
 };
 
 /// A submission that is not ended.
--- a/crates/borageshore_gateway/src/submissions.rs
+++ b/crates/borageshore_gateway/src/submissions.rs
@@ -14,7 +14,7 @@
 use crate::{
     endpoints::Endpoints,
     ledger_view::{LedgerView, Shard},
-    store_path::Store,
+    store_transport::Store,
     submission_index::SubmissionIndex,
 };
 
--- a/crates/borageshore_gateway/src/usage/counter.rs
+++ b/crates/borageshore_gateway/src/usage/counter.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Notify;
 
 use super::records::{Author, total_record};
-use crate::{members::Members, store_path::Store, true_time::SharedTime};
+use crate::{members::Members, store_transport::Store, true_time::SharedTime};
 
 /// The pause between two appends for each daemon that lives: all of them together make 200 a second at the most. A
 /// daemon that is killed takes with it what it counted in that time.
--- a/crates/borageshore_gateway/src/usage/reporter.rs
+++ b/crates/borageshore_gateway/src/usage/reporter.rs
@@ -8,7 +8,7 @@
 use borageshore_usage::{Counts, UsageTiming, Window};
 
 use super::{USAGE, records::UsageReports, view::UsageView};
-use crate::{duties::Duties, members::Members, store_path::Store, true_time::SharedTime};
+use crate::{duties::Duties, members::Members, store_transport::Store, true_time::SharedTime};
 
 /// The pace at which reports are looked for; a refused one is sent again after it.
 const PACE_MS: u64 = 250;
--- a/crates/borageshore_gateway/src/usage/view.rs
+++ b/crates/borageshore_gateway/src/usage/view.rs
@@ -12,7 +12,7 @@
 use super::records::{total_counts, total_key};
 use crate::{
     follow::{Begin, Fold, Follow, FollowSpec},
-    store_path::Store,
+    store_transport::Store,
 };
 
 /// Totals that come close together are read together.
--- a/crates/borageshore_gateway/src/watch.rs
+++ b/crates/borageshore_gateway/src/watch.rs
@@ -7,7 +7,7 @@
 use borageshore_wire::{WireHeartbeat, decode, encode};
 use monoio::net::udp::UdpSocket;
 
-use crate::{members::Members, store_path::Store};
+use crate::{members::Members, store_transport::Store};
 
 /// A heartbeat is a name and two numbers.
 const DATAGRAM_BYTES: usize = 512;
--- a/crates/borageshore_gateway/src/writer.rs
+++ b/crates/borageshore_gateway/src/writer.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use tokio::sync::Notify;
 
-use crate::{ledger_view::Shard, store_path::Store};
+use crate::{ledger_view::Shard, store_transport::Store};
 
 /// Results that end within this time go into one append. A trainer reads twice a second.
 const GATHER_MS: u64 = 15;
