--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -21,9 +21,9 @@
 /// The key of rounds of orders; readers that start late need the newest only.
 const ROUND_KEY: &str = "round";
 /// What ranks the daemons where no holder is known; the same at all of them.
-const RANKED_BY: &str = "orders";
+const RANKING_KEY: &str = "orders";
 /// What was announced leaves within this time of the append, or not at all.
-const SENT_WITHIN_MS: u64 = 500;
+const SEND_WINDOW_MS: u64 = 500;
 /// What a call takes on its way, and the delay of a successor's own reads.
 const MARGIN_MS: u64 = 300;
 
@@ -37,7 +37,7 @@
 }
 
 impl Announcements {
-    fn take_round(&self, round: SwapRound) {
+    fn on_round(&self, round: SwapRound) {
         for (instance, model, version) in &round.done {
             self.endpoints.on_version(instance, model, *version);
             self.endpoints.on_load_done(instance);
@@ -56,7 +56,7 @@
 }
 
 impl Announcements {
-    fn take_report(&self, report: &ReportRecord) {
+    fn on_report(&self, report: &ReportRecord) {
         self.usage.on_report(report);
         let mut leases = self.leases.borrow_mut();
         let subjects = [USAGE.into()];
@@ -73,8 +73,8 @@
                 continue;
             };
             let taken = match UsageReports::decode(record) {
-                Some(report) => report.map(|report| self.take_report(&report)),
-                None => serde_json::from_slice(value).map(|round| self.take_round(round)),
+                Some(report) => report.map(|report| self.on_report(&report)),
+                None => serde_json::from_slice(value).map(|round| self.on_round(round)),
             };
             if let Err(error) = taken {
                 log::error!(key = &*record.key, error:% = error; "an announcement cannot be read");
@@ -92,14 +92,14 @@
 /// Nobody checks who acts, and two holders must not take turns within the lease. An act is announced before it is
 /// sent, on the condition that nothing was appended since this daemon read the partition; so a holder that was
 /// replaced while it stood still cannot announce anything. It might have announced something just before: that leaves
-/// within [`SENT_WITHIN_MS`] of the append or not at all, and a new holder lets the lease of each subject pass.
+/// within [`SEND_WINDOW_MS`] of the append or not at all, and a new holder lets the lease of each subject pass.
 #[derive(Debug)]
 pub(crate) struct Duties {
     store: Store,
     members: Rc<Members>,
     announcements: Rc<Announcements>,
     follow: Rc<Follow<Announcements>>,
-    terms: DutyTiming,
+    timing: DutyTiming,
 }
 
 /// What was announced: its epoch, and until when it may be sent.
@@ -125,15 +125,18 @@
         usage: Rc<UsageReports>,
         lease_ms: u64,
     ) -> Rc<Self> {
-        let terms = DutyTiming {
+        let timing = DutyTiming {
             lease_ms,
-            send_window_ms: SENT_WITHIN_MS,
+            send_window_ms: SEND_WINDOW_MS,
             margin_ms: MARGIN_MS,
         };
         let announcements = Rc::new(Announcements {
             endpoints,
             usage,
-            leases: RefCell::new(OrderLeases::open(boot_time_ms(), terms.takeover_delay_ms())),
+            leases: RefCell::new(OrderLeases::open(
+                boot_time_ms(),
+                timing.takeover_delay_ms(),
+            )),
             round_announced: Notify::new(),
         });
         Rc::new(Self {
@@ -141,7 +144,7 @@
             members,
             follow: Follow::spawn(spec, announcements.clone()),
             announcements,
-            terms,
+            timing,
         })
     }
 
@@ -153,11 +156,11 @@
     /// Where the partition ends as far as this daemon has read, if it holds the duties: what it decides from here on is
     /// announced on the condition that nothing came meanwhile.
     pub(crate) fn offset_if_holder(&self) -> Option<u64> {
-        let able = self.members.eligible_names();
+        let eligible = self.members.eligible_names();
         let holder = {
             let leases = self.announcements.leases.borrow();
             let last = leases.newest_holder();
-            select_holder(RANKED_BY, last, &able).map(Arc::<str>::from)
+            select_holder(RANKING_KEY, last, &eligible).map(Arc::<str>::from)
         };
         let is_own = holder.as_deref() == Some(&*self.members.own_name());
         self.follow.next_offset().filter(|_| is_own)
@@ -194,7 +197,7 @@
         at: u64,
         records: &[(Arc<str>, Bytes)],
     ) -> Option<SendPermit> {
-        let window = self.terms.send_window(boot_time_ms());
+        let window = self.timing.send_window(boot_time_ms());
         let appended = self
             .store
             .append(Topic::Orders, ONLY_PARTITION, records, Some(at))
--- a/crates/borageshore_gateway/src/gateway.rs
+++ b/crates/borageshore_gateway/src/gateway.rs
@@ -43,14 +43,14 @@
 };
 
 /// The operator's and the endpoints' records matter at once.
-const AT_ONCE_MS: u64 = 0;
+const NO_PAUSE_MS: u64 = 0;
 /// What many daemons write when they start together is read together; a suspicion waits a fifth of the time
 /// that there is to refute it.
 const MEMBERS_PAUSE_MS: u64 = 50;
 /// Two records a submission.
-const OPEN_PAUSE_MS: u64 = 10;
+const INDEX_PAUSE_MS: u64 = 10;
 /// Some callers keep a list of addresses for as many times its time to live.
-const LISTS_KEPT_TTLS: u64 = 3;
+const ADDRESS_RETENTION_TTLS: u64 = 3;
 /// Records of rounds come one at a time.
 const ORDERS_PAUSE_MS: u64 = 10;
 
@@ -65,7 +65,7 @@
     members: Rc<Members>,
     routes: Rc<Routes>,
     endpoints: Rc<Endpoints>,
-    open: Rc<Follow<SubmissionIndex>>,
+    index: Rc<Follow<SubmissionIndex>>,
     usage: Option<Rc<UsageCounter>>,
     runner: Rc<Runner>,
     writer: Rc<Writer>,
@@ -160,14 +160,14 @@
             clock,
             pause_ms,
         };
-        let followed_routes = Follow::spawn(spec(Topic::Operator, AT_ONCE_MS), routes.clone());
+        let followed_routes = Follow::spawn(spec(Topic::Operator, NO_PAUSE_MS), routes.clone());
         let access = CallerAccess::open(
             routes.clone(),
             followed_routes,
             config.key_revocation_ms,
             instruments.clone(),
         );
-        Follow::spawn(spec(Topic::Endpoints, AT_ONCE_MS), endpoints.clone());
+        Follow::spawn(spec(Topic::Endpoints, NO_PAUSE_MS), endpoints.clone());
         let fleet_records = FleetRecords {
             members: members.clone(),
             quarantine: quarantine.clone(),
@@ -176,7 +176,7 @@
             spec(Topic::Members, MEMBERS_PAUSE_MS),
             Rc::new(fleet_records),
         );
-        let open = Follow::spawn(spec(Topic::Index, OPEN_PAUSE_MS), index.clone());
+        let followed_index = Follow::spawn(spec(Topic::Index, INDEX_PAUSE_MS), index.clone());
         let orders = spec(Topic::Orders, ORDERS_PAUSE_MS);
         let time = SharedTime::spawn(members.clone());
         let reports = Rc::<UsageReports>::default();
@@ -279,7 +279,7 @@
             members,
             routes,
             endpoints,
-            open,
+            index: followed_index,
             usage,
             runner,
             writer,
@@ -291,11 +291,11 @@
     /// Serves until SIGTERM or SIGINT, then stops gracefully.
     pub async fn run_until_stopped(&self) -> io::Result<()> {
         Signals::open()?.wait_for_stop(self).await;
-        let times = DrainTimes {
+        let timing = DrainTimes {
             grace_ms: self.config.stop_grace_s * 1_000,
-            lists_kept_ms: LISTS_KEPT_TTLS * self.config.address_ttl_s * 1_000,
+            address_retention_ms: ADDRESS_RETENTION_TTLS * self.config.address_ttl_s * 1_000,
         };
-        lifecycle::drain(self, &self.servers, times).await;
+        lifecycle::drain(self, &self.servers, timing).await;
         Ok(())
     }
 
@@ -308,7 +308,7 @@
     pub(crate) fn follow_readiness(&self) {
         let is_known = self.routes.is_known()
             && self.endpoints.is_known()
-            && self.open.next_offset().is_some();
+            && self.index.next_offset().is_some();
         if is_known && self.lifecycle.state() == PresenceState::Starting {
             self.lifecycle.enter(PresenceState::Ready, &self.members);
         }
@@ -367,16 +367,16 @@
 /// Counts and reports usage, if the platform wants to know of it.
 fn spawn_usage(config: &GatewayConfig, parts: UsageParts) -> Option<Rc<UsageCounter>> {
     let duties = config.duties.as_ref()?;
-    let times = duties.usage_timing()?;
+    let timing = duties.usage_timing()?;
     let counter = UsageCounter::spawn(
-        times,
+        timing,
         parts.time.clone(),
         parts.store.clone(),
         parts.members.clone(),
         config.store_partitions,
     );
     Reporter::spawn(ReporterParts {
-        times,
+        timing,
         client: DutyClient::open(duties.address.clone()),
         duties: parts.duties,
         reports: parts.reports,
--- a/crates/borageshore_gateway/src/lifecycle.rs
+++ b/crates/borageshore_gateway/src/lifecycle.rs
@@ -21,18 +21,18 @@
 /// The pace while the daemon starts: after a full stop the texts of a step stand still until then.
 const STARTING_POLL_MS: u64 = 20;
 /// The part of the grace that is left for the last answers after connections were closed.
-const CLOSING_MS: u64 = 1_500;
+const CLOSE_MARGIN_MS: u64 = 1_500;
 /// The part of the grace that is left for the last record and the end of the process.
-const LAST_MS: u64 = 900;
+const EXIT_MARGIN_MS: u64 = 900;
 /// By this time after the stop began no peer gives out this daemon's address any more.
-const UNLISTED_MS: u64 = 200;
+const UNLIST_DELAY_MS: u64 = 200;
 /// How long the last callers are waited for once nothing listens any more.
-const LAST_ANSWERS_MS: u64 = 300;
+const CLOSE_TIMEOUT_MS: u64 = 300;
 /// The pace at which they are waited for.
-const LAST_POLL_MS: u64 = 10;
+const CLOSE_POLL_MS: u64 = 10;
 /// A last record that takes longer is not worth the kill at the end of the grace: others learn of the end
 /// by silence as well.
-const LEAVING_MS: u64 = 300;
+const LEAVE_TIMEOUT_MS: u64 = 300;
 
 /// What a stop has to go by.
 #[derive(Debug, Clone, Copy)]
@@ -40,7 +40,7 @@
     /// From SIGTERM to SIGKILL.
     pub(crate) grace_ms: u64,
     /// How long callers keep a list of addresses.
-    pub(crate) lists_kept_ms: u64,
+    pub(crate) address_retention_ms: u64,
 }
 
 /// Where this daemon is in its life.
@@ -140,15 +140,15 @@
 pub(crate) async fn drain(gateway: &Gateway, servers: &[HttpServer], times: DrainTimes) {
     gateway.enter_draining();
     let started_ms = gateway.now_ms();
-    let idle_until_ms = started_ms + times.grace_ms.saturating_sub(CLOSING_MS);
-    while gateway.now_ms() < idle_until_ms {
+    let close_idle_at_ms = started_ms + times.grace_ms.saturating_sub(CLOSE_MARGIN_MS);
+    while gateway.now_ms() < close_idle_at_ms {
         sleep_ms(POLL_MS).await;
     }
     for server in servers {
         server.stop_gracefully();
     }
-    let end_ms = started_ms + times.grace_ms.saturating_sub(LAST_MS);
-    let listed_until_ms = started_ms + UNLISTED_MS + times.lists_kept_ms;
+    let end_ms = started_ms + times.grace_ms.saturating_sub(EXIT_MARGIN_MS);
+    let listed_until_ms = started_ms + UNLIST_DELAY_MS + times.address_retention_ms;
     let is_needed = || gateway.now_ms() < listed_until_ms || !gateway.is_idle();
     while gateway.now_ms() < end_ms && is_needed() {
         sleep_ms(POLL_MS).await;
@@ -156,15 +156,15 @@
     for server in servers {
         server.close();
     }
-    within_ms(LAST_ANSWERS_MS, wait_for_connections(servers)).await;
-    within_ms(LEAVING_MS, gateway.leave()).await;
+    within_ms(CLOSE_TIMEOUT_MS, wait_for_connections(servers)).await;
+    within_ms(LEAVE_TIMEOUT_MS, gateway.leave()).await;
     log::info!(took_ms = gateway.now_ms() - started_ms, is_idle = gateway.is_idle(); "daemon stopped");
 }
 
 /// Waits until the last connection has ended.
 async fn wait_for_connections(servers: &[HttpServer]) {
     loop {
-        sleep_ms(LAST_POLL_MS).await;
+        sleep_ms(CLOSE_POLL_MS).await;
         if servers.iter().all(|server| server.open_connections() == 0) {
             return;
         }
--- a/crates/borageshore_gateway/src/members/mod.rs
+++ b/crates/borageshore_gateway/src/members/mod.rs
@@ -22,7 +22,7 @@
 /// What the key of a suspicion begins with; the name of the suspected daemon follows.
 const SUSPICION_PREFIX: &str = "suspect/";
 /// Fewer addresses of one zone leave a caller without a choice when one of them fails.
-const LEAST_ADDRESSES: usize = 2;
+const MIN_ADDRESSES: usize = 2;
 
 /// This daemon among the others.
 #[derive(Debug)]
@@ -32,9 +32,9 @@
     clock: Clock,
     transport: FailoverTransport,
     watch: RefCell<WatchTable>,
-    ring: RefCell<KnownRing>,
+    ring: RefCell<CachedRing>,
     has_left: Cell<bool>,
-    write_at_once: Notify,
+    write_requested: Notify,
     suspected: Notify,
     /// Told when something of a daemon changed.
     pub(crate) changed: Notify,
@@ -42,9 +42,9 @@
 
 /// The ring of daemons as of a number of changes.
 #[derive(Debug, Default)]
-struct KnownRing {
+struct CachedRing {
     ring: WatchRing,
-    as_of_changes: Option<u64>,
+    table_changes: Option<u64>,
 }
 
 /// What a look at those that this daemon watches asks for.
@@ -66,7 +66,7 @@
             watch: RefCell::default(),
             ring: RefCell::default(),
             has_left: Cell::default(),
-            write_at_once: Notify::new(),
+            write_requested: Notify::new(),
             suspected: Notify::new(),
             changed: Notify::new(),
         })
@@ -85,7 +85,7 @@
         let now_ms = self.clock.now_ms();
         let has_died = self.table.borrow_mut().advance(now_ms);
         if has_died {
-            self.follow_peers();
+            self.update_peers();
             self.changed.notify_waiters();
         }
     }
@@ -106,9 +106,9 @@
         let table = self.table.borrow();
         let mut watch = self.watch.borrow_mut();
         let mut known = self.ring.borrow_mut();
-        if known.as_of_changes != Some(table.changes()) {
+        if known.table_changes != Some(table.changes()) {
             known.ring = WatchRing::of(table.live());
-            known.as_of_changes = Some(table.changes());
+            known.table_changes = Some(table.changes());
             watch.set_watched(known.ring.watched_by(&own_name), now_ms);
         }
         let store_silent_ms = self.transport.silent_ms();
@@ -139,7 +139,7 @@
     ///
     /// Guards against a clock that was set back between two starts: all daemons would take the
     /// records of the present life for late ones of an earlier life, and this one for dead.
-    fn outlive(&self, record: &KeyedRecord) {
+    fn raise_incarnation(&self, record: &KeyedRecord) {
         let mut own = self.own.borrow_mut();
         if record.key != own.name {
             return;
@@ -151,7 +151,7 @@
         {
             log::warn!(earlier = earlier.incarnation, own = own.incarnation; "the clock was set back between two starts");
             own.incarnation = earlier.incarnation + 1;
-            self.write_at_once.notify_one();
+            self.write_requested.notify_one();
         }
     }
 
@@ -176,7 +176,7 @@
                 self.table.borrow_mut().on_presence(own);
                 self.changed.notify_waiters();
             }
-            self.write_at_once.notify_one();
+            self.write_requested.notify_one();
         }
     }
 
@@ -184,7 +184,7 @@
     pub(crate) fn set_holds(&self, holds: Vec<Arc<str>>) {
         if self.own.borrow().holds != holds {
             self.own.borrow_mut().holds = holds;
-            self.write_at_once.notify_one();
+            self.write_requested.notify_one();
         }
     }
 
@@ -214,11 +214,11 @@
     /// all readers; `None` if that is this one.
     pub(crate) fn owner_address(&self, submission: &str) -> Option<Arc<str>> {
         let table = self.table.borrow();
-        let home = table.owner_of(submission, submission)?;
-        if home == &*self.own.borrow().name {
+        let owner = table.owner_of(submission, submission)?;
+        if owner == &*self.own.borrow().name {
             return None;
         }
-        table.address_of(home)
+        table.address_of(owner)
     }
 
     /// Says whether this daemon is the one for a piece of work that nobody holds, as far as it knows who lives.
@@ -230,19 +230,19 @@
     pub(crate) fn pick_eligible(&self, count: usize) -> Vec<Arc<str>> {
         let own_name = self.own_name();
         let table = self.table.borrow();
-        let turn = self.clock.now_ms().to_string();
+        let salt = self.clock.now_ms().to_string();
         let others = table.eligible().filter(|name| *name != &*own_name);
-        let ranked = rank_by_rendezvous(&turn, others);
-        let chosen = ranked.into_iter().take(count);
-        chosen.filter_map(|name| table.address_of(name)).collect()
+        let ranked = rank_by_rendezvous(&salt, others);
+        let picked = ranked.into_iter().take(count);
+        picked.filter_map(|name| table.address_of(name)).collect()
     }
 
     /// Where some other daemons are told of crashes, each time others.
     pub(crate) fn pick_peer_addresses(&self, count: usize) -> Vec<Arc<str>> {
         let own = self.own.borrow();
         let relays = self.table.borrow().peer_addresses(&own.name, &own.zone);
-        let turn = self.clock.now_us().to_string();
-        let ranked = rank_by_rendezvous(&turn, relays.iter().map(|relay| &**relay));
+        let salt = self.clock.now_us().to_string();
+        let ranked = rank_by_rendezvous(&salt, relays.iter().map(|relay| &**relay));
         ranked.into_iter().take(count).map(Into::into).collect()
     }
 
@@ -259,7 +259,7 @@
     /// The addresses for a caller of a zone.
     pub(crate) fn addresses_for(&self, zone: &str) -> Vec<Arc<str>> {
         let own = self.own.borrow();
-        let mut addresses = self.table.borrow().addresses_for(zone, LEAST_ADDRESSES);
+        let mut addresses = self.table.borrow().addresses_for(zone, MIN_ADDRESSES);
         if addresses.is_empty() && own.state == PresenceState::Ready {
             addresses.push(own.http_address.clone());
         }
@@ -271,18 +271,18 @@
 }
 
 impl Members {
-    fn follow_peers(&self) {
+    fn update_peers(&self) {
         let own = self.own.borrow();
         let peers = self.table.borrow().peer_addresses(&own.name, &own.zone);
         self.transport.set_peers(peers);
     }
 
     fn on_own_record(&self, record: &KeyedRecord) {
-        self.outlive(record);
+        self.raise_incarnation(record);
         let is_removed = record.value.is_none() && record.key == self.own.borrow().name;
         if is_removed && !self.has_left.get() {
             // Another daemon took this one for dead for long.
-            self.write_at_once.notify_one();
+            self.write_requested.notify_one();
         }
     }
 
@@ -295,7 +295,7 @@
             self.suspected.notify_one();
         } else if suspicion.incarnation == own.incarnation {
             log::warn!(by = &*suspicion.by; "this daemon is suspected and says that it lives");
-            self.write_at_once.notify_one();
+            self.write_requested.notify_one();
         }
     }
 
@@ -329,7 +329,7 @@
                 log::error!(member = &*record.key, error:% = error; "a daemon's record cannot be read");
             }
         }
-        self.follow_peers();
+        self.update_peers();
         self.changed.notify_waiters();
     }
 
--- a/crates/borageshore_gateway/src/members/writing.rs
+++ b/crates/borageshore_gateway/src/members/writing.rs
@@ -11,12 +11,12 @@
 use crate::{follow::ONLY_PARTITION, store_transport::Store};
 
 /// The pause before a record that could not be written is written again: others may wait for it.
-const WRITE_AGAIN_MS: u64 = 500;
+const RETRY_INTERVAL_MS: u64 = 500;
 
 impl Members {
     /// Writes what this daemon says of itself, at each change and now and then, until it leaves.
     pub(crate) async fn announce(self: Rc<Self>, store: Store) {
-        let mut is_lost = false;
+        let mut is_failing = false;
         while !self.has_left.get() {
             let key = self.own.borrow().name.clone();
             let value = serde_json::to_vec(&*self.own.borrow()).expect("plain data");
@@ -29,20 +29,20 @@
                 // This record is also what tries out a closed way to the store.
                 Ok(_) if self.transport.uses_peers() => pause_ms.min(PROBE_INTERVAL_MS),
                 Ok(_) => pause_ms,
-                Err(_) => WRITE_AGAIN_MS,
+                Err(_) => RETRY_INTERVAL_MS,
             };
             if let Err(error) = &written
-                && !is_lost
+                && !is_failing
             {
                 log::warn!(error:% = error; "this daemon's record does not reach the store");
             }
-            is_lost = written.is_err();
-            within_ms(pause_ms, self.write_at_once.notified()).await;
+            is_failing = written.is_err();
+            within_ms(pause_ms, self.write_requested.notified()).await;
         }
     }
 
     /// Writes suspicions; others take them for deaths unless they are refuted.
-    pub(crate) async fn write_suspicions(&self, store: &Store, silent: &[Suspicion]) {
+    pub(crate) async fn suspect(&self, store: &Store, silent: &[Suspicion]) {
         let record = |suspicion: &Suspicion| {
             let key = format!("{SUSPICION_PREFIX}{}", suspicion.name);
             let value = serde_json::to_vec(suspicion).expect("plain data");
@@ -71,8 +71,8 @@
     /// Guards against a start that reads all VMs of a year: the store keeps the newest record of each for good,
     /// and thousands are replaced a day.
     pub(crate) async fn remove_expired(&self, store: &Store) -> Result<(), StoreError> {
-        let forgotten = self.table.borrow().expired();
-        let keys = forgotten
+        let expired = self.table.borrow().expired();
+        let keys = expired
             .iter()
             .flat_map(|name| [name.clone(), format!("{SUSPICION_PREFIX}{name}").into()]);
         let removals: Vec<(Arc<str>, Bytes)> = keys.map(|key| (key, Bytes::new())).collect();
@@ -82,7 +82,7 @@
         store
             .append(Topic::Members, ONLY_PARTITION, &removals, None)
             .await?;
-        log::info!(daemons:? = forgotten; "records of daemons removed that have been dead for long");
+        log::info!(daemons:? = expired; "records of daemons removed that have been dead for long");
         Ok(())
     }
 
--- a/crates/borageshore_gateway/src/orderer.rs
+++ b/crates/borageshore_gateway/src/orderer.rs
@@ -26,14 +26,14 @@
 /// A load takes 0.9 s: no engine is asked before.
 const FIRST_POLL_MS: u64 = 800;
 /// An order that does not show at its engine by then was lost, or comes late; it is given again.
-const ORDER_LOST_MS: u64 = 2_600;
+const ORDER_TIMEOUT_MS: u64 = 2_600;
 /// Where there is nothing to do, the state is looked at again after this time.
 const IDLE_MS: u64 = 1_000;
 
 #[derive(Debug, Clone)]
-struct UnderWay {
+struct SentOrder {
     target: ModelVersion,
-    since_ms: u64,
+    sent_at_ms: u64,
 }
 
 /// What the orderer needs of the rest of the daemon.
@@ -53,14 +53,14 @@
 #[derive(Debug)]
 pub(crate) struct Orderer {
     parts: OrdererParts,
-    under_way: RefCell<SortedMap<Arc<str>, UnderWay>>,
+    pending: RefCell<SortedMap<Arc<str>, SentOrder>>,
 }
 
 impl Orderer {
     pub(crate) fn spawn(parts: OrdererParts) {
         let orderer = Rc::new(Self {
             parts,
-            under_way: RefCell::default(),
+            pending: RefCell::default(),
         });
         monoio::spawn(orderer.run());
     }
@@ -83,7 +83,7 @@
 
     /// Looks at the engines under order and gives the next orders; says whether it waits for any.
     async fn step(&self, at: u64) -> bool {
-        let done = self.collect_done().await;
+        let done = self.collect_completed().await;
         let targets = self.parts.endpoints.engine_targets();
         let reports = match self.plan(&targets, &[]).is_empty() {
             true => Vec::new(),
@@ -91,7 +91,7 @@
         };
         let planned = self.plan(&targets, &reports);
         if planned.is_empty() && done.is_empty() {
-            return !self.under_way.borrow().is_empty();
+            return !self.pending.borrow().is_empty();
         }
         let order = |(instance, version): (Arc<str>, ModelVersion)| {
             let reported = reports
@@ -115,12 +115,12 @@
         targets: &[EndpointTarget],
         reports: &[(EndpointTarget, EngineReport)],
     ) -> Vec<(Arc<str>, ModelVersion)> {
-        let under_way = self.under_way.borrow();
+        let pending = self.pending.borrow();
         let state = |target: &EndpointTarget| {
             let report = reports.iter().find(|(asked, _)| asked == target);
             EngineState {
                 instance: target.instance.clone(),
-                is_loading: under_way.contains_key(&target.instance)
+                is_loading: pending.contains_key(&target.instance)
                     || report.is_some_and(|(_, report)| report.is_busy),
                 is_leased: !self.parts.duties.may_order(&target.instance),
                 running: report.map_or(0, |(_, report)| report.running),
@@ -158,7 +158,7 @@
         for (target, report) in join_all(ask).await {
             match report {
                 Ok(report) => {
-                    self.learn(&target.instance, &report);
+                    self.record_versions(&target.instance, &report);
                     reports.push((target, report));
                 }
                 Err(error) => {
@@ -169,7 +169,7 @@
         reports
     }
 
-    fn learn(&self, instance: &Arc<str>, report: &EngineReport) {
+    fn record_versions(&self, instance: &Arc<str>, report: &EngineReport) {
         for (model, version) in &report.models {
             self.parts.endpoints.on_version(instance, model, *version);
         }
@@ -198,30 +198,30 @@
             done,
             others_ordered: self.parts.duties.held_by_others(),
         };
-        let Some(announced) = self.parts.duties.announce_round(at, &round).await else {
+        let Some(permit) = self.parts.duties.announce_round(at, &round).await else {
             return;
         };
-        let give = orders.into_iter().map(|(target, version, report)| {
+        let sending = orders.into_iter().map(|(target, version, report)| {
             let order = VersionOrder {
                 model: version.model.clone(),
                 version: version.version,
                 holder: holder.clone(),
-                epoch: announced.epoch,
+                epoch: permit.epoch,
                 after_orders: report.orders_accepted,
             };
-            self.give(target, version, order, announced)
+            self.send_order(target, version, order, permit)
         });
-        join_all(give).await;
+        join_all(sending).await;
     }
 
-    async fn give(
+    async fn send_order(
         &self,
         target: EndpointTarget,
         version: ModelVersion,
         order: VersionOrder,
-        announced: SendPermit,
+        permit: SendPermit,
     ) {
-        if !announced.may_send() {
+        if !permit.may_send() {
             log::warn!(instance = &*target.instance; "an order is too late, it is not given");
             return;
         }
@@ -229,13 +229,11 @@
         self.parts
             .endpoints
             .on_load_ordered(&instance, version.clone());
-        let under_way = UnderWay {
+        let pending = SentOrder {
             target: version,
-            since_ms: self.parts.clock.now_ms(),
+            sent_at_ms: self.parts.clock.now_ms(),
         };
-        self.under_way
-            .borrow_mut()
-            .insert(instance.clone(), under_way);
+        self.pending.borrow_mut().insert(instance.clone(), pending);
         let answer = self.parts.client.order(&target, &order).await;
         log::info!(
             instance = &*instance, model = &*order.model, version = order.version,
@@ -243,18 +241,19 @@
             "order given"
         );
         if let Ok(OrderAnswer::Rejected(_)) = answer {
-            self.under_way.borrow_mut().remove(&instance);
+            self.pending.borrow_mut().remove(&instance);
             self.parts.endpoints.on_load_done(&instance);
         }
     }
 
     /// Asks the engines under order; returns those that have what they were told to load.
-    async fn collect_done(&self) -> Vec<(Arc<str>, Arc<str>, u64)> {
+    async fn collect_completed(&self) -> Vec<(Arc<str>, Arc<str>, u64)> {
         let targets = self.parts.endpoints.engine_targets();
         let now_ms = self.parts.clock.now_ms();
-        let under_way = self.under_way.borrow().clone();
-        let is_due = |(_, order): &(&Arc<str>, &UnderWay)| now_ms >= order.since_ms + FIRST_POLL_MS;
-        let ask = under_way.iter().filter(is_due).map(|(instance, order)| {
+        let pending = self.pending.borrow().clone();
+        let is_due =
+            |(_, order): &(&Arc<str>, &SentOrder)| now_ms >= order.sent_at_ms + FIRST_POLL_MS;
+        let ask = pending.iter().filter(is_due).map(|(instance, order)| {
             let target = targets.iter().find(|target| target.instance == *instance);
             async move {
                 let report = match target {
@@ -267,18 +266,18 @@
         let mut done = Vec::new();
         for (instance, order, is_listed, report) in join_all(ask).await {
             if let Some(report) = &report {
-                self.learn(&instance, report);
+                self.record_versions(&instance, report);
                 if version_in(report, &order.target) >= order.target.version && !report.is_busy {
                     let version = version_in(report, &order.target);
                     done.push((instance.clone(), order.target.model.clone(), version));
-                    self.under_way.borrow_mut().remove(&instance);
+                    self.pending.borrow_mut().remove(&instance);
                     continue;
                 }
             }
-            let age_ms = self.parts.clock.now_ms() - order.since_ms;
-            if !is_listed || age_ms > ORDER_LOST_MS {
+            let age_ms = self.parts.clock.now_ms() - order.sent_at_ms;
+            if !is_listed || age_ms > ORDER_TIMEOUT_MS {
                 log::info!(instance = &*instance, model = &*order.target.model, version = order.target.version, age_ms; "order lost");
-                self.under_way.borrow_mut().remove(&instance);
+                self.pending.borrow_mut().remove(&instance);
             }
         }
         done
--- a/crates/borageshore_gateway/src/peers.rs
+++ b/crates/borageshore_gateway/src/peers.rs
@@ -16,14 +16,14 @@
 /// Marks a request that a peer has passed on, so that it is not passed on again.
 pub(crate) const FORWARDED_HEADER: &str = "borageshore-passed-on";
 /// A peer is a few ms away.
-const CONNECT_MS: u64 = 200;
+const CONNECT_TIMEOUT_MS: u64 = 200;
 /// What an answer may take beyond the time that the reader wants to wait.
 const ANSWER_SLACK_MS: u64 = 600;
 /// A peer that did not answer is not asked for this long; others see its death in about a second, and it may stand still for a moment.
 const AVOID_MS: u64 = 2_000;
 
 /// What a peer may take to write a submission to the store.
-const SUBMIT_MS: u64 = 1_000;
+const SUBMIT_TIMEOUT_MS: u64 = 1_000;
 
 /// What came of a submission that was passed on.
 #[derive(Debug)]
@@ -60,7 +60,7 @@
         head: &Parts,
         wait_ms: u64,
     ) -> Option<EdgeResponse> {
-        match self.pass_on(address, head, Bytes::new(), wait_ms).await {
+        match self.forward(address, head, Bytes::new(), wait_ms).await {
             Ok((StatusCode::OK | StatusCode::NOT_FOUND, response)) => Some(response),
             Ok((status, _)) => {
                 log::info!(peer = &**address, status = status.as_u16(); "peer is not sure");
@@ -78,7 +78,10 @@
         body: &Bytes,
     ) -> SubmitOutcome {
         for address in addresses {
-            match self.pass_on(address, head, body.clone(), SUBMIT_MS).await {
+            match self
+                .forward(address, head, body.clone(), SUBMIT_TIMEOUT_MS)
+                .await
+            {
                 Ok((StatusCode::ACCEPTED, response)) => return SubmitOutcome::Accepted(response),
                 // The peer says the same as this daemon: nothing of it runs.
                 Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::UNAUTHORIZED, _))
@@ -91,7 +94,7 @@
         SubmitOutcome::NotAccepted
     }
 
-    async fn pass_on(
+    async fn forward(
         &self,
         address: &Arc<str>,
         head: &Parts,
@@ -115,10 +118,10 @@
         for framing in [CONTENT_LENGTH, TRANSFER_ENCODING, CONNECTION] {
             request.headers_mut().remove(framing);
         }
-        let passed_on = HeaderName::from_static(FORWARDED_HEADER);
-        request.headers_mut().insert(passed_on, 1.into());
+        let forwarded = HeaderName::from_static(FORWARDED_HEADER);
+        request.headers_mut().insert(forwarded, 1.into());
         let timeouts = Timeouts {
-            connect_ms: CONNECT_MS,
+            connect_ms: CONNECT_TIMEOUT_MS,
             first_byte_ms: wait_ms + ANSWER_SLACK_MS,
         };
         let called = self.http.call(address, request, timeouts).await;
--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -34,21 +34,21 @@
 };
 
 /// Callers that come too early come back after this time: routes arrive within a second of a start.
-const NOT_READY_AGAIN_MS: u64 = 300;
+const NOT_READY_RETRY_MS: u64 = 300;
 /// Callers reuse connections that were idle for up to four fifths of the platform's 15 s limit; a
 /// longer limit of ours never cuts one that they are about to use.
 const IDLE_TIMEOUT_MS: u64 = 20_000;
 /// The platform's largest body.
-const BODY_BYTES: usize = 32 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
 
 /// How many peers are asked to take a submission: a store that turns some VMs away turns away a third.
-const PEERS_ASKED: usize = 2;
+const MAX_SUBMIT_PEERS: usize = 2;
 
 /// Bounds on what callers send.
 pub(crate) fn server_limits() -> ServerLimits {
     ServerLimits {
         head_timeout_ms: IDLE_TIMEOUT_MS,
-        body_bytes: BODY_BYTES,
+        body_bytes: MAX_BODY_BYTES,
         ..ServerLimits::default()
     }
 }
@@ -135,7 +135,7 @@
         let Some(id) = scoped(pass.organisation().map(|name| &**name), id) else {
             return refusal(&Fault::new(ResultCode::UnknownSubmission, &**id), None);
         };
-        if let Some(answer) = self.ask_home(&id, asked, head).await {
+        if let Some(answer) = self.ask_owner(&id, asked, head).await {
             return answer;
         }
         match asked {
@@ -149,7 +149,7 @@
 
     /// Passes a question about a submission on to the daemon that has its records. Where that one
     /// has no sure answer, this daemon reads the records itself.
-    async fn ask_home(
+    async fn ask_owner(
         &self,
         submission: &str,
         asked: &SubmissionRequest,
@@ -162,8 +162,8 @@
         if head.headers.contains_key(FORWARDED_HEADER) {
             return None;
         }
-        let home = self.members.owner_address(submission)?;
-        self.peers.ask(&home, head, wait_ms).await
+        let owner = self.members.owner_address(submission)?;
+        self.peers.ask(&owner, head, wait_ms).await
     }
 
     fn ready(&self) -> EdgeResponse {
@@ -175,11 +175,11 @@
     }
 
     fn addresses(&self, zone: &str) -> EdgeResponse {
-        let listed = self.members.addresses_for(zone);
-        if listed.is_empty() {
+        let addresses = self.members.addresses_for(zone);
+        if addresses.is_empty() {
             return not_ready();
         }
-        addresses_response(&listed, self.address_ttl_s)
+        addresses_response(&addresses, self.address_ttl_s)
     }
 
     async fn call(
@@ -245,7 +245,7 @@
         if !is_refused || head.headers.contains_key(FORWARDED_HEADER) {
             return response;
         }
-        let peers = self.members.pick_eligible(PEERS_ASKED);
+        let peers = self.members.pick_eligible(MAX_SUBMIT_PEERS);
         match self.peers.submit(&peers, head, body).await {
             SubmitOutcome::Accepted(accepted) => {
                 log::info!(submission = &*id; "submission accepted by a peer");
@@ -262,7 +262,7 @@
 
 fn not_ready() -> EdgeResponse {
     let fault = Fault::new(ResultCode::NotReady, "");
-    refusal(&fault, Some(NOT_READY_AGAIN_MS))
+    refusal(&fault, Some(NOT_READY_RETRY_MS))
 }
 
 fn body_fault(fault: BodyFault) -> Fault {
--- a/crates/borageshore_gateway/src/store_transport.rs
+++ b/crates/borageshore_gateway/src/store_transport.rs
@@ -27,13 +27,13 @@
 
 /// An append that has no answer by then is given to a peer as well. A slow store answers in 200 ms, and
 /// an append may be repeated; a daemon that reaches nobody stops its heartbeats after 3 s.
-const OWN_WAY_MS: u64 = 600;
+const DIRECT_APPEND_TIMEOUT_MS: u64 = 600;
 /// What a peer may take beyond the store's own time.
 const PEER_SLACK_MS: u64 = 200;
 /// How many peers are asked for one call.
-const PEERS_ASKED: usize = 2;
+const MAX_PEERS_TRIED: usize = 2;
 
-type Answer = Result<(StatusCode, Bytes), CallError>;
+type CallResult = Result<(StatusCode, Bytes), CallError>;
 
 /// The ways to the store.
 #[derive(Debug, Clone)]
@@ -46,36 +46,36 @@
     address: Arc<str>,
     clock: Clock,
     connections: StoreConnections,
-    has_detour: bool,
-    way: RefCell<StoreFailover>,
+    may_use_peers: bool,
+    failover: RefCell<StoreFailover>,
     peers: RefCell<Vec<Arc<str>>>,
     next_peer: Cell<usize>,
     /// When the store last answered, on either way.
     answered_at_ms: Cell<u64>,
     /// Told when the own way turns out to be closed.
-    closed: Notify,
+    switched_to_peers: Notify,
 }
 
 impl FailoverTransport {
-    pub(crate) fn open(address: Arc<str>, clock: Clock, has_detour: bool) -> Self {
+    pub(crate) fn open(address: Arc<str>, clock: Clock, may_use_peers: bool) -> Self {
         Self {
             inner: Rc::new(Inner {
                 address,
                 clock,
                 connections: StoreConnections::default(),
-                has_detour,
-                way: RefCell::default(),
+                may_use_peers,
+                failover: RefCell::default(),
                 peers: RefCell::default(),
                 next_peer: Cell::default(),
                 answered_at_ms: Cell::new(clock.now_ms()),
-                closed: Notify::new(),
+                switched_to_peers: Notify::new(),
             }),
         }
     }
 
     /// Takes over where peers can be asked to pass calls on, the nearest first.
     pub(crate) fn set_peers(&self, peers: Vec<Arc<str>>) {
-        if self.inner.has_detour {
+        if self.inner.may_use_peers {
             self.inner.peers.replace(peers);
         }
     }
@@ -88,112 +88,126 @@
 
     /// Says whether calls go through peers.
     pub(crate) fn uses_peers(&self) -> bool {
-        self.inner.way.borrow().uses_peers()
+        self.inner.failover.borrow().uses_peers()
     }
 
     /// Makes a call on this daemon's own way.
-    async fn call_own(&self, call: &StoreCall) -> Answer {
+    async fn call_direct(&self, call: &StoreCall) -> CallResult {
         let inner = &self.inner;
         let answer = inner.connections.call_at(&inner.address, call).await;
-        let is_open = inner
-            .way
+        let is_restored = inner
+            .failover
             .borrow_mut()
             .on_direct_result(is_answered(&answer), inner.clock.now_ms());
-        if is_open {
+        if is_restored {
             log::info!("this daemon's own way to the store is open again");
         }
         answer
     }
 
     /// Makes a call through a peer; if none has an answer, what leaves most open.
-    async fn call_by_peer(&self, call: &StoreCall) -> Option<Answer> {
+    async fn call_via_peer(&self, call: &StoreCall) -> Option<CallResult> {
         let peers: Vec<Arc<str>> = self.inner.peers.borrow().clone();
         let call = StoreCall {
             first_byte_ms: call.first_byte_ms + PEER_SLACK_MS,
             ..call.clone()
         };
         let mut failed = None;
-        for _ in 0..PEERS_ASKED.min(peers.len()) {
-            let number = self.inner.next_peer.get() % peers.len();
-            let answer = self.inner.connections.call_at(&peers[number], &call).await;
+        for _ in 0..MAX_PEERS_TRIED.min(peers.len()) {
+            let index = self.inner.next_peer.get() % peers.len();
+            let answer = self.inner.connections.call_at(&peers[index], &call).await;
             if is_answered(&answer) {
                 return Some(answer);
             }
-            self.inner.next_peer.set(number + 1);
-            let may_go_on = end_of(&answer).may_try_other_route(call.is_idempotent);
-            failed = Some(worse(answer, failed));
-            if !may_go_on {
+            self.inner.next_peer.set(index + 1);
+            let may_try_next = outcome_of(&answer).may_try_other_route(call.is_idempotent);
+            failed = Some(dominant_result(answer, failed));
+            if !may_try_next {
                 break;
             }
         }
         failed
     }
 
-    fn note_peer(&self, answer: Option<&Answer>) {
-        let is_ours = answer.is_some_and(is_answered);
+    fn on_peer_result(&self, answer: Option<&CallResult>) {
+        let has_answered = answer.is_some_and(is_answered);
         let now_ms = self.inner.clock.now_ms();
-        if self.inner.way.borrow_mut().on_peer_result(is_ours, now_ms) {
+        if self
+            .inner
+            .failover
+            .borrow_mut()
+            .on_peer_result(has_answered, now_ms)
+        {
             log::warn!("the store does not answer this daemon, peers pass its calls on");
-            self.inner.closed.notify_waiters();
+            self.inner.switched_to_peers.notify_waiters();
         }
     }
 
     /// The own way first; what gets no answer there goes to a peer.
-    async fn call_own_first(&self, call: &StoreCall) -> Answer {
+    async fn call_direct_first(&self, call: &StoreCall) -> CallResult {
         let has_peers = !self.inner.peers.borrow().is_empty();
-        let own = StoreCall {
+        let direct_call = StoreCall {
             first_byte_ms: match call.is_append() && has_peers {
-                true => call.first_byte_ms.min(OWN_WAY_MS),
+                true => call.first_byte_ms.min(DIRECT_APPEND_TIMEOUT_MS),
                 false => call.first_byte_ms,
             },
             ..call.clone()
         };
-        let closed = self.inner.closed.notified();
-        let answer = match select(pin!(self.call_own(&own)), pin!(closed)).await {
+        let switched_to_peers = self.inner.switched_to_peers.notified();
+        let answer = match select(
+            pin!(self.call_direct(&direct_call)),
+            pin!(switched_to_peers),
+        )
+        .await
+        {
             Either::Left((answer, _)) => answer,
             // Only a read may still be waiting then, as appends are given up sooner.
             Either::Right(_) => Err(CallError::NoAnswer("the own way is closed".into())),
         };
-        let is_in_doubt = {
-            let way = self.inner.way.borrow();
-            way.uses_peers() || way.may_ask_peers(self.inner.clock.now_ms())
+        let is_direct_suspect = {
+            let failover = self.inner.failover.borrow();
+            failover.uses_peers() || failover.may_ask_peers(self.inner.clock.now_ms())
         };
-        let is_cut = call.is_append() && matches!(answer, Err(CallError::Broken(_)));
-        let may_ask = has_peers && (is_in_doubt || is_cut);
-        if !may_ask || !end_of(&answer).may_try_other_route(call.is_idempotent) {
+        let is_connection_broken = call.is_append() && matches!(answer, Err(CallError::Broken(_)));
+        let may_ask = has_peers && (is_direct_suspect || is_connection_broken);
+        if !may_ask || !outcome_of(&answer).may_try_other_route(call.is_idempotent) {
             return answer;
         }
-        let by_peer = self.call_by_peer(call).await;
-        if is_in_doubt {
-            self.note_peer(by_peer.as_ref());
+        let peer_result = self.call_via_peer(call).await;
+        if is_direct_suspect {
+            self.on_peer_result(peer_result.as_ref());
         } else {
-            let is_done = by_peer.as_ref().is_some_and(is_answered);
+            let is_done = peer_result.as_ref().is_some_and(is_answered);
             log::info!(is_done; "an append was cut off, peers were asked to repeat it");
         }
-        worse(answer, by_peer)
+        dominant_result(answer, peer_result)
     }
 
-    async fn call_by_peer_first(&self, call: &StoreCall) -> Answer {
-        let by_peer = self.call_by_peer(call).await;
-        match by_peer {
-            Some(answer) if !end_of(&answer).may_try_other_route(call.is_idempotent) => answer,
-            by_peer => {
-                self.note_peer(by_peer.as_ref());
-                let own = self.call_own(call).await;
-                worse(own, by_peer)
+    async fn call_via_peer_first(&self, call: &StoreCall) -> CallResult {
+        let peer_result = self.call_via_peer(call).await;
+        match peer_result {
+            Some(answer) if !outcome_of(&answer).may_try_other_route(call.is_idempotent) => answer,
+            peer_result => {
+                self.on_peer_result(peer_result.as_ref());
+                let direct_result = self.call_direct(call).await;
+                dominant_result(direct_result, peer_result)
             }
         }
     }
 }
 
 impl StoreTransport for FailoverTransport {
-    async fn call(&self, call: StoreCall) -> Answer {
+    async fn call(&self, call: StoreCall) -> CallResult {
         let now_ms = self.inner.clock.now_ms();
         let may_probe = call.is_append() && call.is_idempotent;
-        let way = self.inner.way.borrow_mut().next_route(may_probe, now_ms);
-        let answer = match way {
-            StoreRoute::Direct => self.call_own_first(&call).await,
-            StoreRoute::Peer => self.call_by_peer_first(&call).await,
+        let route = self
+            .inner
+            .failover
+            .borrow_mut()
+            .next_route(may_probe, now_ms);
+        let answer = match route {
+            StoreRoute::Direct => self.call_direct_first(&call).await,
+            StoreRoute::Peer => self.call_via_peer_first(&call).await,
         };
         if is_answered(&answer) {
             self.inner.answered_at_ms.set(self.inner.clock.now_ms());
@@ -202,11 +216,11 @@
     }
 }
 
-fn is_answered(answer: &Answer) -> bool {
-    end_of(answer) == StoreCallOutcome::Answered
+fn is_answered(answer: &CallResult) -> bool {
+    outcome_of(answer) == StoreCallOutcome::Answered
 }
 
-fn end_of(answer: &Answer) -> StoreCallOutcome {
+fn outcome_of(answer: &CallResult) -> StoreCallOutcome {
     match answer {
         Ok((status, _)) if is_store_answer(*status) => StoreCallOutcome::Answered,
         Ok((StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE, _)) => {
@@ -219,10 +233,10 @@
 
 /// Of two tries the one that is answered, else the one that leaves more open: what one may have done is
 /// not undone by the other's refusal.
-fn worse(one: Answer, other: Option<Answer>) -> Answer {
-    match other {
-        Some(other) if end_of(&other).takes_precedence_over(end_of(&one)) => other,
-        _ => one,
+fn dominant_result(first: CallResult, second: Option<CallResult>) -> CallResult {
+    match second {
+        Some(second) if outcome_of(&second).takes_precedence_over(outcome_of(&first)) => second,
+        _ => first,
     }
 }
 
@@ -244,7 +258,7 @@
             return self.quarantine.on_cleared(request).await;
         }
         if request.uri().path() == CLOCK_PATH {
-            return self.time.show();
+            return self.time.clock_response();
         }
         let (head, body) = request.into_parts();
         let Ok(body) = read_body(body, server_limits()).await else {
@@ -258,10 +272,10 @@
             return status(StatusCode::NOT_FOUND);
         };
         let now_ms = self.path.inner.clock.now_ms();
-        if !self.path.inner.way.borrow().reaches_store(now_ms) {
+        if !self.path.inner.failover.borrow().reaches_store(now_ms) {
             return status(StatusCode::SERVICE_UNAVAILABLE);
         }
-        match self.path.call_own(&call).await {
+        match self.path.call_direct(&call).await {
             Ok((answer, body)) => {
                 let mut response = Response::new(full_body(body));
                 *response.status_mut() = answer;
--- a/crates/borageshore_gateway/src/true_time.rs
+++ b/crates/borageshore_gateway/src/true_time.rs
@@ -16,11 +16,11 @@
 /// The peers that are asked: one of five may be stepped, slow or gone, and most still agree.
 const PEERS_ASKED: usize = 5;
 /// The pace at which a daemon that starts asks until its peers agree.
-const BEGIN_EVERY_MS: u64 = 400;
+const SYNC_INTERVAL_MS: u64 = 400;
 /// After so many tries it goes by its own time of day.
-const BEGIN_TRIES: usize = 8;
+const MAX_SYNC_ATTEMPTS: usize = 8;
 /// The pace at which the time of day is followed.
-const FOLLOW_EVERY_MS: u64 = 10_000;
+const SLEW_INTERVAL_MS: u64 = 10_000;
 /// A peer is a few ms away; an answer that takes longer says little.
 const TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 200,
@@ -29,7 +29,7 @@
 
 /// What a daemon's clocks show.
 #[derive(Debug, Serialize, Deserialize)]
-struct Shown {
+struct ClockReading {
     estimate_ms: u64,
     time_of_day_ms: u64,
 }
@@ -60,24 +60,24 @@
     }
 
     /// Tells a peer what this daemon's clocks show.
-    pub(crate) fn show(&self) -> EdgeResponse {
-        let shown = Shown {
+    pub(crate) fn clock_response(&self) -> EdgeResponse {
+        let reading = ClockReading {
             estimate_ms: self.unix_ms(),
             time_of_day_ms: time_of_day_ms(),
         };
-        json_response(200, &shown)
+        json_response(200, &reading)
     }
 
     async fn run(self: Rc<Self>) {
-        for _ in 0..BEGIN_TRIES {
-            sleep_ms(BEGIN_EVERY_MS).await;
+        for _ in 0..MAX_SYNC_ATTEMPTS {
+            sleep_ms(SYNC_INTERVAL_MS).await;
             let samples = self.samples().await;
             if self.time.borrow_mut().sync_to_peers(&samples) {
                 break;
             }
         }
         loop {
-            sleep_ms(FOLLOW_EVERY_MS).await;
+            sleep_ms(SLEW_INTERVAL_MS).await;
             let samples = self.samples().await;
             let now_ms = boot_time_ms();
             let mut time = self.time.borrow_mut();
@@ -104,12 +104,12 @@
             }
         };
         let answered_at_ms = boot_time_ms();
-        let shown: Shown = serde_json::from_slice(&body).ok()?;
+        let reading: ClockReading = serde_json::from_slice(&body).ok()?;
         (status == StatusCode::OK).then_some(ClockSample {
             asked_at_ms,
             answered_at_ms,
-            estimate_ms: shown.estimate_ms,
-            time_of_day_ms: shown.time_of_day_ms,
+            estimate_ms: reading.estimate_ms,
+            time_of_day_ms: reading.time_of_day_ms,
         })
     }
 }
--- a/crates/borageshore_gateway/src/usage/counter.rs
+++ b/crates/borageshore_gateway/src/usage/counter.rs
@@ -20,9 +20,9 @@
 /// daemon that is killed takes with it what it counted in that time.
 const PAUSE_MS_PER_DAEMON: u64 = 5;
 /// The pause where there are few daemons.
-const LEAST_PAUSE_MS: u64 = 50;
+const MIN_PAUSE_MS: u64 = 50;
 /// The pause after an append that failed.
-const AGAIN_MS: u64 = 300;
+const RETRY_MS: u64 = 300;
 
 /// Counts requests by organisation and window.
 ///
@@ -30,7 +30,7 @@
 /// daemon that is killed loses none, and where they are many the loss is a small part.
 #[derive(Debug)]
 pub(crate) struct UsageCounter {
-    times: UsageTiming,
+    timing: UsageTiming,
     time: Rc<SharedTime>,
     store: Store,
     members: Rc<Members>,
@@ -40,20 +40,20 @@
     generation: Cell<u64>,
     is_writing: Cell<bool>,
     /// Whether the last append failed.
-    is_lost: Cell<bool>,
+    is_failing: Cell<bool>,
     counted: Notify,
 }
 
 impl UsageCounter {
     pub(crate) fn spawn(
-        times: UsageTiming,
+        timing: UsageTiming,
         time: Rc<SharedTime>,
         store: Store,
         members: Rc<Members>,
         partitions: u64,
     ) -> Rc<Self> {
         let counter = Rc::new(Self {
-            times,
+            timing,
             time,
             store,
             members,
@@ -61,7 +61,7 @@
             counts: RefCell::default(),
             generation: Cell::new(0),
             is_writing: Cell::new(false),
-            is_lost: Cell::new(false),
+            is_failing: Cell::new(false),
             counted: Notify::new(),
         });
         monoio::spawn(counter.clone().run());
@@ -74,7 +74,7 @@
     }
 
     fn add(&self, organisation: &Arc<str>, begun_at_ms: u64) {
-        let window = Window::at(begun_at_ms, self.times.window_ms);
+        let window = Window::at(begun_at_ms, self.timing.window_ms);
         self.counts.borrow_mut().add(window, organisation, 1);
         self.counted.notify_one();
     }
@@ -84,35 +84,35 @@
             self.counted.notified().await;
             while self.counts.borrow().is_dirty() {
                 self.is_writing.set(true);
-                let told = self.tell().await;
+                let flushed = self.flush().await;
                 self.is_writing.set(false);
-                let daemons = self.members.count() as u64;
-                match told {
+                let live_daemons = self.members.count() as u64;
+                match flushed {
                     Ok(()) => {
-                        self.is_lost.set(false);
-                        sleep_ms(LEAST_PAUSE_MS.max(daemons * PAUSE_MS_PER_DAEMON)).await;
+                        self.is_failing.set(false);
+                        sleep_ms(MIN_PAUSE_MS.max(live_daemons * PAUSE_MS_PER_DAEMON)).await;
                     }
                     Err(error) => {
-                        if !self.is_lost.replace(true) {
+                        if !self.is_failing.replace(true) {
                             log::info!(error:% = error; "what was counted is not in the store yet");
                         }
-                        sleep_ms(AGAIN_MS).await;
+                        sleep_ms(RETRY_MS).await;
                     }
                 }
             }
         }
     }
 
-    async fn tell(&self) -> Result<(), StoreError> {
-        let oldest = self.times.first_reportable(self.time.unix_ms());
+    async fn flush(&self) -> Result<(), StoreError> {
+        let oldest = self.timing.first_reportable(self.time.unix_ms());
         self.counts.borrow_mut().forget_before(oldest);
-        let untold = self.counts.borrow_mut().take_dirty();
+        let dirty = self.counts.borrow_mut().take_dirty();
         let (name, incarnation) = self.members.own_identity();
         let author = Author {
-            life: format!("{name}.{incarnation}").into(),
+            incarnation: format!("{name}.{incarnation}").into(),
             generation: self.generation.get(),
         };
-        let records: Vec<(Arc<str>, Bytes)> = untold
+        let records: Vec<(Arc<str>, Bytes)> = dirty
             .iter()
             .map(|(window, counts)| total_record(*window, &author, counts))
             .collect();
@@ -128,7 +128,7 @@
             if let StoreError::Uncertain(_) = error {
                 self.generation.set(self.generation.get() + 1);
             }
-            let windows = untold.iter().map(|(window, _)| *window);
+            let windows = dirty.iter().map(|(window, _)| *window);
             self.counts.borrow_mut().mark_dirty(windows);
         }
         appended.map(|_| ())
--- a/crates/borageshore_gateway/src/usage/records.rs
+++ b/crates/borageshore_gateway/src/usage/records.rs
@@ -13,15 +13,18 @@
 /// Who has counted: one life of a daemon, and which of its appends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Author {
-    pub(super) life: Arc<str>,
+    pub(super) incarnation: Arc<str>,
     pub(super) generation: u64,
 }
 
 /// A total as a record of the store.
 pub(super) fn total_record(window: Window, author: &Author, counts: &Counts) -> (Arc<str>, Bytes) {
-    let Author { life, generation } = author;
+    let Author {
+        incarnation: life,
+        generation,
+    } = author;
     let key = format!("{}/{life}/{generation}", window.0);
-    (key.into(), encoded(&listed(counts)))
+    (key.into(), to_json(&to_pairs(counts)))
 }
 
 /// Reads the key of a total: its window and the life that counted.
@@ -33,7 +36,7 @@
 
 /// Reads the counts of a total.
 pub(super) fn total_counts(value: &[u8]) -> Option<Counts> {
-    serde_json::from_slice(value).ok().map(counted)
+    serde_json::from_slice(value).ok().map(from_pairs)
 }
 
 /// A report that a holder is about to send.
@@ -66,7 +69,7 @@
     /// Takes over a report.
     pub(crate) fn on_report(&self, record: &ReportRecord) {
         let mut reports = self.reports.borrow_mut();
-        let counts = counted(record.counts.clone());
+        let counts = from_pairs(record.counts.clone());
         reports.on_finalized(Window(record.window), &counts);
         for taken in &record.taken {
             reports.on_accepted(Window(*taken));
@@ -86,11 +89,11 @@
     /// The window to report next, with its counts if they are fixed.
     pub(super) fn next(
         &self,
-        times: &UsageTiming,
+        timing: &UsageTiming,
         unix_ms: u64,
     ) -> Option<(Window, Option<Counts>)> {
         let reports = self.reports.borrow();
-        let (window, counts) = reports.next(times, unix_ms)?;
+        let (window, counts) = reports.next(timing, unix_ms)?;
         Some((window, counts.cloned()))
     }
 
@@ -113,14 +116,14 @@
             holder,
             others,
             window: window.0,
-            counts: listed(counts),
+            counts: to_pairs(counts),
             taken: taken.iter().map(|window| window.0).collect(),
         };
         let old = reports.windows_before(first_retained);
         let removals = old
             .into_iter()
             .map(|window| (report_key(window), Bytes::new()));
-        let report = (report_key(window), encoded(&record));
+        let report = (report_key(window), to_json(&record));
         [report].into_iter().chain(removals).collect()
     }
 }
@@ -129,20 +132,20 @@
     format!("{REPORT_PREFIX}{}", window.0).into()
 }
 
-fn listed(counts: &Counts) -> Vec<(Arc<str>, u64)> {
-    let listed = counts.iter();
-    listed.map(|(name, count)| (name.clone(), *count)).collect()
+fn to_pairs(counts: &Counts) -> Vec<(Arc<str>, u64)> {
+    let pairs = counts.iter();
+    pairs.map(|(name, count)| (name.clone(), *count)).collect()
 }
 
-fn counted(listed: Vec<(Arc<str>, u64)>) -> Counts {
+fn from_pairs(pairs: Vec<(Arc<str>, u64)>) -> Counts {
     let mut counts = Counts::default();
-    for (organisation, count) in listed {
+    for (organisation, count) in pairs {
         counts.insert(organisation, count);
     }
     counts
 }
 
-fn encoded<Record>(record: &Record) -> Bytes
+fn to_json<Record>(record: &Record) -> Bytes
 where
     Record: Serialize,
 {
--- a/crates/borageshore_gateway/src/usage/reporter.rs
+++ b/crates/borageshore_gateway/src/usage/reporter.rs
@@ -11,12 +11,12 @@
 use crate::{duties::Duties, members::Members, store_transport::Store, true_time::SharedTime};
 
 /// The pace at which reports are looked for; a refused one is sent again after it.
-const PACE_MS: u64 = 250;
+const POLL_INTERVAL_MS: u64 = 250;
 
 /// What the reporter needs of the rest of the daemon.
 #[derive(Debug)]
 pub(crate) struct ReporterParts {
-    pub(crate) times: UsageTiming,
+    pub(crate) timing: UsageTiming,
     pub(crate) client: DutyClient,
     pub(crate) duties: Rc<Duties>,
     pub(crate) reports: Rc<UsageReports>,
@@ -42,9 +42,9 @@
 
     async fn run(self) {
         let mut view = None;
-        let mut cleaned = Window(0);
+        let mut removed_before = Window(0);
         loop {
-            sleep_ms(PACE_MS).await;
+            sleep_ms(POLL_INTERVAL_MS).await;
             let Some(at) = self.parts.duties.offset_if_holder() else {
                 view = None;
                 continue;
@@ -56,9 +56,9 @@
             if parts.duties.may_act(USAGE) {
                 self.report_next(at, view).await;
             }
-            let first = parts.times.first_retained(parts.time.unix_ms());
-            if std::mem::replace(&mut cleaned, first) < first {
-                view.forget_before(first).await;
+            let first = parts.timing.first_retained(parts.time.unix_ms());
+            if std::mem::replace(&mut removed_before, first) < first {
+                view.remove_before(first).await;
             }
         }
     }
@@ -66,7 +66,7 @@
     /// Reports the next window, if one is due; announced on the condition that nothing came after `at`.
     async fn report_next(&self, at: u64, view: &UsageView) {
         let parts = &self.parts;
-        let next = parts.reports.next(&parts.times, parts.time.unix_ms());
+        let next = parts.reports.next(&parts.timing, parts.time.unix_ms());
         let Some((window, fixed)) = next else { return };
         let counts = match fixed {
             Some(counts) => counts,
@@ -82,20 +82,20 @@
             parts.duties.held_by_others(),
             window,
             &counts,
-            parts.times.first_retained(parts.time.unix_ms()),
+            parts.timing.first_retained(parts.time.unix_ms()),
         );
-        let Some(announced) = parts.duties.announce(at, &records).await else {
+        let Some(permit) = parts.duties.announce(at, &records).await else {
             return;
         };
         let duty_holder = DutyHolder {
             name: holder,
-            epoch: announced.epoch,
+            epoch: permit.epoch,
         };
         let sending = parts
             .client
-            .report_usage(&duty_holder, window.0, &counts, || announced.may_send());
+            .report_usage(&duty_holder, window.0, &counts, || permit.may_send());
         match sending.await {
-            Ok(()) => self.on_taken(window, &counts, duty_holder.epoch),
+            Ok(()) => self.on_accepted(window, &counts, duty_holder.epoch),
             Err(error) => {
                 parts.instruments.count("usage_report", "failed");
                 log::warn!(window = window.0, epoch = duty_holder.epoch, error:% = error; "a usage report is not taken yet");
@@ -103,11 +103,11 @@
         }
     }
 
-    fn on_taken(&self, window: Window, counts: &Counts, epoch: u64) {
+    fn on_accepted(&self, window: Window, counts: &Counts, epoch: u64) {
         let parts = &self.parts;
         parts.reports.on_accepted(window);
         parts.instruments.count("usage_report", "taken");
-        let end_ms = window.end_ms(parts.times.window_ms);
+        let end_ms = window.end_ms(parts.timing.window_ms);
         let late_ms = parts.time.unix_ms().saturating_sub(end_ms);
         let requests: u64 = counts.values().sum();
         log::info!(window = window.0, epoch, late_ms, requests, organisations = counts.len(); "usage reported");
--- a/crates/borageshore_gateway/src/usage/view.rs
+++ b/crates/borageshore_gateway/src/usage/view.rs
@@ -30,7 +30,7 @@
 impl Fold for TotalsFold {
     fn apply(&self, records: &[KeyedRecord]) {
         for record in records {
-            let Some((window, life)) = total_key(&record.key) else {
+            let Some((window, incarnation)) = total_key(&record.key) else {
                 log::error!(key = &*record.key; "a total of usage has an unknown key");
                 continue;
             };
@@ -40,7 +40,10 @@
             };
             self.keys.borrow_mut().insert(record.key.clone(), window);
             match total_counts(value) {
-                Some(counts) => self.totals.borrow_mut().merge(window, &life, &counts),
+                Some(counts) => self
+                    .totals
+                    .borrow_mut()
+                    .merge(window, &incarnation, &counts),
                 None => log::error!(key = &*record.key; "a total of usage cannot be read"),
             }
         }
@@ -82,7 +85,7 @@
         join_all(confirming)
             .await
             .into_iter()
-            .all(|is_whole| is_whole)
+            .all(|is_current| is_current)
     }
 
     /// The requests of all in a window.
@@ -97,21 +100,26 @@
     }
 
     /// Takes totals of windows before one out of the store.
-    pub(super) async fn forget_before(&self, first: Window) {
+    pub(super) async fn remove_before(&self, first: Window) {
         for (partition, fold) in (0..).zip(&self.folds) {
             fold.totals.borrow_mut().forget_before(first);
-            let old: Vec<(Arc<str>, Bytes)> = {
+            let expired: Vec<(Arc<str>, Bytes)> = {
                 let keys = fold.keys.borrow();
-                let old = keys.iter().filter(|(_, window)| **window < first);
-                old.map(|(key, _)| (key.clone(), Bytes::new()))
+                let expired = keys.iter().filter(|(_, window)| **window < first);
+                expired
+                    .map(|(key, _)| (key.clone(), Bytes::new()))
                     .take(KEYS_PER_APPEND)
                     .collect()
             };
-            if old.is_empty() {
+            if expired.is_empty() {
                 continue;
             }
-            if let Err(error) = self.store.append(Topic::Usage, partition, &old, None).await {
-                log::info!(keys = old.len(), error:% = error; "old totals of usage are not removed yet");
+            if let Err(error) = self
+                .store
+                .append(Topic::Usage, partition, &expired, None)
+                .await
+            {
+                log::info!(keys = expired.len(), error:% = error; "old totals of usage are not removed yet");
             }
         }
     }
--- a/crates/borageshore_gateway/src/watch.rs
+++ b/crates/borageshore_gateway/src/watch.rs
@@ -44,12 +44,9 @@
             self.send_heartbeats(&look.watchers, counter).await;
             if !look.silent.is_empty() {
                 let watch = self.clone();
-                monoio::spawn(async move {
-                    watch
-                        .members
-                        .write_suspicions(&watch.store, &look.silent)
-                        .await
-                });
+                monoio::spawn(
+                    async move { watch.members.suspect(&watch.store, &look.silent).await },
+                );
             }
             sleep_ms(HEARTBEAT_INTERVAL_MS).await;
         }
