--- a/crates/borageshore_gateway/src/store_transport.rs
+++ b/crates/borageshore_gateway/src/store_transport.rs
@@ -1,4 +1,4 @@
-//! Calls to the store, on this daemon's own way or through a peer.
+//! Calls to the store, on the direct route or through a peer.
 
 use std::{
     cell::{Cell, RefCell},
@@ -22,20 +22,20 @@
     true_time::{CLOCK_PATH, SharedTime},
 };
 
-/// The store as this daemon calls it.
+/// The store client, whose calls fail over to peers.
 pub(crate) type Store = borageshore_platform::Store<FailoverTransport>;
 
-/// An append that has no answer by then is given to a peer as well. A slow store answers in 200 ms, and
-/// an append may be repeated; a daemon that reaches nobody stops its heartbeats after 3 s.
+/// The timeout of an append on the direct route before it is repeated through a peer. Longer than a slow store's
+/// 200 ms, and short enough that both routes are tried before the heartbeats stop after 3 s.
 const DIRECT_APPEND_TIMEOUT_MS: u64 = 600;
-/// What a peer may take beyond the store's own time.
+/// The time that a peer may add to the store's response time.
 const PEER_SLACK_MS: u64 = 200;
-/// How many peers are asked for one call.
+/// The number of peers that are tried for one call.
 const MAX_PEERS_TRIED: usize = 2;
 
 type CallResult = Result<(StatusCode, Bytes), CallError>;
 
-/// The ways to the store.
+/// A store transport that falls back to peers when the store does not answer directly.
 #[derive(Debug, Clone)]
 pub(crate) struct FailoverTransport {
     inner: Rc<Inner>,
@@ -50,9 +50,9 @@
     failover: RefCell<StoreFailover>,
     peers: RefCell<Vec<Arc<str>>>,
     next_peer: Cell<usize>,
-    /// When the store last answered, on either way.
+    /// When the store last answered, on either route.
     answered_at_ms: Cell<u64>,
-    /// Told when the own way turns out to be closed.
+    /// Notified when calls switch from the direct route to peers.
     switched_to_peers: Notify,
 }
 
@@ -73,25 +73,25 @@
         }
     }
 
-    /// Takes over where peers can be asked to pass calls on, the nearest first.
+    /// Replaces the addresses of peers that forward calls, nearest first.
     pub(crate) fn set_peers(&self, peers: Vec<Arc<str>>) {
         if self.inner.may_use_peers {
             self.inner.peers.replace(peers);
         }
     }
 
-    /// For how long the store has not answered, on either way.
+    /// The time since the store last answered, on either route.
     pub(crate) fn silent_ms(&self) -> u64 {
         let now_ms = self.inner.clock.now_ms();
         now_ms - self.inner.answered_at_ms.get()
     }
 
-    /// Says whether calls go through peers.
+    /// Says whether calls go through peers first.
     pub(crate) fn uses_peers(&self) -> bool {
         self.inner.failover.borrow().uses_peers()
     }
 
-    /// Makes a call on this daemon's own way.
+    /// Makes a call on the direct route.
     async fn call_direct(&self, call: &StoreCall) -> CallResult {
         let inner = &self.inner;
         let answer = inner.connections.call_at(&inner.address, call).await;
@@ -105,7 +105,8 @@
         answer
     }
 
-    /// Makes a call through a peer; if none has an answer, what leaves most open.
+    /// Makes a call through a peer. If none returns the store's answer, returns the least certain failure; `None`
+    /// without peers.
     async fn call_via_peer(&self, call: &StoreCall) -> Option<CallResult> {
         let peers: Vec<Arc<str>> = self.inner.peers.borrow().clone();
         let call = StoreCall {
@@ -143,7 +144,7 @@
         }
     }
 
-    /// The own way first; what gets no answer there goes to a peer.
+    /// Tries the direct route, then peers for a call that has no answer.
     async fn call_direct_first(&self, call: &StoreCall) -> CallResult {
         let has_peers = !self.inner.peers.borrow().is_empty();
         let direct_call = StoreCall {
@@ -161,8 +162,8 @@
         .await
         {
             Either::Left((answer, _)) => answer,
-            // Only a read may still be waiting then, as appends are given up sooner.
-            Either::Right(_) => Err(CallError::NoAnswer("the own way is closed".into())),
+            // Only reads wait this long: an append with peers available times out sooner.
+            Either::Right(_) => Err(CallError::NoAnswer("calls switched to peers".into())),
         };
         let is_direct_suspect = {
             let failover = self.inner.failover.borrow();
@@ -178,7 +179,7 @@
             self.on_peer_result(peer_result.as_ref());
         } else {
             let is_done = peer_result.as_ref().is_some_and(is_answered);
-            log::info!(is_done; "an append was cut off, peers were asked to repeat it");
+            log::info!(is_done; "connection broke during an append; repeated it through peers");
         }
         dominant_result(answer, peer_result)
     }
@@ -231,8 +232,8 @@
     }
 }
 
-/// Of two tries the one that is answered, else the one that leaves more open: what one may have done is
-/// not undone by the other's refusal.
+/// The result that decides a call tried twice: an answer if there is one, else an unknown outcome before a refusal,
+/// as the attempt with the unknown outcome may have taken effect.
 fn dominant_result(first: CallResult, second: Option<CallResult>) -> CallResult {
     match second {
         Some(second) if outcome_of(&second).takes_precedence_over(outcome_of(&first)) => second,
@@ -240,8 +241,8 @@
     }
 }
 
-/// What peers ask of this daemon: to pass calls on to the store, as long as it reaches that itself, to take over what
-/// they tell of crashes, and to show its clocks.
+/// Serves requests of peers: forwards store calls while the direct route works, and handles quarantine messages and
+/// clock requests.
 #[derive(Debug, Clone)]
 pub(crate) struct PeerHandler {
     pub(crate) path: FailoverTransport,
