--- a/crates/borageshore_gateway/src/members/mod.rs
+++ b/crates/borageshore_gateway/src/members/mod.rs
@@ -1,4 +1,4 @@
-//! Which daemons live: what each writes of itself, and of those that it watches, to the store.
+//! Membership: which daemons are alive, by the presence records and suspicions in the store.
 
 mod writing;
 
@@ -19,12 +19,12 @@
 
 use crate::{follow::Fold, store_transport::FailoverTransport};
 
-/// What the key of a suspicion begins with; the name of the suspected daemon follows.
+/// The prefix of a suspicion's key; the name of the suspected daemon follows.
 const SUSPICION_PREFIX: &str = "suspect/";
-/// Fewer addresses of one zone leave a caller without a choice when one of them fails.
+/// With fewer addresses in its zone, a caller is also given addresses of other zones, so that it can fail over.
 const MIN_ADDRESSES: usize = 2;
 
-/// This daemon among the others.
+/// This daemon's view of the members, and its own presence.
 #[derive(Debug)]
 pub(crate) struct Members {
     own: RefCell<Presence>,
@@ -36,23 +36,23 @@
     has_left: Cell<bool>,
     write_requested: Notify,
     suspected: Notify,
-    /// Told when something of a daemon changed.
+    /// Notified when a member's state changes.
     pub(crate) changed: Notify,
 }
 
-/// The ring of daemons as of a number of changes.
+/// The watch ring, cached until the presence table changes.
 #[derive(Debug, Default)]
 struct CachedRing {
     ring: WatchRing,
     table_changes: Option<u64>,
 }
 
-/// What a look at those that this daemon watches asks for.
+/// The result of a check of the daemons that this one watches.
 #[derive(Debug)]
 pub(crate) struct WatchCheck {
-    /// Where its own watchers are; nowhere if it must not say that it lives.
+    /// The addresses for its heartbeats; empty if it must not send any.
     pub(crate) watchers: Vec<Arc<str>>,
-    /// The daemons that it suspects from now on.
+    /// Newly suspected daemons.
     pub(crate) silent: Vec<Suspicion>,
 }
 
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Takes suspicions for deaths when their time is over.
+    /// Declares suspected daemons dead when the suspicion timeout has passed without a refutation.
     pub(crate) async fn expire_suspicions(self: Rc<Self>) {
         loop {
             self.suspected.notified().await;
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Takes over a heartbeat; one of an earlier incarnation is late.
+    /// Records a heartbeat; those of earlier incarnations are ignored.
     pub(crate) fn on_heartbeat(&self, name: &str, incarnation: u64) {
         if self.table.borrow().incarnation_of(name) <= Some(incarnation) {
             let now_ms = self.clock.now_ms();
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Looks who of those that this daemon watches has gone silent.
+    /// Checks the watched daemons for missing heartbeats.
     pub(crate) fn check_watched(&self) -> WatchCheck {
         self.advance();
         let now_ms = self.clock.now_ms();
@@ -135,10 +135,10 @@
         }
     }
 
-    /// Raises this daemon's incarnation over that of an earlier life.
+    /// Raises this daemon's incarnation above that of its previous run.
     ///
-    /// Guards against a clock that was set back between two starts: all daemons would take the
-    /// records of the present life for late ones of an earlier life, and this one for dead.
+    /// Guards against a clock that was set back between two starts: other daemons would discard this run's
+    /// records as stale and consider the daemon dead.
     fn raise_incarnation(&self, record: &KeyedRecord) {
         let mut own = self.own.borrow_mut();
         if record.key != own.name {
@@ -149,7 +149,7 @@
         if let Ok(earlier) = earlier
             && earlier.incarnation > own.incarnation
         {
-            log::warn!(earlier = earlier.incarnation, own = own.incarnation; "the clock was set back between two starts");
+            log::warn!(earlier = earlier.incarnation, own = own.incarnation; "clock was set back since the previous start; raising the incarnation");
             own.incarnation = earlier.incarnation + 1;
             self.write_requested.notify_one();
         }
@@ -166,11 +166,11 @@
         self.own.borrow().name.clone()
     }
 
-    /// Changes what this daemon says of itself, and says it at once.
+    /// Sets this daemon's state and publishes it at once.
     pub(crate) fn set_state(&self, state: PresenceState) {
         if std::mem::replace(&mut self.own.borrow_mut().state, state) != state {
-            // Its own work need not wait until its record has come back from the store, 0.1 s; but as
-            // long as it knows no other daemon it would take the work of all.
+            // Applied before the record comes back from the store. Not while no other daemon is known: this one
+            // would take the work of all.
             if self.table.borrow().is_known() {
                 let own = self.own.borrow().clone();
                 self.table.borrow_mut().on_presence(own);
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Says which work this daemon runs.
+    /// Sets which work this daemon runs, and publishes it at once.
     pub(crate) fn set_holds(&self, holds: Vec<Arc<str>>) {
         if self.own.borrow().holds != holds {
             self.own.borrow_mut().holds = holds;
@@ -188,12 +188,12 @@
         }
     }
 
-    /// Says whether this daemon runs a piece of work; `key` decides where nobody holds it yet.
+    /// Says whether this daemon owns a piece of work; if nobody holds it, the rendezvous hash of `key` decides.
     pub(crate) fn owns(&self, work: &str, key: &str) -> bool {
         let own = self.own.borrow();
         let table = self.table.borrow();
         if own.holds.iter().any(|held| &**held == work) {
-            // Two that both hold it know of each other by their records; the later name yields.
+            // If two daemons hold it, the one with the greater name yields.
             return table
                 .holder_of(work)
                 .is_none_or(|holder| holder >= &*own.name);
@@ -210,8 +210,8 @@
             .count()
     }
 
-    /// Where the daemon is asked that has a submission's records: the one that runs it, else one for
-    /// all readers; `None` if that is this one.
+    /// The address of the daemon that answers reads of a submission: its holder, else the one that the rendezvous
+    /// hash selects; `None` if that is this daemon.
     pub(crate) fn owner_address(&self, submission: &str) -> Option<Arc<str>> {
         let table = self.table.borrow();
         let owner = table.owner_of(submission, submission)?;
@@ -221,12 +221,12 @@
         table.address_of(owner)
     }
 
-    /// Says whether this daemon is the one for a piece of work that nobody holds, as far as it knows who lives.
+    /// Says whether this daemon is selected, by its view of the members, for a piece of work that nobody holds.
     pub(crate) fn is_first_for(&self, work: &str) -> bool {
         self.table.borrow().owner_of(work, work) == Some(&*self.own.borrow().name)
     }
 
-    /// Where some other daemons are that take work, each time others.
+    /// HTTP addresses of up to `count` other eligible daemons, in an order that varies with time.
     pub(crate) fn pick_eligible(&self, count: usize) -> Vec<Arc<str>> {
         let own_name = self.own_name();
         let table = self.table.borrow();
@@ -237,7 +237,7 @@
         picked.filter_map(|name| table.address_of(name)).collect()
     }
 
-    /// Where some other daemons are told of crashes, each time others.
+    /// Peer addresses of up to `count` other daemons, in an order that varies with time.
     pub(crate) fn pick_peer_addresses(&self, count: usize) -> Vec<Arc<str>> {
         let own = self.own.borrow();
         let relays = self.table.borrow().peer_addresses(&own.name, &own.zone);
@@ -246,17 +246,17 @@
         ranked.into_iter().take(count).map(Into::into).collect()
     }
 
-    /// The daemons that live.
+    /// The number of live daemons.
     pub(crate) fn count(&self) -> usize {
         self.table.borrow().live().count()
     }
 
-    /// The names of the daemons that take work of others.
+    /// The names of the daemons that are eligible for work.
     pub(crate) fn eligible_names(&self) -> Vec<Arc<str>> {
         self.table.borrow().eligible().map(Into::into).collect()
     }
 
-    /// The addresses for a caller of a zone.
+    /// The HTTP addresses for a caller in a zone.
     pub(crate) fn addresses_for(&self, zone: &str) -> Vec<Arc<str>> {
         let own = self.own.borrow();
         let mut addresses = self.table.borrow().addresses_for(zone, MIN_ADDRESSES);
@@ -281,7 +281,7 @@
         self.raise_incarnation(record);
         let is_removed = record.value.is_none() && record.key == self.own.borrow().name;
         if is_removed && !self.has_left.get() {
-            // Another daemon took this one for dead for long.
+            // Another daemon removed the record as that of a dead daemon.
             self.write_requested.notify_one();
         }
     }
@@ -326,7 +326,7 @@
         for record in records {
             self.on_own_record(record);
             if let Err(error) = self.on_record(record) {
-                log::error!(member = &*record.key, error:% = error; "a daemon's record cannot be read");
+                log::error!(member = &*record.key, error:% = error; "cannot decode a membership record; ignoring it");
             }
         }
         self.update_peers();
--- a/crates/borageshore_gateway/src/members/writing.rs
+++ b/crates/borageshore_gateway/src/members/writing.rs
@@ -1,4 +1,4 @@
-//! What this daemon writes of itself and of those that it watches.
+//! Writes this daemon's presence record and its suspicions to the store.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -10,11 +10,11 @@
 use super::{Members, SUSPICION_PREFIX};
 use crate::{follow::ONLY_PARTITION, store_transport::Store};
 
-/// The pause before a record that could not be written is written again: others may wait for it.
+/// The pause before a failed write of the presence record is repeated.
 const RETRY_INTERVAL_MS: u64 = 500;
 
 impl Members {
-    /// Writes what this daemon says of itself, at each change and now and then, until it leaves.
+    /// Writes this daemon's presence record at each change and periodically, until it leaves.
     pub(crate) async fn announce(self: Rc<Self>, store: Store) {
         let mut is_failing = false;
         while !self.has_left.get() {
@@ -26,7 +26,7 @@
                 .await;
             let pause_ms = self.table.borrow().record_interval_ms();
             let pause_ms = match &written {
-                // This record is also what tries out a closed way to the store.
+                // The record also probes the direct route to the store.
                 Ok(_) if self.transport.uses_peers() => pause_ms.min(PROBE_INTERVAL_MS),
                 Ok(_) => pause_ms,
                 Err(_) => RETRY_INTERVAL_MS,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Writes suspicions; others take them for deaths unless they are refuted.
+    /// Writes suspicions; unless refuted in time, their daemons are declared dead.
     pub(crate) async fn suspect(&self, store: &Store, silent: &[Suspicion]) {
         let record = |suspicion: &Suspicion| {
             let key = format!("{SUSPICION_PREFIX}{}", suspicion.name);
@@ -56,7 +56,7 @@
         match written {
             Ok(_) => log::warn!(silent:? = names; "daemons are silent"),
             Err(error) => {
-                log::info!(silent:? = names, error:% = error; "daemons are silent, and the store does not take it");
+                log::info!(silent:? = names, error:% = error; "daemons are silent, but their suspicions could not be written to the store");
                 let now_ms = self.clock.now_ms();
                 let mut watch = self.watch.borrow_mut();
                 for name in names {
@@ -66,10 +66,10 @@
         }
     }
 
-    /// Removes the records of daemons that have been dead for long.
+    /// Removes expired records of dead daemons.
     ///
-    /// Guards against a start that reads all VMs of a year: the store keeps the newest record of each for good,
-    /// and thousands are replaced a day.
+    /// The store keeps the newest record of each key forever, so a start would read the records of every VM that was
+    /// ever replaced.
     pub(crate) async fn remove_expired(&self, store: &Store) -> Result<(), StoreError> {
         let expired = self.table.borrow().expired();
         let keys = expired
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    /// Removes this daemon's record; one on its way may still come after it.
+    /// Removes this daemon's record; a presence record still in flight may be stored after the removal.
     pub(crate) async fn leave(&self, store: &Store) {
         self.has_left.set(true);
         let record = [(self.own_name(), Bytes::new())];
@@ -94,7 +94,7 @@
             .append(Topic::Members, ONLY_PARTITION, &record, None)
             .await;
         if let Err(error) = removed {
-            log::info!(error:% = error; "the end did not reach the store, others learn it by silence");
+            log::info!(error:% = error; "could not remove this daemon's record; others detect its end by missing heartbeats");
         }
     }
 }
