--- a/crates/borageshore_gateway/src/lifecycle.rs
+++ b/crates/borageshore_gateway/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a daemon: starting, ready, draining, stopped; and its signals.
+//! The lifecycle of a daemon (starting, ready, draining, stopped) and its process signals.
 
 use std::{
     cell::Cell,
@@ -15,35 +15,33 @@
 
 use crate::{gateway::Gateway, members::Members};
 
-/// The pace at which signals are looked at: a wake-up costs, and a stop is given
-/// seconds.
+/// The interval at which signals and the drain are polled.
 const POLL_MS: u64 = 100;
-/// The pace while the daemon starts: after a full stop the texts of a step stand still until then.
+/// The polling interval while the daemon starts, shorter so that it becomes ready soon.
 const STARTING_POLL_MS: u64 = 20;
-/// The part of the grace that is left for the last answers after connections were closed.
+/// The time before the end of the grace period at which idle connections are closed.
 const CLOSE_MARGIN_MS: u64 = 1_500;
-/// The part of the grace that is left for the last record and the end of the process.
+/// The time before the end of the grace period that is reserved for closing, leaving and the exit of the process.
 const EXIT_MARGIN_MS: u64 = 900;
-/// By this time after the stop began no peer gives out this daemon's address any more.
+/// The time until no peer lists this daemon's address any more.
 const UNLIST_DELAY_MS: u64 = 200;
-/// How long the last callers are waited for once nothing listens any more.
+/// The longest wait for open connections after the servers are closed.
 const CLOSE_TIMEOUT_MS: u64 = 300;
-/// The pace at which they are waited for.
+/// The interval at which open connections are polled.
 const CLOSE_POLL_MS: u64 = 10;
-/// A last record that takes longer is not worth the kill at the end of the grace: others learn of the end
-/// by silence as well.
+/// The timeout of the removal of the presence record; without it, others detect the end by missing heartbeats.
 const LEAVE_TIMEOUT_MS: u64 = 300;
 
-/// What a stop has to go by.
+/// The time limits of a drain.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DrainTimes {
     /// From SIGTERM to SIGKILL.
     pub(crate) grace_ms: u64,
-    /// How long callers keep a list of addresses.
+    /// How long callers keep an address list.
     pub(crate) address_retention_ms: u64,
 }
 
-/// Where this daemon is in its life.
+/// The lifecycle state, and the number of requests in flight.
 #[derive(Debug)]
 pub(crate) struct Lifecycle {
     state: Cell<PresenceState>,
@@ -62,7 +60,7 @@
         self.state.get()
     }
 
-    /// The pace at which signals and readiness are looked at.
+    /// The interval at which signals and readiness are polled.
     pub(crate) fn poll_ms(&self) -> u64 {
         match self.state() {
             PresenceState::Starting => STARTING_POLL_MS,
@@ -77,7 +75,7 @@
         }
     }
 
-    /// Counts a request until the guard is dropped.
+    /// Counts a request as in flight until the guard is dropped.
     pub(crate) fn track_request(&self) -> InFlightRequest {
         self.in_flight.set(self.in_flight.get() + 1);
         InFlightRequest {
@@ -85,13 +83,13 @@
         }
     }
 
-    /// The requests that are being answered.
+    /// The number of requests in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
 }
 
-/// A request that is being answered.
+/// Guard of a request in flight.
 #[derive(Debug)]
 pub(crate) struct InFlightRequest {
     in_flight: Rc<Cell<usize>>,
@@ -103,7 +101,7 @@
     }
 }
 
-/// The signals that a process gets.
+/// Flags set by process signals: SIGTERM and SIGINT stop, SIGHUP reloads.
 #[derive(Debug)]
 pub(crate) struct Signals {
     stop: Arc<AtomicBool>,
@@ -123,7 +121,7 @@
         Ok(signals)
     }
 
-    /// Waits for the stop, following the daemon's readiness and reloads meanwhile.
+    /// Waits for a stop signal; meanwhile updates the readiness and handles reloads.
     pub(crate) async fn wait_for_stop(&self, gateway: &Gateway) {
         while !self.stop.load(Ordering::Relaxed) {
             if self.reload.swap(false, Ordering::Relaxed) {
@@ -135,8 +133,8 @@
     }
 }
 
-/// Stops without cutting anything: off the lists at once, then serves callers whose list still names this daemon,
-/// finishes the submissions it holds, and closes idle connections when the grace is nearly over.
+/// Drains the daemon: leaves the address lists at once, serves callers with older lists, finishes running submissions,
+/// and closes idle connections near the end of the grace period.
 pub(crate) async fn drain(gateway: &Gateway, servers: &[HttpServer], times: DrainTimes) {
     gateway.enter_draining();
     let started_ms = gateway.now_ms();
@@ -161,7 +159,7 @@
     log::info!(took_ms = gateway.now_ms() - started_ms, is_idle = gateway.is_idle(); "daemon stopped");
 }
 
-/// Waits until the last connection has ended.
+/// Waits until no connection is open.
 async fn wait_for_connections(servers: &[HttpServer]) {
     loop {
         sleep_ms(CLOSE_POLL_MS).await;
