--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -1,5 +1,5 @@
-//! Duties of one daemon at a time: orders to engines, reports of usage. All are announced in one partition, so that
-//! one conditional append decides who holds them, and one waiting read a daemon tells of them.
+//! Duties that one daemon holds at a time: orders to engines and reports of usage. All are announced in one partition,
+//! so that one conditional append decides the holder and each daemon follows them by one long poll.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
@@ -18,16 +18,16 @@
     usage::{ReportRecord, USAGE, UsageReports},
 };
 
-/// The key of rounds of orders; readers that start late need the newest only.
+/// The key of all rounds of orders, as only the newest round is needed.
 const ROUND_KEY: &str = "round";
-/// What ranks the daemons where no holder is known; the same at all of them.
+/// The rendezvous key that selects a holder when none is known; the same on all daemons.
 const RANKING_KEY: &str = "orders";
-/// What was announced leaves within this time of the append, or not at all.
+/// What was announced is sent within this time of the append, or not at all.
 const SEND_WINDOW_MS: u64 = 500;
-/// What a call takes on its way, and the delay of a successor's own reads.
+/// Margin for the latency of a call and of the successor's reads.
 const MARGIN_MS: u64 = 300;
 
-/// The announcements as all daemons see them.
+/// Folds the announcements; the same on all daemons.
 #[derive(Debug)]
 struct Announcements {
     endpoints: Rc<Endpoints>,
@@ -77,7 +77,7 @@
                 None => serde_json::from_slice(value).map(|round| self.on_round(round)),
             };
             if let Err(error) = taken {
-                log::error!(key = &*record.key, error:% = error; "an announcement cannot be read");
+                log::error!(key = &*record.key, error:% = error; "cannot decode an announcement; ignoring it");
             }
         }
     }
@@ -87,12 +87,12 @@
     }
 }
 
-/// The duties, and whether this daemon holds them.
+/// Announces acts of duties, and tells whether this daemon holds the duties.
 ///
-/// Nobody checks who acts, and two holders must not take turns within the lease. An act is announced before it is
-/// sent, on the condition that nothing was appended since this daemon read the partition; so a holder that was
-/// replaced while it stood still cannot announce anything. It might have announced something just before: that leaves
-/// within [`SEND_WINDOW_MS`] of the append or not at all, and a new holder lets the lease of each subject pass.
+/// Receivers don't check the sender, so acts of two holders on one subject must be a lease apart. An act is announced
+/// before it is sent, by an append conditional on the offset up to which this daemon has read, so a paused holder that
+/// was replaced cannot announce. What it announced before is sent within [`SEND_WINDOW_MS`] of the append or not at
+/// all, and a new holder waits for the lease of each subject to expire.
 #[derive(Debug)]
 pub(crate) struct Duties {
     store: Store,
@@ -102,7 +102,7 @@
     timing: DutyTiming,
 }
 
-/// What was announced: its epoch, and until when it may be sent.
+/// Permission to send what was announced, with its epoch, within the send window.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SendPermit {
     pub(crate) epoch: u64,
@@ -110,14 +110,14 @@
 }
 
 impl SendPermit {
-    /// Says whether it may still be sent.
+    /// Whether the send window is still open.
     pub(crate) fn may_send(&self) -> bool {
         self.window.is_open(boot_time_ms())
     }
 }
 
 impl Duties {
-    /// Follows the duties; `lease_ms` is the least time between acts of two holders on one subject.
+    /// Follows the duties; `lease_ms` is the minimum time between acts of two holders on one subject.
     pub(crate) fn spawn(
         spec: FollowSpec,
         members: Rc<Members>,
@@ -148,13 +148,13 @@
         })
     }
 
-    /// Told when a round of orders was announced.
+    /// Notified when a round of orders was announced.
     pub(crate) fn round_announced(&self) -> Notified<'_> {
         self.announcements.round_announced.notified()
     }
 
-    /// Where the partition ends as far as this daemon has read, if it holds the duties: what it decides from here on is
-    /// announced on the condition that nothing came meanwhile.
+    /// The next offset of the partition if this daemon holds the duties. Decisions made from here on are announced on
+    /// the condition that nothing is appended before them.
     pub(crate) fn offset_if_holder(&self) -> Option<u64> {
         let eligible = self.members.eligible_names();
         let holder = {
@@ -166,20 +166,20 @@
         self.follow.next_offset().filter(|_| is_own)
     }
 
-    /// Says whether this daemon may order an engine now.
+    /// Whether this daemon may send an order to an engine now.
     pub(crate) fn may_order(&self, engine: &str) -> bool {
         let leases = self.announcements.leases.borrow();
         leases.may_order(&self.members.own_name(), engine, boot_time_ms())
     }
 
-    /// Says whether this daemon may act on another subject than an engine now.
+    /// Whether this daemon may act now on a subject that is not an engine.
     pub(crate) fn may_act(&self, subject: &str) -> bool {
         let leases = self.announcements.leases.borrow();
         let own_name = self.members.own_name();
         leases.duties().may_act(&own_name, subject, boot_time_ms())
     }
 
-    /// The subjects that another holder may be acting on.
+    /// The subjects that other holders may be acting on.
     pub(crate) fn held_by_others(&self) -> Vec<Arc<str>> {
         let leases = self.announcements.leases.borrow();
         leases.ordered_by_others(&self.members.own_name(), boot_time_ms())
@@ -191,7 +191,7 @@
         self.announce(at, &[(ROUND_KEY.into(), value.into())]).await
     }
 
-    /// Announces what is about to be sent, if nothing was announced after `at`.
+    /// Announces what is about to be sent, if the partition still ends at offset `at`; `None` if it was not announced.
     pub(crate) async fn announce(
         &self,
         at: u64,
@@ -212,7 +212,7 @@
                 None
             }
             Err(error) => {
-                log::warn!(error:% = error; "nothing can be announced, nothing is sent");
+                log::warn!(error:% = error; "announcement failed; nothing is sent");
                 None
             }
         }
--- a/crates/borageshore_gateway/src/orderer.rs
+++ b/crates/borageshore_gateway/src/orderer.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: one daemon at a time brings them to the versions that trainers name.
+//! Orders engines to load the versions that trainers name, on one daemon at a time.
 
 use std::{cell::RefCell, pin::pin, rc::Rc, sync::Arc};
 
@@ -20,14 +20,13 @@
     submission_index::SubmissionIndex,
 };
 
-/// The pace at which engines under order are asked whether they are done; their reports are 100 to
-/// 200 ms old.
+/// The interval at which engines with pending orders are polled; their reports are 100 to 200 ms old.
 const POLL_MS: u64 = 80;
-/// A load takes 0.9 s: no engine is asked before.
+/// The delay of the first poll after an order, a little less than the 0.9 s that a load takes.
 const FIRST_POLL_MS: u64 = 800;
-/// An order that does not show at its engine by then was lost, or comes late; it is given again.
+/// An order that its engine has not carried out by then is dropped and may be sent again.
 const ORDER_TIMEOUT_MS: u64 = 2_600;
-/// Where there is nothing to do, the state is looked at again after this time.
+/// The longest pause between two rounds without pending orders.
 const IDLE_MS: u64 = 1_000;
 
 #[derive(Debug, Clone)]
@@ -49,7 +48,7 @@
     pub(crate) limits: SwapLimits,
 }
 
-/// Gives orders while this daemon is the one that may ([`Duties`]).
+/// Sends orders while this daemon holds the duties ([`Duties`]).
 #[derive(Debug)]
 pub(crate) struct Orderer {
     parts: OrdererParts,
@@ -81,7 +80,7 @@
         }
     }
 
-    /// Looks at the engines under order and gives the next orders; says whether it waits for any.
+    /// Collects completed orders and sends the next ones; returns whether any order may be pending.
     async fn step(&self, at: u64) -> bool {
         let done = self.collect_completed().await;
         let targets = self.parts.endpoints.engine_targets();
@@ -105,11 +104,10 @@
         true
     }
 
-    /// The next orders; with reports, only engines that answered and carry out no order get one.
+    /// Plans the next orders.
     ///
-    /// What loads is known from the orders that this daemon gave, and from the engines themselves. Orders of
-    /// rounds that were read are not counted: after a full stop the newest, of whatever age, took up all
-    /// loads at once for 3 s, and a step waited 4.1 s for a slot at engines that were two versions behind.
+    /// Loading engines are known by this daemon's orders and the engines' reports. Orders of followed rounds don't
+    /// count: after a restart of all daemons, the newest round, however old, would use up the limit of parallel loads.
     fn plan(
         &self,
         targets: &[EndpointTarget],
@@ -133,7 +131,7 @@
         endpoints.with_versions(|versions| plan_round(&engines, versions, &models, limits))
     }
 
-    /// All models that engines serve; one whose trainer has named no version yet wants none.
+    /// The target of each model that engines serve; version 0 if its trainer has not named one.
     fn models(&self) -> Vec<ModelTarget> {
         let named = self.parts.routes.named();
         let target = |model: Arc<str>| {
@@ -149,7 +147,7 @@
         models.into_iter().map(target).collect()
     }
 
-    /// Asks all engines for their state; who does not answer is left out.
+    /// Requests the reports of all engines; those that don't respond are left out.
     async fn reports(&self, targets: &[EndpointTarget]) -> Vec<(EndpointTarget, EngineReport)> {
         let ask = targets
             .iter()
@@ -162,7 +160,7 @@
                     reports.push((target, report));
                 }
                 Err(error) => {
-                    log::info!(instance = &*target.instance, error:% = error; "engine does not report, no order now");
+                    log::info!(instance = &*target.instance, error:% = error; "engine report failed; sending it no order now");
                 }
             }
         }
@@ -222,7 +220,7 @@
         permit: SendPermit,
     ) {
         if !permit.may_send() {
-            log::warn!(instance = &*target.instance; "an order is too late, it is not given");
+            log::warn!(instance = &*target.instance; "send window of an order has closed; not sending it");
             return;
         }
         let instance = target.instance.clone();
@@ -246,7 +244,7 @@
         }
     }
 
-    /// Asks the engines under order; returns those that have what they were told to load.
+    /// Polls the engines with pending orders; returns the instance, model and version of each completed load.
     async fn collect_completed(&self) -> Vec<(Arc<str>, Arc<str>, u64)> {
         let targets = self.parts.endpoints.engine_targets();
         let now_ms = self.parts.clock.now_ms();
