--- a/crates/borageshore_gateway/src/usage/counter.rs
+++ b/crates/borageshore_gateway/src/usage/counter.rs
@@ -1,4 +1,4 @@
-//! What this daemon counts, and tells the store.
+//! Counts this daemon's requests and writes the totals to the store.
 
 use std::{
     cell::{Cell, RefCell},
@@ -16,18 +16,18 @@
 use super::records::{Author, total_record};
 use crate::{members::Members, store_transport::Store, true_time::SharedTime};
 
-/// The pause between two appends for each daemon that lives: all of them together make 200 a second at the most. A
-/// daemon that is killed takes with it what it counted in that time.
+/// The pause between two appends, for each live daemon: all together make at most 200 appends a second. A daemon that
+/// is killed loses the counts of one pause.
 const PAUSE_MS_PER_DAEMON: u64 = 5;
-/// The pause where there are few daemons.
+/// The minimum pause between two appends.
 const MIN_PAUSE_MS: u64 = 50;
-/// The pause after an append that failed.
+/// The pause after a failed append.
 const RETRY_MS: u64 = 300;
 
 /// Counts requests by organisation and window.
 ///
-/// What is counted is appended at once, and what comes within the pause after that together: where calls are rare a
-/// daemon that is killed loses none, and where they are many the loss is a small part.
+/// A count is appended at once, and those of the following pause in one batch: a daemon that is killed loses nothing at
+/// low rates and a small part at high rates.
 #[derive(Debug)]
 pub(crate) struct UsageCounter {
     timing: UsageTiming,
@@ -36,7 +36,8 @@
     members: Rc<Members>,
     partitions: u64,
     counts: RefCell<OwnCounts>,
-    /// Rises when an append may still be done late, so that it cannot take the place of a newer one.
+    /// Part of the keys; incremented after an append with an unknown outcome, so that a late write cannot overwrite a
+    /// newer total.
     generation: Cell<u64>,
     is_writing: Cell<bool>,
     /// Whether the last append failed.
@@ -68,7 +69,7 @@
         counter
     }
 
-    /// Says whether something counted is not in the store yet.
+    /// Whether any count is not in the store yet.
     pub(crate) fn has_unwritten(&self) -> bool {
         self.is_writing.get() || self.counts.borrow().is_dirty()
     }
@@ -135,18 +136,18 @@
     }
 }
 
-/// A request of an organisation, counted once when it is over: in the window in which the first of its attempts
-/// began that ran, or may have run.
+/// A request of an organisation. It is counted once, when dropped, in the window in which its first attempt began that
+/// ran or may have run.
 #[derive(Debug)]
 pub(crate) struct RequestUsage {
-    /// Where it is counted; nowhere if nobody is to be told of it.
+    /// The counter and the organisation; `None` if the request is not counted.
     counted: Option<(Rc<UsageCounter>, Arc<str>)>,
-    /// When each attempt began, in true time; none for one that has not run.
+    /// The start of each attempt in estimated true time; `None` for one that did not run.
     attempts: RefCell<Vec<Option<u64>>>,
 }
 
 impl RequestUsage {
-    /// Begins with a request without attempts.
+    /// A request without attempts.
     pub(crate) fn begin(
         counter: Option<&Rc<UsageCounter>>,
         organisation: Option<&Arc<str>>,
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Notes that an attempt begins; returns its number.
+    /// Records the start of an attempt; returns its number.
     pub(crate) fn on_attempt(&self) -> usize {
         let mut attempts = self.attempts.borrow_mut();
         let now_ms = self
@@ -168,7 +169,7 @@
         attempts.len() - 1
     }
 
-    /// Notes that an attempt certainly did not run.
+    /// Records that an attempt certainly did not run.
     pub(crate) fn on_not_run(&self, number: usize) {
         if let Some(attempt) = self.attempts.borrow_mut().get_mut(number) {
             *attempt = None;
--- a/crates/borageshore_gateway/src/usage/mod.rs
+++ b/crates/borageshore_gateway/src/usage/mod.rs
@@ -1,4 +1,4 @@
-//! Usage: what this daemon sent for each organisation, kept in the store, and reported by one daemon.
+//! Usage: requests counted for each organisation, stored as totals, and reported by one daemon.
 
 mod counter;
 mod records;
@@ -11,5 +11,5 @@
     reporter::{Reporter, ReporterParts},
 };
 
-/// The subject of the duty to report usage: all windows are one.
+/// The subject of the duty to report usage, the same for all windows.
 pub(crate) const USAGE: &str = "duty:usage";
--- a/crates/borageshore_gateway/src/usage/records.rs
+++ b/crates/borageshore_gateway/src/usage/records.rs
@@ -1,4 +1,4 @@
-//! What the store holds of usage: totals of each life of a daemon, and the reports that are fixed.
+//! Records of usage in the store: totals of each daemon incarnation, and finalized reports.
 
 use std::{cell::RefCell, sync::Arc};
 
@@ -7,17 +7,17 @@
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// What the keys of reports begin with; the window's number follows.
+/// The prefix of a report's key; the window's number follows.
 const REPORT_PREFIX: &str = "usage/";
 
-/// Who has counted: one life of a daemon, and which of its appends.
+/// The author of a total: a daemon incarnation (`name.number`) and its generation of appends.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Author {
     pub(super) incarnation: Arc<str>,
     pub(super) generation: u64,
 }
 
-/// A total as a record of the store.
+/// Encodes a total as a record of the store.
 pub(super) fn total_record(window: Window, author: &Author, counts: &Counts) -> (Arc<str>, Bytes) {
     let Author {
         incarnation: life,
@@ -27,46 +27,46 @@
     (key.into(), to_json(&to_pairs(counts)))
 }
 
-/// Reads the key of a total: its window and the life that counted.
+/// Parses the key of a total: its window and its author's incarnation.
 pub(super) fn total_key(key: &str) -> Option<(Window, Arc<str>)> {
     let mut parts = key.split('/');
     let window = parts.next()?.parse().ok()?;
     Some((Window(window), parts.next()?.into()))
 }
 
-/// Reads the counts of a total.
+/// Decodes the counts of a total.
 pub(super) fn total_counts(value: &[u8]) -> Option<Counts> {
     serde_json::from_slice(value).ok().map(from_pairs)
 }
 
-/// A report that a holder is about to send.
+/// The announcement of a report that the holder is about to send.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct ReportRecord {
     /// The VM that sends it.
     pub(crate) holder: Arc<str>,
-    /// Subjects of duties that others may be acting on.
+    /// Subjects of duties that other holders may be acting on.
     pub(crate) others: Vec<Arc<str>>,
     window: u64,
     counts: Vec<(Arc<str>, u64)>,
-    /// Windows whose report the platform has.
+    /// Windows whose report the platform has accepted.
     taken: Vec<u64>,
 }
 
-/// The reports as all daemons see them.
+/// The state of reports, folded from their announcements.
 #[derive(Debug, Default)]
 pub(crate) struct UsageReports {
     reports: RefCell<Reports>,
 }
 
 impl UsageReports {
-    /// Reads a record of the duties' partition, if it is a report.
+    /// Decodes a record of the duties' partition if it is a report.
     pub(crate) fn decode(record: &KeyedRecord) -> Option<Result<ReportRecord, serde_json::Error>> {
         let value = record.value.as_ref()?;
         let is_report = record.key.starts_with(REPORT_PREFIX);
         is_report.then(|| serde_json::from_slice(value))
     }
 
-    /// Takes over a report.
+    /// Applies an announced report.
     pub(crate) fn on_report(&self, record: &ReportRecord) {
         let mut reports = self.reports.borrow_mut();
         let counts = from_pairs(record.counts.clone());
@@ -76,9 +76,9 @@
         }
     }
 
-    /// Takes over that a record of the duties' partition was removed: nobody asks for that window any more.
+    /// Drops the window of a removed record.
     ///
-    /// Guards the memory of daemons that do not report: a day has 17,280 windows of 5 s.
+    /// Guards against unbounded memory on daemons that do not report.
     pub(crate) fn on_removed(&self, key: &str) {
         let number = key.strip_prefix(REPORT_PREFIX);
         if let Some(window) = number.and_then(|number| number.parse().ok()) {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The window to report next, with its counts if they are fixed.
+    /// The window to report next, with its counts if they are finalized.
     pub(super) fn next(
         &self,
         timing: &UsageTiming,
@@ -101,7 +101,7 @@
         self.reports.borrow_mut().on_accepted(window);
     }
 
-    /// The records by which a holder announces a window's report, and drops those that nobody asks for any more.
+    /// The records that announce a window's report, and the removals of windows before `first_retained`.
     pub(super) fn announcement(
         &self,
         holder: Arc<str>,
--- a/crates/borageshore_gateway/src/usage/reporter.rs
+++ b/crates/borageshore_gateway/src/usage/reporter.rs
@@ -1,4 +1,4 @@
-//! Reports of usage, sent by the daemon that holds the duty.
+//! Sends usage reports from the daemon that holds the duty.
 
 use std::rc::Rc;
 
@@ -10,7 +10,7 @@
 use super::{USAGE, records::UsageReports, view::UsageView};
 use crate::{duties::Duties, members::Members, store_transport::Store, true_time::SharedTime};
 
-/// The pace at which reports are looked for; a refused one is sent again after it.
+/// The interval between checks for a due report; also the pause before a refused one is sent again.
 const POLL_INTERVAL_MS: u64 = 250;
 
 /// What the reporter needs of the rest of the daemon.
@@ -28,8 +28,8 @@
     pub(crate) instruments: Rc<Instruments>,
 }
 
-/// Reports each window once its counts have come in: fixed by an announcement, then sent, one call at a time, until
-/// the platform has it or it is overdue.
+/// Reports each window once its totals are complete: an announcement finalizes the counts, which are then sent, one
+/// call at a time, until the platform accepts them or the report is overdue.
 #[derive(Debug)]
 pub(crate) struct Reporter {
     parts: ReporterParts,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Reports the next window, if one is due; announced on the condition that nothing came after `at`.
+    /// Reports the next window if one is due and the duties' partition still ends at offset `at`.
     async fn report_next(&self, at: u64, view: &UsageView) {
         let parts = &self.parts;
         let next = parts.reports.next(&parts.timing, parts.time.unix_ms());
--- a/crates/borageshore_gateway/src/usage/view.rs
+++ b/crates/borageshore_gateway/src/usage/view.rs
@@ -1,4 +1,4 @@
-//! All daemons' totals, as the holder of the duty reads them.
+//! The totals of all daemons, followed by the holder of the duty.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
@@ -15,12 +15,12 @@
     store_transport::Store,
 };
 
-/// Totals that come close together are read together.
+/// The pause between reads, so that totals appended close together are read together.
 const PAUSE_MS: u64 = 200;
-/// Keys that one append removes, each a record of its own.
+/// The maximum number of keys that one append removes.
 const KEYS_PER_APPEND: usize = 500;
 
-/// What one partition holds.
+/// Folds the totals of one partition.
 #[derive(Debug, Default)]
 struct TotalsFold {
     totals: RefCell<Totals>,
@@ -31,7 +31,7 @@
     fn apply(&self, records: &[KeyedRecord]) {
         for record in records {
             let Some((window, incarnation)) = total_key(&record.key) else {
-                log::error!(key = &*record.key; "a total of usage has an unknown key");
+                log::error!(key = &*record.key; "cannot parse the key of a usage total; ignoring it");
                 continue;
             };
             let Some(value) = &record.value else {
@@ -44,14 +44,13 @@
                     .totals
                     .borrow_mut()
                     .merge(window, &incarnation, &counts),
-                None => log::error!(key = &*record.key; "a total of usage cannot be read"),
+                None => log::error!(key = &*record.key; "cannot decode a usage total; ignoring it"),
             }
         }
     }
 }
 
-/// The totals of all partitions. Only the holder follows them: read by all daemons, they would be most of what these
-/// read.
+/// The totals of all partitions. Only the holder follows them, as they would be most of what a daemon reads.
 #[derive(Debug)]
 pub(super) struct UsageView {
     store: Store,
@@ -79,7 +78,7 @@
         }
     }
 
-    /// Brings the view up to what the store has by now.
+    /// Catches up with the store; returns whether all partitions are current.
     pub(super) async fn confirm(&self) -> bool {
         let confirming = self.partitions.iter().map(|follow| follow.confirm_now());
         join_all(confirming)
@@ -88,7 +87,7 @@
             .all(|is_current| is_current)
     }
 
-    /// The requests of all in a window.
+    /// The counts of all daemons in a window.
     pub(super) fn counts_of(&self, window: Window) -> Counts {
         let mut all = Counts::default();
         for fold in &self.folds {
@@ -99,7 +98,7 @@
         all
     }
 
-    /// Takes totals of windows before one out of the store.
+    /// Removes totals of windows before `first` from the store.
     pub(super) async fn remove_before(&self, first: Window) {
         for (partition, fold) in (0..).zip(&self.folds) {
             fold.totals.borrow_mut().forget_before(first);
