--- a/crates/borageshore_gateway/src/peers.rs
+++ b/crates/borageshore_gateway/src/peers.rs
@@ -1,5 +1,5 @@
-//! Requests passed on to other daemons: questions to the one that has the answer, submissions to one
-//! that reaches the store.
+//! Forwards requests to other daemons: reads of a submission to its owner, submissions to a daemon that reaches the
+//! store.
 
 use std::{cell::RefCell, sync::Arc};
 
@@ -13,30 +13,30 @@
     http::request::Parts,
 };
 
-/// Marks a request that a peer has passed on, so that it is not passed on again.
+/// The header of a forwarded request, which is not forwarded again.
 pub(crate) const FORWARDED_HEADER: &str = "borageshore-passed-on";
-/// A peer is a few ms away.
+/// The connect timeout; peers are a few ms away.
 const CONNECT_TIMEOUT_MS: u64 = 200;
-/// What an answer may take beyond the time that the reader wants to wait.
+/// The time that a response may take beyond the wait that the caller asked for.
 const ANSWER_SLACK_MS: u64 = 600;
-/// A peer that did not answer is not asked for this long; others see its death in about a second, and it may stand still for a moment.
+/// How long a peer that did not respond is avoided. Longer than the second or so in which its death is detected.
 const AVOID_MS: u64 = 2_000;
 
-/// What a peer may take to write a submission to the store.
+/// The time that a peer may take to write a submission to the store.
 const SUBMIT_TIMEOUT_MS: u64 = 1_000;
 
-/// What came of a submission that was passed on.
+/// The outcome of a forwarded submission.
 #[derive(Debug)]
 pub(crate) enum SubmitOutcome {
     /// A peer has accepted it.
     Accepted(EdgeResponse),
     /// A peer may have accepted it.
     Unknown,
-    /// No peer has taken anything of it.
+    /// Certainly no peer has accepted it.
     NotAccepted,
 }
 
-/// The client of peers.
+/// Client for other daemons.
 #[derive(Debug)]
 pub(crate) struct Peers {
     http: HttpClient,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Passes a question on; `None` if the peer has no sure answer.
+    /// Forwards a read; `None` if the peer gives no definite response.
     pub(crate) async fn ask(
         &self,
         address: &Arc<str>,
@@ -63,14 +63,14 @@
         match self.forward(address, head, Bytes::new(), wait_ms).await {
             Ok((StatusCode::OK | StatusCode::NOT_FOUND, response)) => Some(response),
             Ok((status, _)) => {
-                log::info!(peer = &**address, status = status.as_u16(); "peer is not sure");
+                log::info!(peer = &**address, status = status.as_u16(); "peer gives no definite response");
                 None
             }
             Err(_) => None,
         }
     }
 
-    /// Passes a submission on to the first peer that accepts it.
+    /// Forwards a submission to one peer after the other until one accepts it or may have accepted it.
     pub(crate) async fn submit(
         &self,
         addresses: &[Arc<str>],
@@ -83,7 +83,7 @@
                 .await
             {
                 Ok((StatusCode::ACCEPTED, response)) => return SubmitOutcome::Accepted(response),
-                // The peer says the same as this daemon: nothing of it runs.
+                // The peer refused it, so no part of it runs.
                 Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::UNAUTHORIZED, _))
                 | Err(CallError::NotSent(_)) => {}
                 Ok(_) | Err(CallError::NoAnswer(_) | CallError::Broken(_)) => {
@@ -102,7 +102,9 @@
         wait_ms: u64,
     ) -> Result<(StatusCode, EdgeResponse), CallError> {
         if self.is_avoided(address) {
-            return Err(CallError::NotSent("did not answer lately".into()));
+            return Err(CallError::NotSent(
+                "peer is avoided after a recent failure".into(),
+            ));
         }
         let target = head
             .uri
@@ -114,7 +116,7 @@
             .body(Full::new(body))
             .map_err(|error| CallError::NotSent(error.to_string()))?;
         *request.headers_mut() = head.headers.clone();
-        // The body goes on whole, whatever way it came.
+        // The body is sent whole, whatever its original framing.
         for framing in [CONTENT_LENGTH, TRANSFER_ENCODING, CONNECTION] {
             request.headers_mut().remove(framing);
         }
@@ -132,7 +134,7 @@
     }
 
     fn avoid(&self, address: &Arc<str>, error: &CallError) {
-        log::info!(peer = &**address, error:% = error; "peer does not answer");
+        log::info!(peer = &**address, error:% = error; "call to peer failed; avoiding it for a while");
         let until_ms = self.clock.now_ms() + AVOID_MS;
         let mut avoided = self.avoided_until_ms.borrow_mut();
         avoided.insert(address.clone(), until_ms);
--- a/crates/borageshore_gateway/src/true_time.rs
+++ b/crates/borageshore_gateway/src/true_time.rs
@@ -1,4 +1,4 @@
-//! True time as this daemon estimates it, with what its peers show.
+//! This daemon's estimate of true time, synchronized with peers.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
@@ -11,30 +11,30 @@
 
 use crate::members::Members;
 
-/// Where peers are asked what their clocks show, at the address that callers do not have.
+/// The path of clock requests, at the address for peers.
 pub(crate) const CLOCK_PATH: &str = "/clock";
-/// The peers that are asked: one of five may be stepped, slow or gone, and most still agree.
+/// The number of peers that are asked: a majority still agrees if one is stepped, slow or gone.
 const PEERS_ASKED: usize = 5;
-/// The pace at which a daemon that starts asks until its peers agree.
+/// The interval between attempts to synchronize with peers at the start.
 const SYNC_INTERVAL_MS: u64 = 400;
-/// After so many tries it goes by its own time of day.
+/// The number of attempts after which a daemon starts with its own time of day.
 const MAX_SYNC_ATTEMPTS: usize = 8;
-/// The pace at which the time of day is followed.
+/// The interval at which the estimate is slewed.
 const SLEW_INTERVAL_MS: u64 = 10_000;
-/// A peer is a few ms away; an answer that takes longer says little.
+/// Timeouts of a clock request; peers are a few ms away, and a slow response makes an imprecise sample.
 const TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 200,
     first_byte_ms: 200,
 };
 
-/// What a daemon's clocks show.
+/// A reading of a daemon's clocks.
 #[derive(Debug, Serialize, Deserialize)]
 struct ClockReading {
     estimate_ms: u64,
     time_of_day_ms: u64,
 }
 
-/// True time, kept with peers.
+/// The estimate of true time, synchronized with peers.
 #[derive(Debug)]
 pub(crate) struct SharedTime {
     members: Rc<Members>,
@@ -43,7 +43,7 @@
 }
 
 impl SharedTime {
-    /// Begins with this VM's time of day, and asks peers from then on.
+    /// Starts with this VM's time of day and synchronizes with peers in the background.
     pub(crate) fn spawn(members: Rc<Members>) -> Rc<Self> {
         let shared = Rc::new(Self {
             members,
@@ -59,7 +59,7 @@
         self.time.borrow().unix_ms(boot_time_ms())
     }
 
-    /// Tells a peer what this daemon's clocks show.
+    /// The response to a clock request of a peer.
     pub(crate) fn clock_response(&self) -> EdgeResponse {
         let reading = ClockReading {
             estimate_ms: self.unix_ms(),
@@ -83,7 +83,7 @@
             let mut time = self.time.borrow_mut();
             time.slew(time_of_day_ms(), now_ms, &samples);
             let away_ms = time_of_day_ms() as i64 - time.unix_ms(now_ms) as i64;
-            log::debug!(peers = samples.len(), away_ms; "time of day against the estimate");
+            log::debug!(peers = samples.len(), away_ms; "compared the time of day with the estimate");
         }
     }
 
@@ -99,7 +99,7 @@
         let (status, body) = match self.http.call(peer, request, TIMEOUTS).await {
             Ok(answer) => answer,
             Err(error) => {
-                log::debug!(peer = &**peer, error:% = error; "a peer does not tell its time");
+                log::debug!(peer = &**peer, error:% = error; "clock request to a peer failed; leaving out its sample");
                 return None;
             }
         };
