--- a/crates/borageshore_gateway/src/config.rs
+++ b/crates/borageshore_gateway/src/config.rs
@@ -19,57 +19,57 @@
     pub zone: Arc<str>,
     /// Where callers connect.
     pub http_address: Arc<str>,
-    /// Where the platform asks whether this daemon takes callers.
+    /// Where the platform checks whether this daemon is ready.
     pub ready_address: Arc<str>,
-    /// Where callers ask which addresses to use.
+    /// Where callers request the list of addresses.
     pub directory_address: Arc<str>,
-    /// Where other daemons have their calls to the store passed on.
+    /// Where other daemons send heartbeats, store calls to forward, and quarantine and clock messages.
     pub peer_address: Arc<str>,
     /// Where counters and histograms are served as text.
     pub metrics_address: Arc<str>,
-    /// The part of a core that the process may use.
+    /// The CPU share of the process, as a fraction of a core.
     pub processor_share: f64,
     /// The platform's store.
     pub store_address: Arc<str>,
     /// The number of partitions of a topic.
     pub store_partitions: u64,
-    /// How long a caller may keep a list of addresses.
+    /// How long a caller may keep an address list.
     pub address_ttl_s: u64,
     /// The time from SIGTERM to SIGKILL.
     pub stop_grace_s: u64,
-    /// How long after its submission a result can be read.
+    /// How long results can be read after their submission.
     pub results_kept_s: u64,
-    /// Orders of two holders to one engine are at least this far apart.
+    /// The minimum time between orders of two holders to one engine.
     pub order_lease_ms: u64,
-    /// How long after a key was taken away requests with it may still run; without it, as long as the store is away.
+    /// How long requests with a revoked key may still run; without it, as long as the store is unreachable.
     #[serde(default)]
     pub key_revocation_ms: Option<u64>,
-    /// The platform's duties; none if it has none.
+    /// The platform's duties, if it has any.
     #[serde(default)]
     pub duties: Option<DutyConfig>,
-    /// The share of the engines that load weights at once without slowing each other.
+    /// The share of the engines that may load weights at once, in percent.
     pub parallel_loads_percent: usize,
-    /// The share of a model's engines that load each version.
+    /// The share of a model's engines that load each version, in percent.
     pub load_share_percent: usize,
-    /// Mechanisms that are switched off, to measure what each is worth; none otherwise.
+    /// Mechanisms that are switched off for comparison; empty in production.
     #[serde(default)]
     pub mechanisms_off: Vec<Mechanism>,
 }
 
-/// What the platform wants of one daemon at a time.
+/// The duties that the platform expects of one daemon at a time.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DutyConfig {
-    /// Where its calls go.
+    /// The platform's address for calls of the duties.
     pub address: Arc<str>,
-    /// The length of a window of usage; without it, usage is not reported.
+    /// The length of a usage window; without it, usage is not reported.
     pub usage_window_s: Option<u64>,
-    /// A window's report is due so long after its end.
+    /// The deadline of a window's report, counted from the window's end.
     pub usage_late_s: Option<u64>,
 }
 
 impl DutyConfig {
-    /// The times of reports of usage, if they are wanted.
+    /// The timing of usage reports, if they are configured.
     pub fn usage_timing(&self) -> Option<UsageTiming> {
         Some(UsageTiming {
             window_ms: self.usage_window_s? * 1_000,
@@ -79,7 +79,7 @@
 
     fn check(&self) -> Result<(), &'static str> {
         match (self.usage_window_s, self.usage_late_s) {
-            (Some(0), _) => Err("duties.usage_window_s: 0 is no length"),
+            (Some(0), _) => Err("duties.usage_window_s: must not be 0"),
             (Some(_), None) => Err("duties.usage_late_s: missing"),
             (None, Some(_)) => Err("duties.usage_window_s: missing"),
             _ => Ok(()),
@@ -88,7 +88,7 @@
 }
 
 impl GatewayConfig {
-    /// Reads the text of a file; a fault names the file, the line and the field.
+    /// Parses the text of a settings file; a fault names the file, the line and the field.
     pub fn parse(file: &str, text: &str) -> Result<Self, FileFault> {
         let config: Self = serde_saphyr::from_str(text).map_err(|error| malformed(file, &error))?;
         let checked = config.duties.as_ref().map_or(Ok(()), DutyConfig::check);
--- a/crates/borageshore_gateway/src/fleet_records.rs
+++ b/crates/borageshore_gateway/src/fleet_records.rs
@@ -1,7 +1,6 @@
-//! The records that daemons read of each other: who lives, and which requests crash endpoints.
+//! The records that daemons share about the fleet: membership, and requests that crash endpoints.
 //!
-//! Both stand in one topic, as a topic of its own would cost each daemon a waiting read, 550 calls a second of 680
-//! daemons, for records that come on few days.
+//! Both are in one topic, as a second topic would cost a long poll of each of 680 daemons for rare records.
 
 use std::rc::Rc;
 
@@ -13,7 +12,7 @@
     quarantine::{self, Quarantine},
 };
 
-/// Hands each record to its subject.
+/// Dispatches each record to the membership or the quarantine.
 #[derive(Debug)]
 pub(crate) struct FleetRecords {
     pub(crate) members: Rc<Members>,
--- a/crates/borageshore_gateway/src/gateway.rs
+++ b/crates/borageshore_gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The parts of a daemon, put together.
+//! Builds the parts of a daemon and runs it.
 
 use std::{io, path::PathBuf, rc::Rc};
 
@@ -42,16 +42,16 @@
     writer::Writer,
 };
 
-/// The operator's and the endpoints' records matter at once.
+/// For the operator's and the endpoints' records, which are applied without delay.
 const NO_PAUSE_MS: u64 = 0;
-/// What many daemons write when they start together is read together; a suspicion waits a fifth of the time
-/// that there is to refute it.
+/// The pause between reads of membership records: long enough that the records of daemons that start together are read
+/// together, short against the suspicion timeout.
 const MEMBERS_PAUSE_MS: u64 = 50;
-/// Two records a submission.
+/// The pause between reads of the index, which has two records for each submission.
 const INDEX_PAUSE_MS: u64 = 10;
-/// Some callers keep a list of addresses for as many times its time to live.
+/// How long some callers keep an address list, as a multiple of its time to live.
 const ADDRESS_RETENTION_TTLS: u64 = 3;
-/// Records of rounds come one at a time.
+/// The pause between reads of orders, whose rounds are appended one at a time.
 const ORDERS_PAUSE_MS: u64 = 10;
 
 /// A running daemon.
@@ -69,17 +69,17 @@
     usage: Option<Rc<UsageCounter>>,
     runner: Rc<Runner>,
     writer: Rc<Writer>,
-    /// Those of callers and of peers.
+    /// The servers for callers and for peers.
     servers: Vec<HttpServer>,
     _metrics: HttpServer,
 }
 
 impl Gateway {
-    /// Binds the addresses of a configuration and starts a daemon on the present event loop.
+    /// Binds the addresses of a configuration and starts a daemon on the current event loop.
     pub fn spawn(config: GatewayConfig, config_file: PathBuf) -> io::Result<Self> {
         let clock = Clock::start();
         let instruments = Rc::new(Instruments::open());
-        // Rises with every start, as long as the VM's clock is not set back by more than a life.
+        // Increases with every start unless the VM's clock was set back by more than the previous run.
         let incarnation = jiff::Timestamp::now().as_millisecond() as u64;
         let mechanisms = Rc::new(Mechanisms::without(config.mechanisms_off.clone()));
         let transport = FailoverTransport::open(
@@ -107,7 +107,7 @@
             clock,
             instruments.clone(),
         );
-        // The boot clock tells two lives apart whose clock shows the same time.
+        // The boot clock distinguishes two incarnations with the same time of day.
         let author = format!("{}.{incarnation}.{}", config.name, boot_time_ms());
         let partitions = config.store_partitions;
         let view = LedgerView::spawn(store.clone(), partitions, clock);
@@ -303,8 +303,8 @@
         self.clock.now_ms()
     }
 
-    /// Becomes ready once routes, endpoints and submissions are known, and stays so: an outage of
-    /// the store leaves a view that is good enough to serve by.
+    /// Becomes ready once routes, endpoints and the submission index have been read. It stays ready during an outage of
+    /// the store and serves from its last view.
     pub(crate) fn follow_readiness(&self) {
         let is_known = self.routes.is_known()
             && self.endpoints.is_known()
@@ -314,16 +314,15 @@
         }
     }
 
-    /// Reads the settings again. Addresses and sizes hold until the next start; what is checked here
-    /// is whether that start would succeed.
+    /// Reads the settings again and logs faults. Nothing is applied before the next start.
     pub(crate) fn reload(&self) {
         let file = self.config_file.display().to_string();
         let text = std::fs::read_to_string(&self.config_file);
         let parsed = text.map(|text| GatewayConfig::parse(&file, &text));
         match parsed {
-            Ok(Ok(_)) => log::info!(file; "settings read again, no faults"),
-            Ok(Err(fault)) => log::error!(file, fault:? = fault; "settings have a fault"),
-            Err(error) => log::error!(file, error:% = error; "settings cannot be read"),
+            Ok(Ok(_)) => log::info!(file; "settings are valid for the next start"),
+            Ok(Err(fault)) => log::error!(file, fault:? = fault; "settings file is invalid"),
+            Err(error) => log::error!(file, error:% = error; "cannot read the settings file"),
         }
     }
 
@@ -335,7 +334,7 @@
         self.lifecycle.enter(PresenceState::Draining, &self.members);
     }
 
-    /// Says whether no request, submission or result is under way.
+    /// Whether no request or submission is in progress and nothing is left to write.
     pub(crate) fn is_idle(&self) -> bool {
         self.lifecycle.in_flight() == 0
             && self.runner.running_count() == 0
@@ -346,13 +345,13 @@
                 .is_some_and(|usage| usage.has_unwritten())
     }
 
-    /// Takes this daemon's record out of the store, so that others need not wait for its silence.
+    /// Removes this daemon's presence record, so that others need not wait for missing heartbeats.
     pub(crate) async fn leave(&self) {
         self.members.leave(&self.store).await;
     }
 }
 
-/// What counting and reporting of usage need of the rest.
+/// What counting and reporting of usage need of the rest of the daemon.
 #[derive(Debug)]
 struct UsageParts {
     duties: Rc<Duties>,
@@ -364,7 +363,7 @@
     instruments: Rc<Instruments>,
 }
 
-/// Counts and reports usage, if the platform wants to know of it.
+/// Starts the counter and the reporter of usage, if the settings ask for reports.
 fn spawn_usage(config: &GatewayConfig, parts: UsageParts) -> Option<Rc<UsageCounter>> {
     let duties = config.duties.as_ref()?;
     let timing = duties.usage_timing()?;
--- a/crates/borageshore_gateway/src/lib.rs
+++ b/crates/borageshore_gateway/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon on the users' platform: callers, batch submissions and engines, joined by the store.
+//! The gateway daemon: serves callers and batch submissions with engines, and coordinates through the platform's store.
 //!
-//! Each subject owns its state and is reached through a few functions: [`Gateway::spawn`] puts them
-//! together. What must last is in the store; a daemon that starts folds it and is whole again.
+//! Each module owns its state; [`Gateway::spawn`] connects them. Durable state is in the store, from which a daemon
+//! rebuilds its views when it starts.
 //!
 //! ```
 //! use borageshore_gateway::GatewayConfig;
--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! What arrives at the three addresses of a daemon.
+//! Serves the three addresses for callers and the platform, and the metrics page.
 
 use std::{net::SocketAddr, rc::Rc, sync::Arc};
 
@@ -33,18 +33,18 @@
     submissions::Submissions,
 };
 
-/// Callers that come too early come back after this time: routes arrive within a second of a start.
+/// The retry delay given to callers while the daemon starts; routes are read within a second.
 const NOT_READY_RETRY_MS: u64 = 300;
-/// Callers reuse connections that were idle for up to four fifths of the platform's 15 s limit; a
-/// longer limit of ours never cuts one that they are about to use.
+/// The idle timeout of connections. Longer than the platform's 15 s, so that no connection is closed that a caller is
+/// about to reuse.
 const IDLE_TIMEOUT_MS: u64 = 20_000;
-/// The platform's largest body.
+/// The size limit of a request body, as on the platform.
 const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
 
-/// How many peers are asked to take a submission: a store that turns some VMs away turns away a third.
+/// The number of peers that are asked to accept a submission; a store that refuses some VMs refuses about a third.
 const MAX_SUBMIT_PEERS: usize = 2;
 
-/// Bounds on what callers send.
+/// The limits on requests of callers and peers.
 pub(crate) fn server_limits() -> ServerLimits {
     ServerLimits {
         head_timeout_ms: IDLE_TIMEOUT_MS,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Decodes requests and hands them to their subjects.
+/// Decodes requests of callers and dispatches them to their handlers.
 #[derive(Debug, Clone)]
 pub(crate) struct Server {
     pub(crate) lifecycle: Rc<Lifecycle>,
@@ -86,7 +86,7 @@
         let _in_flight = self.lifecycle.track_request();
         let mut response = self.answer(request).await;
         if self.lifecycle.state() == PresenceState::Draining {
-            // The caller opens its next connection elsewhere instead of meeting a closed one.
+            // Makes the caller open its next connection to another daemon.
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
         }
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Answers a question about a submission, in the name of the caller's organisation.
+    /// Serves a request about a submission of the caller's organisation.
     async fn submission(
         &self,
         id: &Arc<str>,
@@ -147,8 +147,7 @@
         }
     }
 
-    /// Passes a question about a submission on to the daemon that has its records. Where that one
-    /// has no sure answer, this daemon reads the records itself.
+    /// Forwards a request about a submission to its owner. `None` if this daemon is to serve it from the store.
     async fn ask_owner(
         &self,
         submission: &str,
@@ -200,7 +199,7 @@
             key,
             is_public: route.is_public,
         };
-        // Before the body is read: what may not run need not be sent.
+        // Before the body is read, so that a refused caller need not send it.
         let pass = match self.access.admit(credentials).await {
             Ok(pass) => pass,
             Err(denial) => return denial.answer(),
@@ -231,7 +230,7 @@
         }
     }
 
-    /// Accepts a submission here, or at a peer where the store does not take it from this VM.
+    /// Accepts a submission, through a peer if the store does not take it from this VM.
     async fn submit(
         &self,
         submission: Submission,
--- a/crates/borageshore_gateway/tests/config.rs
+++ b/crates/borageshore_gateway/tests/config.rs
@@ -1,4 +1,4 @@
-//! The settings of a daemon: mechanisms that are switched off.
+//! Tests of the daemon's settings: mechanisms that are switched off.
 
 use borageshore_gateway::{GatewayConfig, Mechanism};
 
