--- a/crates/borageshore_gateway/src/members/mod.rs
+++ b/crates/borageshore_gateway/src/members/mod.rs
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Says whether this daemon owns a piece of work; if nobody holds it, the rendezvous hash of `key` decides.
+    /// Whether this daemon owns a piece of work; if nobody holds it, the rendezvous hash of `key` decides.
     pub(crate) fn owns(&self, work: &str, key: &str) -> bool {
         let own = self.own.borrow();
         let table = self.table.borrow();
@@ -221,7 +221,7 @@
         table.address_of(owner)
     }
 
-    /// Says whether this daemon is selected, by its view of the members, for a piece of work that nobody holds.
+    /// Whether this daemon is selected, by its view of the members, for a piece of work that nobody holds.
     pub(crate) fn is_first_for(&self, work: &str) -> bool {
         self.table.borrow().owner_of(work, work) == Some(&*self.own.borrow().name)
     }
--- a/crates/borageshore_gateway/src/orderer.rs
+++ b/crates/borageshore_gateway/src/orderer.rs
@@ -104,7 +104,7 @@
         true
     }
 
-    /// Plans the next orders.
+    /// Plans the next orders; an engine without a report counts as not busy.
     ///
     /// Loading engines are known by this daemon's orders and the engines' reports. Orders of followed rounds don't
     /// count: after a restart of all daemons, the newest round, however old, would use up the limit of parallel loads.
@@ -160,7 +160,7 @@
                     reports.push((target, report));
                 }
                 Err(error) => {
-                    log::info!(instance = &*target.instance, error:% = error; "engine report failed; sending it no order now");
+                    log::info!(instance = &*target.instance, error:% = error; "engine did not report; sending it no order now");
                 }
             }
         }
--- a/crates/borageshore_gateway/src/store_transport.rs
+++ b/crates/borageshore_gateway/src/store_transport.rs
@@ -86,7 +86,7 @@
         now_ms - self.inner.answered_at_ms.get()
     }
 
-    /// Says whether calls go through peers first.
+    /// Whether calls go through peers first.
     pub(crate) fn uses_peers(&self) -> bool {
         self.inner.failover.borrow().uses_peers()
     }
@@ -179,7 +179,7 @@
             self.on_peer_result(peer_result.as_ref());
         } else {
             let is_done = peer_result.as_ref().is_some_and(is_answered);
-            log::info!(is_done; "connection broke during an append; repeated it through peers");
+            log::info!(is_done; "connection broke during an append; peers were asked to repeat it");
         }
         dominant_result(answer, peer_result)
     }
