--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -15,7 +15,7 @@
     follow::{Fold, Follow, FollowSpec, ONLY_PARTITION},
     members::Members,
     store_transport::Store,
-    usage::{ReportRecord, USAGE, UsageReports},
+    usage::{ReportRecord, USAGE_SUBJECT, UsageReports},
 };
 
 /// The key of all rounds of orders, as only the newest round is needed.
@@ -59,7 +59,7 @@
     fn on_report(&self, report: &ReportRecord) {
         self.usage.on_report(report);
         let mut leases = self.leases.borrow_mut();
-        let subjects = [USAGE.into()];
+        let subjects = [USAGE_SUBJECT.into()];
         let duties = leases.duties_mut();
         duties.on_announcement(&report.holder, &subjects, &report.others, boot_time_ms());
     }
--- a/crates/borageshore_gateway/src/gateway.rs
+++ b/crates/borageshore_gateway/src/gateway.rs
@@ -21,7 +21,7 @@
     follow::{Begin, Follow, FollowSpec, ONLY_PARTITION},
     item::ItemContext,
     ledger_view::LedgerView,
-    lifecycle::{self, DrainTimes, Lifecycle, Signals},
+    lifecycle::{self, DrainTiming, Lifecycle, Signals},
     mechanisms::{Mechanism, Mechanisms},
     members::Members,
     orderer::{Orderer, OrdererParts},
@@ -291,7 +291,7 @@
     /// Serves until SIGTERM or SIGINT, then stops gracefully.
     pub async fn run_until_stopped(&self) -> io::Result<()> {
         Signals::open()?.wait_for_stop(self).await;
-        let timing = DrainTimes {
+        let timing = DrainTiming {
             grace_ms: self.config.stop_grace_s * 1_000,
             address_retention_ms: ADDRESS_RETENTION_TTLS * self.config.address_ttl_s * 1_000,
         };
--- a/crates/borageshore_gateway/src/lifecycle.rs
+++ b/crates/borageshore_gateway/src/lifecycle.rs
@@ -34,7 +34,7 @@
 
 /// The time limits of a drain.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct DrainTimes {
+pub(crate) struct DrainTiming {
     /// From SIGTERM to SIGKILL.
     pub(crate) grace_ms: u64,
     /// How long callers keep an address list.
@@ -135,18 +135,18 @@
 
 /// Drains the daemon: leaves the address lists at once, serves callers with older lists, finishes running submissions,
 /// and closes idle connections near the end of the grace period.
-pub(crate) async fn drain(gateway: &Gateway, servers: &[HttpServer], times: DrainTimes) {
+pub(crate) async fn drain(gateway: &Gateway, servers: &[HttpServer], timing: DrainTiming) {
     gateway.enter_draining();
     let started_ms = gateway.now_ms();
-    let close_idle_at_ms = started_ms + times.grace_ms.saturating_sub(CLOSE_MARGIN_MS);
+    let close_idle_at_ms = started_ms + timing.grace_ms.saturating_sub(CLOSE_MARGIN_MS);
     while gateway.now_ms() < close_idle_at_ms {
         sleep_ms(POLL_MS).await;
     }
     for server in servers {
         server.stop_gracefully();
     }
-    let end_ms = started_ms + times.grace_ms.saturating_sub(EXIT_MARGIN_MS);
-    let listed_until_ms = started_ms + UNLIST_DELAY_MS + times.address_retention_ms;
+    let end_ms = started_ms + timing.grace_ms.saturating_sub(EXIT_MARGIN_MS);
+    let listed_until_ms = started_ms + UNLIST_DELAY_MS + timing.address_retention_ms;
     let is_needed = || gateway.now_ms() < listed_until_ms || !gateway.is_idle();
     while gateway.now_ms() < end_ms && is_needed() {
         sleep_ms(POLL_MS).await;
--- a/crates/borageshore_gateway/src/members/mod.rs
+++ b/crates/borageshore_gateway/src/members/mod.rs
@@ -105,11 +105,11 @@
         let own_name = self.own_name();
         let table = self.table.borrow();
         let mut watch = self.watch.borrow_mut();
-        let mut known = self.ring.borrow_mut();
-        if known.table_changes != Some(table.changes()) {
-            known.ring = WatchRing::of(table.live());
-            known.table_changes = Some(table.changes());
-            watch.set_watched(known.ring.watched_by(&own_name), now_ms);
+        let mut cached = self.ring.borrow_mut();
+        if cached.table_changes != Some(table.changes()) {
+            cached.ring = WatchRing::of(table.live());
+            cached.table_changes = Some(table.changes());
+            watch.set_watched(cached.ring.watched_by(&own_name), now_ms);
         }
         let store_silent_ms = self.transport.silent_ms();
         let silent = match store_silent_ms < WATCHER_LOG_TIMEOUT_MS {
@@ -128,7 +128,7 @@
         };
         WatchCheck {
             watchers: match store_silent_ms < HEARTBEAT_LOG_TIMEOUT_MS {
-                true => known.ring.watchers_of(&own_name),
+                true => cached.ring.watchers_of(&own_name),
                 false => Vec::new(),
             },
             silent: silent.into_iter().filter_map(suspicion).collect(),
--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -116,7 +116,7 @@
     async fn submission(
         &self,
         id: &Arc<str>,
-        asked: &SubmissionRequest,
+        request: &SubmissionRequest,
         key: Option<KeyDigest>,
         head: &Parts,
     ) -> EdgeResponse {
@@ -135,10 +135,10 @@
         let Some(id) = scoped(pass.organisation().map(|name| &**name), id) else {
             return refusal(&Fault::new(ResultCode::UnknownSubmission, &**id), None);
         };
-        if let Some(answer) = self.ask_owner(&id, asked, head).await {
+        if let Some(answer) = self.ask_owner(&id, request, head).await {
             return answer;
         }
-        match asked {
+        match request {
             SubmissionRequest::Results { after, wait_ms } => {
                 self.submissions.results(&id, *after, *wait_ms).await
             }
@@ -151,10 +151,10 @@
     async fn ask_owner(
         &self,
         submission: &str,
-        asked: &SubmissionRequest,
+        request: &SubmissionRequest,
         head: &Parts,
     ) -> Option<EdgeResponse> {
-        let wait_ms = match asked {
+        let wait_ms = match request {
             SubmissionRequest::Results { wait_ms, .. } => *wait_ms,
             SubmissionRequest::Body { .. } | SubmissionRequest::End => 0,
         };
--- a/crates/borageshore_gateway/src/usage/mod.rs
+++ b/crates/borageshore_gateway/src/usage/mod.rs
@@ -12,4 +12,4 @@
 };
 
 /// The subject of the duty to report usage, the same for all windows.
-pub(crate) const USAGE: &str = "duty:usage";
+pub(crate) const USAGE_SUBJECT: &str = "duty:usage";
--- a/crates/borageshore_gateway/src/usage/reporter.rs
+++ b/crates/borageshore_gateway/src/usage/reporter.rs
@@ -7,7 +7,7 @@
 use borageshore_platform::{DutyClient, DutyHolder};
 use borageshore_usage::{Counts, UsageTiming, Window};
 
-use super::{USAGE, records::UsageReports, view::UsageView};
+use super::{USAGE_SUBJECT, records::UsageReports, view::UsageView};
 use crate::{duties::Duties, members::Members, store_transport::Store, true_time::SharedTime};
 
 /// The interval between checks for a due report; also the pause before a refused one is sent again.
@@ -53,7 +53,7 @@
             let view = view.get_or_insert_with(|| {
                 UsageView::spawn(&parts.store, parts.clock, parts.partitions)
             });
-            if parts.duties.may_act(USAGE) {
+            if parts.duties.may_act(USAGE_SUBJECT) {
                 self.report_next(at, view).await;
             }
             let first = parts.timing.first_retained(parts.time.unix_ms());
