--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -24,7 +24,7 @@
     access::{AuthorizedCaller, CallerAccess, Denial},
     endpoints::Endpoints,
     quarantine::{Held, Permit, Quarantine},
-    usage::{RequestUse, UsageCounter},
+    usage::{RequestUsage, UsageCounter},
 };
 
 /// The final response is sent this long before the caller's deadline, so that it arrives in time.
@@ -55,7 +55,7 @@
 struct PendingCall {
     outbound: OutboundRequest,
     caller: AuthorizedCaller,
-    request_use: RequestUse,
+    request_use: RequestUsage,
     content: OnceCell<Fingerprint>,
 }
 
@@ -117,7 +117,7 @@
         };
         let call = PendingCall {
             outbound,
-            request_use: RequestUse::begin(self.usage.as_ref(), caller.organisation()),
+            request_use: RequestUsage::begin(self.usage.as_ref(), caller.organisation()),
             caller,
             content: OnceCell::new(),
         };
--- a/crates/borageshore_gateway/src/cleaner.rs
+++ b/crates/borageshore_gateway/src/cleaner.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 
 use crate::{
-    ledger_view::Shard, members::Members, quarantine::Quarantine, store_path::Store,
+    ledger_view::Shard, members::Members, quarantine::Quarantine, store_transport::Store,
     submission_index::SubmissionIndex,
 };
 
@@ -47,7 +47,7 @@
             if !is_responsible {
                 continue;
             }
-            if let Err(error) = self.members.forget_dead(&self.store).await {
+            if let Err(error) = self.members.remove_expired(&self.store).await {
                 log::info!(error:% = error; "records of dead daemons not removed");
             }
             for id in self.index.expired(self.retention_ms, clock_skew_ms) {
@@ -62,7 +62,7 @@
     }
 
     fn is_responsible(&self) -> bool {
-        let eligible = self.members.able_names();
+        let eligible = self.members.eligible_names();
         let names = eligible.iter().map(|name| &**name);
         let responsible = rank_by_rendezvous("cleaner", names).into_iter().next();
         responsible == Some(&*self.members.own_name())
--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -1,5 +1,5 @@
-//! Duties of one daemon at a time: orders to engines, reports of usage. All are announced in one partition, so that
-//! one conditional append decides who holds them, and one waiting read a daemon tells of them.
+//! Duties that one daemon holds at a time: orders to engines and reports of usage. All are announced in one partition,
+//! so that one conditional append decides the holder and each daemon follows them by one long poll.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
@@ -14,30 +14,30 @@
     endpoints::Endpoints,
     follow::{Fold, FollowSpec, Follower, ONLY_PARTITION},
     members::Members,
-    store_path::Store,
-    usage::{ReportRecord, USAGE, UsageReports},
+    store_transport::Store,
+    usage::{ReportRecord, USAGE_SUBJECT, UsageReports},
 };
 
-/// The key of rounds of orders; readers that start late need the newest only.
+/// The key of all rounds of orders, as only the newest round is needed.
 const ROUND_KEY: &str = "round";
-/// What ranks the daemons where no holder is known; the same at all of them.
-const RANKED_BY: &str = "orders";
-/// What was announced leaves within this time of the append, or not at all.
-const SENT_WITHIN_MS: u64 = 500;
-/// What a call takes on its way, and the delay of a successor's own reads.
+/// The rendezvous key that selects a holder when none is known; the same on all daemons.
+const RANKING_KEY: &str = "orders";
+/// What was announced is sent within this time of the append, or not at all.
+const SEND_WINDOW_MS: u64 = 500;
+/// Margin for the latency of a call and of the successor's reads.
 const MARGIN_MS: u64 = 300;
 
-/// The announcements as all daemons see them.
+/// Folds the announcements; the same on all daemons.
 #[derive(Debug)]
 struct Announcements {
     endpoints: Rc<Endpoints>,
     usage: Rc<UsageReports>,
     leases: RefCell<OrderLeases>,
-    round_came: Notify,
+    round_announced: Notify,
 }
 
 impl Announcements {
-    fn take_round(&self, round: SwapRound) {
+    fn on_round(&self, round: SwapRound) {
         for (instance, model, version) in &round.done {
             self.endpoints.on_version(instance, model, *version);
             self.endpoints.on_load_done(instance);
@@ -51,15 +51,15 @@
         }
         let mut leases = self.leases.borrow_mut();
         leases.on_round(&round, boot_time_ms());
-        self.round_came.notify_waiters();
+        self.round_announced.notify_waiters();
     }
 }
 
 impl Announcements {
-    fn take_report(&self, report: &ReportRecord) {
-        self.usage.take(report);
+    fn on_report(&self, report: &ReportRecord) {
+        self.usage.on_report(report);
         let mut leases = self.leases.borrow_mut();
-        let subjects = [USAGE.into()];
+        let subjects = [USAGE_SUBJECT.into()];
         let duties = leases.duties_mut();
         duties.on_announcement(&report.holder, &subjects, &report.others, boot_time_ms());
     }
@@ -73,11 +73,11 @@
                 continue;
             };
             let taken = match UsageReports::decode(record) {
-                Some(report) => report.map(|report| self.take_report(&report)),
-                None => serde_json::from_slice(value).map(|round| self.take_round(round)),
+                Some(report) => report.map(|report| self.on_report(&report)),
+                None => serde_json::from_slice(value).map(|round| self.on_round(round)),
             };
             if let Err(error) = taken {
-                log::error!(key = &*record.key, error:% = error; "an announcement cannot be read");
+                log::error!(key = &*record.key, error:% = error; "cannot decode an announcement; ignoring it");
             }
         }
     }
@@ -87,37 +87,37 @@
     }
 }
 
-/// The duties, and whether this daemon holds them.
+/// Announces acts of duties, and tells whether this daemon holds the duties.
 ///
-/// Nobody checks who acts, and two holders must not take turns within the lease. An act is announced before it is
-/// sent, on the condition that nothing was appended since this daemon read the partition; so a holder that was
-/// replaced while it stood still cannot announce anything. It might have announced something just before: that leaves
-/// within [`SENT_WITHIN_MS`] of the append or not at all, and a new holder lets the lease of each subject pass.
+/// Receivers don't check the sender, so acts of two holders on one subject must be a lease apart. An act is announced
+/// before it is sent, by an append conditional on the offset up to which this daemon has read, so a paused holder that
+/// was replaced cannot announce. What it announced before is sent within [`SEND_WINDOW_MS`] of the append or not at
+/// all, and a new holder waits for the lease of each subject to expire.
 #[derive(Debug)]
 pub(crate) struct Duties {
     store: Store,
     members: Rc<Members>,
     announcements: Rc<Announcements>,
     follow: Rc<Follower<Announcements>>,
-    terms: DutyTiming,
+    timing: DutyTiming,
 }
 
-/// What was announced: its epoch, and until when it may be sent.
+/// Permission to send what was announced, with its epoch, within the send window.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Announced {
+pub(crate) struct SendPermit {
     pub(crate) epoch: u64,
     window: SendWindow,
 }
 
-impl Announced {
-    /// Says whether it may still be sent.
+impl SendPermit {
+    /// Whether the send window is still open.
     pub(crate) fn may_send(&self) -> bool {
         self.window.is_open(boot_time_ms())
     }
 }
 
 impl Duties {
-    /// Follows the duties; `lease_ms` is the least time between acts of two holders on one subject.
+    /// Follows the duties; `lease_ms` is the minimum time between acts of two holders on one subject.
     pub(crate) fn spawn(
         spec: FollowSpec,
         members: Rc<Members>,
@@ -125,82 +125,85 @@
         usage: Rc<UsageReports>,
         lease_ms: u64,
     ) -> Rc<Self> {
-        let terms = DutyTiming {
+        let timing = DutyTiming {
             lease_ms,
-            send_window_ms: SENT_WITHIN_MS,
+            send_window_ms: SEND_WINDOW_MS,
             margin_ms: MARGIN_MS,
         };
         let announcements = Rc::new(Announcements {
             endpoints,
             usage,
-            leases: RefCell::new(OrderLeases::open(boot_time_ms(), terms.takeover_delay_ms())),
-            round_came: Notify::new(),
+            leases: RefCell::new(OrderLeases::open(
+                boot_time_ms(),
+                timing.takeover_delay_ms(),
+            )),
+            round_announced: Notify::new(),
         });
         Rc::new(Self {
             store: spec.store.clone(),
             members,
             follow: Follower::spawn(spec, announcements.clone()),
             announcements,
-            terms,
+            timing,
         })
     }
 
-    /// Told when a round of orders was announced.
-    pub(crate) fn round_came(&self) -> Notified<'_> {
-        self.announcements.round_came.notified()
+    /// Notified when a round of orders was announced.
+    pub(crate) fn round_announced(&self) -> Notified<'_> {
+        self.announcements.round_announced.notified()
     }
 
-    /// Where the partition ends as far as this daemon has read, if it holds the duties: what it decides from here on is
-    /// announced on the condition that nothing came meanwhile.
-    pub(crate) fn position_if_held(&self) -> Option<u64> {
-        let able = self.members.able_names();
+    /// The next offset of the partition if this daemon holds the duties. Decisions made from here on are announced on
+    /// the condition that nothing is appended before them.
+    pub(crate) fn offset_if_holder(&self) -> Option<u64> {
+        let eligible = self.members.eligible_names();
         let holder = {
             let leases = self.announcements.leases.borrow();
             let last = leases.newest_holder();
-            select_holder(RANKED_BY, last, &able).map(Arc::<str>::from)
+            select_holder(RANKING_KEY, last, &eligible).map(Arc::<str>::from)
         };
         let is_own = holder.as_deref() == Some(&*self.members.own_name());
         self.follow.next_offset().filter(|_| is_own)
     }
 
-    /// Says whether this daemon may order an engine now.
+    /// Whether this daemon may send an order to an engine now.
     pub(crate) fn may_order(&self, engine: &str) -> bool {
         let leases = self.announcements.leases.borrow();
         leases.may_order(&self.members.own_name(), engine, boot_time_ms())
     }
 
-    /// Says whether this daemon may act on another subject than an engine now.
+    /// Whether this daemon may act now on a subject that is not an engine.
     pub(crate) fn may_act(&self, subject: &str) -> bool {
         let leases = self.announcements.leases.borrow();
         let own_name = self.members.own_name();
         leases.duties().may_act(&own_name, subject, boot_time_ms())
     }
 
-    /// The subjects that another holder may be acting on.
+    /// The subjects that other holders may be acting on.
     pub(crate) fn held_by_others(&self) -> Vec<Arc<str>> {
         let leases = self.announcements.leases.borrow();
         leases.ordered_by_others(&self.members.own_name(), boot_time_ms())
     }
 
     /// Announces a round of orders.
-    pub(crate) async fn announce_round(&self, at: u64, round: &SwapRound) -> Option<Announced> {
+    pub(crate) async fn announce_round(&self, at: u64, round: &SwapRound) -> Option<SendPermit> {
         let value = serde_json::to_vec(round).expect("plain data");
         self.announce(at, &[(ROUND_KEY.into(), value.into())]).await
     }
 
-    /// Announces what is about to be sent, if nothing was announced after `at`.
+    /// Announces what is about to be sent, if the partition still ends at offset `at`; `None` if it was not announced.
     pub(crate) async fn announce(
         &self,
         at: u64,
         records: &[(Arc<str>, Bytes)],
-    ) -> Option<Announced> {
-        let window = self.terms.send_window(boot_time_ms());
+    ) -> Option<SendPermit> {
+        let window = self.timing.send_window(boot_time_ms());
         let appended = self
             .store
             .append(Topic::Orders, ONLY_PARTITION, records, Some(at))
             .await;
         match appended {
-            Ok(appended) => Some(Announced {
+            Ok(appended) => Some(SendPermit {
                 epoch: appended.offset,
                 window,
             }),
@@ -209,7 +212,7 @@
                 None
             }
             Err(error) => {
-                log::warn!(error:% = error; "nothing can be announced, nothing is sent");
+                log::warn!(error:% = error; "announcement failed; nothing is sent");
                 None
             }
         }
--- a/crates/borageshore_gateway/src/follow.rs
+++ b/crates/borageshore_gateway/src/follow.rs
@@ -9,7 +9,7 @@
 use borageshore_net::{Clock, boot_time_ms, sleep_ms};
 use borageshore_platform::{KeyedRecord, Page, StoreError, Topic};
 
-use crate::store_path::Store;
+use crate::store_transport::Store;
 
 /// How long a read waits at the store for a record. A dead connection is detected when the response is late, so
 /// this limits the age that a view can reach unnoticed.
--- a/crates/borageshore_gateway/src/gateway.rs
+++ b/crates/borageshore_gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! The parts of a daemon, put together.
+//! Builds the parts of a daemon and runs it.
 
 use std::{io, path::PathBuf, rc::Rc};
 
@@ -21,7 +21,7 @@
     follow::{FollowSpec, Follower, ONLY_PARTITION, StartFrom},
     item::ItemContext,
     ledger_view::LedgerView,
-    life::{self, DrainTimes, Life, Signals},
+    lifecycle::{self, DrainTiming, Lifecycle, Signals},
     mechanisms::{Mechanism, Mechanisms},
     members::Members,
     orderer::{Orderer, OrdererParts},
@@ -32,7 +32,7 @@
     routes::Routes,
     runner::Runner,
     server::{MetricsPage, Server, server_limits},
-    store_path::{Store, StorePath, StoreRelay},
+    store_transport::{FailoverTransport, PeerHandler, Store},
     submission_index::SubmissionIndex,
     submissions::Submissions,
     text_cache::TextCache,
@@ -42,16 +42,16 @@
     writer::Writer,
 };
 
-/// The operator's and the endpoints' records matter at once.
-const AT_ONCE_MS: u64 = 0;
-/// What many daemons write when they start together is read together; a suspicion waits a fifth of the time
-/// that there is to refute it.
+/// For the operator's and the endpoints' records, which are applied without delay.
+const NO_PAUSE_MS: u64 = 0;
+/// The pause between reads of membership records: long enough that the records of daemons that start together are read
+/// together, short against the suspicion timeout.
 const MEMBERS_PAUSE_MS: u64 = 50;
-/// Two records a submission.
-const OPEN_PAUSE_MS: u64 = 10;
-/// Some callers keep a list of addresses for as many times its time to live.
-const LISTS_KEPT_TTLS: u64 = 3;
-/// Records of rounds come one at a time.
+/// The pause between reads of the index, which has two records for each submission.
+const INDEX_PAUSE_MS: u64 = 10;
+/// How long some callers keep an address list, as a multiple of its time to live.
+const ADDRESS_RETENTION_TTLS: u64 = 3;
+/// The pause between reads of orders, whose rounds are appended one at a time.
 const ORDERS_PAUSE_MS: u64 = 10;
 
 /// A running daemon.
@@ -61,33 +61,33 @@
     config_file: PathBuf,
     clock: Clock,
     store: Store,
-    life: Rc<Life>,
+    lifecycle: Rc<Lifecycle>,
     members: Rc<Members>,
     routes: Rc<Routes>,
     endpoints: Rc<Endpoints>,
-    open: Rc<Follower<SubmissionIndex>>,
+    index: Rc<Follower<SubmissionIndex>>,
     usage: Option<Rc<UsageCounter>>,
     runner: Rc<Runner>,
     writer: Rc<Writer>,
-    /// Those of callers and of peers.
+    /// The servers for callers and for peers.
     servers: Vec<HttpServer>,
     _metrics: HttpServer,
 }
 
 impl Gateway {
-    /// Binds the addresses of a configuration and starts a daemon on the present event loop.
+    /// Binds the addresses of a configuration and starts a daemon on the current event loop.
     pub fn spawn(config: GatewayConfig, config_file: PathBuf) -> io::Result<Self> {
         let clock = Clock::start();
         let instruments = Rc::new(Instruments::open());
-        // Rises with every start, as long as the VM's clock is not set back by more than a life.
+        // Increases with every start unless the VM's clock was set back by more than the previous run.
         let incarnation = jiff::Timestamp::now().as_millisecond() as u64;
         let mechanisms = Rc::new(Mechanisms::without(config.mechanisms_off.clone()));
-        let store_path = StorePath::open(
+        let transport = FailoverTransport::open(
             config.store_address.clone(),
             clock,
             mechanisms.is_enabled(Mechanism::StoreDetour),
         );
-        let store = Store::open(store_path.clone());
+        let store = Store::open(transport.clone());
         let client = EndpointClient::open();
         let seed = rendezvous_weight(&config.name, &incarnation.to_string());
         let routes = Rc::new(Routes::default());
@@ -99,11 +99,7 @@
             client.clone(),
             mechanisms.clone(),
         );
-        let members = Members::open(
-            own_presence(&config, incarnation),
-            clock,
-            store_path.clone(),
-        );
+        let members = Members::open(own_presence(&config, incarnation), clock, transport.clone());
         let quarantine = Quarantine::spawn(
             store.clone(),
             members.clone(),
@@ -111,7 +107,7 @@
             clock,
             instruments.clone(),
         );
-        // The boot clock tells two lives apart whose clock shows the same time.
+        // The boot clock distinguishes two incarnations with the same time of day.
         let author = format!("{}.{incarnation}.{}", config.name, boot_time_ms());
         let partitions = config.store_partitions;
         let view = LedgerView::spawn(store.clone(), partitions, clock);
@@ -164,14 +160,14 @@
             clock,
             pause_ms,
         };
-        let followed_routes = Follower::spawn(spec(Topic::Operator, AT_ONCE_MS), routes.clone());
+        let followed_routes = Follower::spawn(spec(Topic::Operator, NO_PAUSE_MS), routes.clone());
         let access = CallerAccess::open(
             routes.clone(),
             followed_routes,
             config.key_revocation_ms,
             instruments.clone(),
         );
-        Follower::spawn(spec(Topic::Endpoints, AT_ONCE_MS), endpoints.clone());
+        Follower::spawn(spec(Topic::Endpoints, NO_PAUSE_MS), endpoints.clone());
         let fleet_records = FleetRecords {
             members: members.clone(),
             quarantine: quarantine.clone(),
@@ -180,7 +176,7 @@
             spec(Topic::Members, MEMBERS_PAUSE_MS),
             Rc::new(fleet_records),
         );
-        let open = Follower::spawn(spec(Topic::Index, OPEN_PAUSE_MS), index.clone());
+        let followed_index = Follower::spawn(spec(Topic::Index, INDEX_PAUSE_MS), index.clone());
         let orders = spec(Topic::Orders, ORDERS_PAUSE_MS);
         let time = SharedTime::spawn(members.clone());
         let reports = Rc::<UsageReports>::default();
@@ -227,11 +223,11 @@
         };
         monoio::spawn(cleaner.run());
         monoio::spawn(members.clone().announce(store.clone()));
-        monoio::spawn(members.clone().note_deaths());
+        monoio::spawn(members.clone().expire_suspicions());
         Watch::bind(&config.peer_address, members.clone(), store.clone())?;
-        let life = Life::open();
+        let lifecycle = Lifecycle::open();
         let server = Server {
-            life: life.clone(),
+            lifecycle: lifecycle.clone(),
             routes: routes.clone(),
             members: members.clone(),
             access: access.clone(),
@@ -258,8 +254,8 @@
             .into_iter()
             .map(|address| bind(address))
             .collect::<io::Result<Vec<HttpServer>>>()?;
-        let relay = StoreRelay {
-            path: store_path,
+        let relay = PeerHandler {
+            path: transport,
             quarantine,
             time,
         };
@@ -270,7 +266,7 @@
         )?);
         let metrics_page = MetricsPage {
             instruments,
-            life: life.clone(),
+            lifecycle: lifecycle.clone(),
         };
         let metrics = HttpServer::bind(&config.metrics_address, server_limits(), metrics_page)?;
         log::info!(zone = &*config.zone, http_address = &*config.http_address, incarnation; "daemon started");
@@ -279,11 +275,11 @@
             config_file,
             clock,
             store,
-            life,
+            lifecycle,
             members,
             routes,
             endpoints,
-            open,
+            index: followed_index,
             usage,
             runner,
             writer,
@@ -295,11 +291,11 @@
     /// Serves until SIGTERM or SIGINT, then stops gracefully.
     pub async fn run_until_stopped(&self) -> io::Result<()> {
         Signals::open()?.wait_for_stop(self).await;
-        let times = DrainTimes {
+        let timing = DrainTiming {
             grace_ms: self.config.stop_grace_s * 1_000,
-            lists_kept_ms: LISTS_KEPT_TTLS * self.config.address_ttl_s * 1_000,
+            address_retention_ms: ADDRESS_RETENTION_TTLS * self.config.address_ttl_s * 1_000,
         };
-        life::drain(self, &self.servers, times).await;
+        lifecycle::drain(self, &self.servers, timing).await;
         Ok(())
     }
 
@@ -307,56 +303,55 @@
         self.clock.now_ms()
     }
 
-    /// Becomes ready once routes, endpoints and submissions are known, and stays so: an outage of
-    /// the store leaves a view that is good enough to serve by.
+    /// Becomes ready once routes, endpoints and the submission index have been read. It stays ready during an outage of
+    /// the store and serves from its last view.
     pub(crate) fn follow_readiness(&self) {
         let is_known = self.routes.is_known()
             && self.endpoints.is_known()
-            && self.open.next_offset().is_some();
-        if is_known && self.life.state() == PresenceState::Starting {
-            self.life.enter(PresenceState::Ready, &self.members);
+            && self.index.next_offset().is_some();
+        if is_known && self.lifecycle.state() == PresenceState::Starting {
+            self.lifecycle.enter(PresenceState::Ready, &self.members);
         }
     }
 
-    /// Reads the settings again. Addresses and sizes hold until the next start; what is checked here
-    /// is whether that start would succeed.
+    /// Reads the settings again and logs faults. Nothing is applied before the next start.
     pub(crate) fn reload(&self) {
         let file = self.config_file.display().to_string();
         let text = std::fs::read_to_string(&self.config_file);
         let parsed = text.map(|text| GatewayConfig::parse(&file, &text));
         match parsed {
-            Ok(Ok(_)) => log::info!(file; "settings read again, no faults"),
-            Ok(Err(fault)) => log::error!(file, fault:? = fault; "settings have a fault"),
-            Err(error) => log::error!(file, error:% = error; "settings cannot be read"),
+            Ok(Ok(_)) => log::info!(file; "settings are valid for the next start"),
+            Ok(Err(fault)) => log::error!(file, fault:? = fault; "settings file is invalid"),
+            Err(error) => log::error!(file, error:% = error; "cannot read the settings file"),
         }
     }
 
     pub(crate) fn poll_ms(&self) -> u64 {
-        self.life.poll_ms()
+        self.lifecycle.poll_ms()
     }
 
     pub(crate) fn enter_draining(&self) {
-        self.life.enter(PresenceState::Draining, &self.members);
+        self.lifecycle.enter(PresenceState::Draining, &self.members);
     }
 
-    /// Says whether no request, submission or result is under way.
+    /// Whether no request or submission is in progress and nothing is left to write.
     pub(crate) fn is_idle(&self) -> bool {
-        self.life.in_flight() == 0
+        self.lifecycle.in_flight() == 0
             && self.runner.running_count() == 0
             && self.writer.unwritten() == 0
             && !self
                 .usage
                 .as_ref()
-                .is_some_and(|usage| usage.is_unwritten())
+                .is_some_and(|usage| usage.has_unwritten())
     }
 
-    /// Takes this daemon's record out of the store, so that others need not wait for its silence.
+    /// Removes this daemon's presence record, so that others need not wait for missing heartbeats.
     pub(crate) async fn leave(&self) {
         self.members.leave(&self.store).await;
     }
 }
 
-/// What counting and reporting of usage need of the rest.
+/// What counting and reporting of usage need of the rest of the daemon.
 #[derive(Debug)]
 struct UsageParts {
     duties: Rc<Duties>,
@@ -368,19 +363,19 @@
     instruments: Rc<Instruments>,
 }
 
-/// Counts and reports usage, if the platform wants to know of it.
+/// Starts the counter and the reporter of usage, if the settings ask for reports.
 fn spawn_usage(config: &GatewayConfig, parts: UsageParts) -> Option<Rc<UsageCounter>> {
     let duties = config.duties.as_ref()?;
-    let times = duties.usage_times()?;
+    let timing = duties.usage_timing()?;
     let counter = UsageCounter::spawn(
-        times,
+        timing,
         parts.time.clone(),
         parts.store.clone(),
         parts.members.clone(),
         config.store_partitions,
     );
     Reporter::spawn(ReporterParts {
-        times,
+        timing,
         client: DutyClient::open(duties.address.clone()),
         duties: parts.duties,
         reports: parts.reports,
--- a/crates/borageshore_gateway/src/ledger_view.rs
+++ b/crates/borageshore_gateway/src/ledger_view.rs
@@ -15,7 +15,7 @@
 
 use crate::{
     follow::{Fold, FollowSpec, Follower, StartFrom},
-    store_path::Store,
+    store_transport::Store,
 };
 
 /// The pause between reads of a shard: results come in bursts, and reading them together saves most of the reads.
--- a/crates/borageshore_gateway/src/members/mod.rs
+++ b/crates/borageshore_gateway/src/members/mod.rs
@@ -1,4 +1,4 @@
-//! Which daemons live: what each writes of itself, and of those that it watches, to the store.
+//! Membership: which daemons are alive, by the presence records and suspicions in the store.
 
 mod writing;
 
@@ -17,63 +17,63 @@
 use borageshore_platform::KeyedRecord;
 use tokio::sync::Notify;
 
-use crate::{follow::Fold, store_path::StorePath};
+use crate::{follow::Fold, store_transport::FailoverTransport};
 
-/// What the key of a suspicion begins with; the name of the suspected daemon follows.
+/// The prefix of a suspicion's key; the name of the suspected daemon follows.
 const SUSPICION_PREFIX: &str = "suspect/";
-/// Fewer addresses of one zone leave a caller without a choice when one of them fails.
-const LEAST_ADDRESSES: usize = 2;
+/// With fewer addresses in its zone, a caller is also given addresses of other zones, so that it can fail over.
+const MIN_ADDRESSES: usize = 2;
 
-/// This daemon among the others.
+/// This daemon's view of the members, and its own presence.
 #[derive(Debug)]
 pub(crate) struct Members {
     own: RefCell<Presence>,
     table: RefCell<PresenceTable>,
     clock: Clock,
-    store_path: StorePath,
+    transport: FailoverTransport,
     watch: RefCell<WatchTable>,
-    ring: RefCell<KnownRing>,
+    ring: RefCell<CachedRing>,
     has_left: Cell<bool>,
-    write_at_once: Notify,
+    write_requested: Notify,
     suspected: Notify,
-    /// Told when something of a daemon changed.
+    /// Notified when a member's state changes.
     pub(crate) changed: Notify,
 }
 
-/// The ring of daemons as of a number of changes.
+/// The watch ring, cached until the presence table changes.
 #[derive(Debug, Default)]
-struct KnownRing {
+struct CachedRing {
     ring: WatchRing,
-    as_of_changes: Option<u64>,
+    table_changes: Option<u64>,
 }
 
-/// What a look at those that this daemon watches asks for.
+/// The result of a check of the daemons that this one watches.
 #[derive(Debug)]
-pub(crate) struct Look {
-    /// Where its own watchers are; nowhere if it must not say that it lives.
+pub(crate) struct WatchCheck {
+    /// The addresses for its heartbeats; empty if it must not send any.
     pub(crate) watchers: Vec<Arc<str>>,
-    /// The daemons that it suspects from now on.
+    /// Newly suspected daemons.
     pub(crate) silent: Vec<Suspicion>,
 }
 
 impl Members {
-    pub(crate) fn open(own: Presence, clock: Clock, store_path: StorePath) -> Rc<Self> {
+    pub(crate) fn open(own: Presence, clock: Clock, transport: FailoverTransport) -> Rc<Self> {
         Rc::new(Self {
             own: RefCell::new(own),
             table: RefCell::default(),
             clock,
-            store_path,
+            transport,
             watch: RefCell::default(),
             ring: RefCell::default(),
             has_left: Cell::default(),
-            write_at_once: Notify::new(),
+            write_requested: Notify::new(),
             suspected: Notify::new(),
             changed: Notify::new(),
         })
     }
 
-    /// Takes suspicions for deaths when their time is over.
-    pub(crate) async fn note_deaths(self: Rc<Self>) {
+    /// Declares suspected daemons dead when the suspicion timeout has passed without a refutation.
+    pub(crate) async fn expire_suspicions(self: Rc<Self>) {
         loop {
             self.suspected.notified().await;
             sleep_ms(SUSPICION_TIMEOUT_MS).await;
@@ -85,12 +85,12 @@
         let now_ms = self.clock.now_ms();
         let has_died = self.table.borrow_mut().advance(now_ms);
         if has_died {
-            self.follow_peers();
+            self.update_peers();
             self.changed.notify_waiters();
         }
     }
 
-    /// Takes over a heartbeat; one of an earlier incarnation is late.
+    /// Records a heartbeat; those of earlier incarnations are ignored.
     pub(crate) fn on_heartbeat(&self, name: &str, incarnation: u64) {
         if self.table.borrow().incarnation_of(name) <= Some(incarnation) {
             let now_ms = self.clock.now_ms();
@@ -98,20 +98,20 @@
         }
     }
 
-    /// Looks who of those that this daemon watches has gone silent.
-    pub(crate) fn look(&self) -> Look {
+    /// Checks the watched daemons for missing heartbeats.
+    pub(crate) fn check_watched(&self) -> WatchCheck {
         self.advance();
         let now_ms = self.clock.now_ms();
         let own_name = self.own_name();
         let table = self.table.borrow();
         let mut watch = self.watch.borrow_mut();
-        let mut known = self.ring.borrow_mut();
-        if known.as_of_changes != Some(table.changes()) {
-            known.ring = WatchRing::of(table.live());
-            known.as_of_changes = Some(table.changes());
-            watch.set_watched(known.ring.watched_by(&own_name), now_ms);
+        let mut cached = self.ring.borrow_mut();
+        if cached.table_changes != Some(table.changes()) {
+            cached.ring = WatchRing::of(table.live());
+            cached.table_changes = Some(table.changes());
+            watch.set_watched(cached.ring.watched_by(&own_name), now_ms);
         }
-        let store_silent_ms = self.store_path.silent_ms();
+        let store_silent_ms = self.transport.silent_ms();
         let silent = match store_silent_ms < WATCHER_LOG_TIMEOUT_MS {
             true => watch.take_silent(now_ms),
             false => {
@@ -126,20 +126,20 @@
                 by: own_name.clone(),
             })
         };
-        Look {
+        WatchCheck {
             watchers: match store_silent_ms < HEARTBEAT_LOG_TIMEOUT_MS {
-                true => known.ring.watchers_of(&own_name),
+                true => cached.ring.watchers_of(&own_name),
                 false => Vec::new(),
             },
             silent: silent.into_iter().filter_map(suspicion).collect(),
         }
     }
 
-    /// Raises this daemon's incarnation over that of an earlier life.
+    /// Raises this daemon's incarnation above that of its previous run.
     ///
-    /// Guards against a clock that was set back between two starts: all daemons would take the
-    /// records of the present life for late ones of an earlier life, and this one for dead.
-    fn outlive(&self, record: &KeyedRecord) {
+    /// Guards against a clock that was set back between two starts: other daemons would discard this run's
+    /// records as stale and consider the daemon dead.
+    fn raise_incarnation(&self, record: &KeyedRecord) {
         let mut own = self.own.borrow_mut();
         if record.key != own.name {
             return;
@@ -149,14 +149,14 @@
         if let Ok(earlier) = earlier
             && earlier.incarnation > own.incarnation
         {
-            log::warn!(earlier = earlier.incarnation, own = own.incarnation; "the clock was set back between two starts");
+            log::warn!(earlier = earlier.incarnation, own = own.incarnation; "clock was set back since the previous start; raising the incarnation");
             own.incarnation = earlier.incarnation + 1;
-            self.write_at_once.notify_one();
+            self.write_requested.notify_one();
         }
     }
 
     /// This daemon's name and incarnation.
-    pub(crate) fn own_life(&self) -> (Arc<str>, u64) {
+    pub(crate) fn own_identity(&self) -> (Arc<str>, u64) {
         let own = self.own.borrow();
         (own.name.clone(), own.incarnation)
     }
@@ -166,34 +166,34 @@
         self.own.borrow().name.clone()
     }
 
-    /// Changes what this daemon says of itself, and says it at once.
+    /// Sets this daemon's state and publishes it at once.
     pub(crate) fn set_state(&self, state: PresenceState) {
         if std::mem::replace(&mut self.own.borrow_mut().state, state) != state {
-            // Its own work need not wait until its record has come back from the store, 0.1 s; but as
-            // long as it knows no other daemon it would take the work of all.
+            // Applied before the record comes back from the store. Not while no other daemon is known: this one
+            // would take the work of all.
             if self.table.borrow().is_known() {
                 let own = self.own.borrow().clone();
                 self.table.borrow_mut().on_presence(own);
                 self.changed.notify_waiters();
             }
-            self.write_at_once.notify_one();
+            self.write_requested.notify_one();
         }
     }
 
-    /// Says which work this daemon runs.
+    /// Sets which work this daemon runs, and publishes it at once.
     pub(crate) fn set_holds(&self, holds: Vec<Arc<str>>) {
         if self.own.borrow().holds != holds {
             self.own.borrow_mut().holds = holds;
-            self.write_at_once.notify_one();
+            self.write_requested.notify_one();
         }
     }
 
-    /// Says whether this daemon runs a piece of work; `key` decides where nobody holds it yet.
+    /// Whether this daemon owns a piece of work; if nobody holds it, the rendezvous hash of `key` decides.
     pub(crate) fn owns(&self, work: &str, key: &str) -> bool {
         let own = self.own.borrow();
         let table = self.table.borrow();
         if own.holds.iter().any(|held| &**held == work) {
-            // Two that both hold it know of each other by their records; the later name yields.
+            // If two daemons hold it, the one with the greater name yields.
             return table
                 .holder_of(work)
                 .is_none_or(|holder| holder >= &*own.name);
@@ -202,7 +202,7 @@
     }
 
     /// The number of daemons that run submissions.
-    pub(crate) fn holders(&self) -> usize {
+    pub(crate) fn holder_count(&self) -> usize {
         let table = self.table.borrow();
         table
             .live()
@@ -210,56 +210,56 @@
             .count()
     }
 
-    /// Where the daemon is asked that has a submission's records: the one that runs it, else one for
-    /// all readers; `None` if that is this one.
-    pub(crate) fn home_of(&self, submission: &str) -> Option<Arc<str>> {
+    /// The address of the daemon that answers reads of a submission: its holder, else the one that the rendezvous
+    /// hash selects; `None` if that is this daemon.
+    pub(crate) fn owner_address(&self, submission: &str) -> Option<Arc<str>> {
         let table = self.table.borrow();
-        let home = table.owner_of(submission, submission)?;
-        if home == &*self.own.borrow().name {
+        let owner = table.owner_of(submission, submission)?;
+        if owner == &*self.own.borrow().name {
             return None;
         }
-        table.address_of(home)
+        table.address_of(owner)
     }
 
-    /// Says whether this daemon is the one for a piece of work that nobody holds, as far as it knows who lives.
+    /// Whether this daemon is selected, by its view of the members, for a piece of work that nobody holds.
     pub(crate) fn is_first_for(&self, work: &str) -> bool {
         self.table.borrow().owner_of(work, work) == Some(&*self.own.borrow().name)
     }
 
-    /// Where some other daemons are that take work, each time others.
-    pub(crate) fn some_peers(&self, count: usize) -> Vec<Arc<str>> {
+    /// HTTP addresses of up to `count` other eligible daemons, in an order that varies with time.
+    pub(crate) fn pick_eligible(&self, count: usize) -> Vec<Arc<str>> {
         let own_name = self.own_name();
         let table = self.table.borrow();
-        let turn = self.clock.now_ms().to_string();
+        let salt = self.clock.now_ms().to_string();
         let others = table.eligible().filter(|name| *name != &*own_name);
-        let ranked = rank_by_rendezvous(&turn, others);
-        let chosen = ranked.into_iter().take(count);
-        chosen.filter_map(|name| table.address_of(name)).collect()
+        let ranked = rank_by_rendezvous(&salt, others);
+        let picked = ranked.into_iter().take(count);
+        picked.filter_map(|name| table.address_of(name)).collect()
     }
 
-    /// Where some other daemons are told of crashes, each time others.
-    pub(crate) fn some_relays(&self, count: usize) -> Vec<Arc<str>> {
+    /// Peer addresses of up to `count` other daemons, in an order that varies with time.
+    pub(crate) fn pick_peer_addresses(&self, count: usize) -> Vec<Arc<str>> {
         let own = self.own.borrow();
         let relays = self.table.borrow().peer_addresses(&own.name, &own.zone);
-        let turn = self.clock.now_us().to_string();
-        let ranked = rank_by_rendezvous(&turn, relays.iter().map(|relay| &**relay));
+        let salt = self.clock.now_us().to_string();
+        let ranked = rank_by_rendezvous(&salt, relays.iter().map(|relay| &**relay));
         ranked.into_iter().take(count).map(Into::into).collect()
     }
 
-    /// The daemons that live.
+    /// The number of live daemons.
     pub(crate) fn count(&self) -> usize {
         self.table.borrow().live().count()
     }
 
-    /// The names of the daemons that take work of others.
-    pub(crate) fn able_names(&self) -> Vec<Arc<str>> {
+    /// The names of the daemons that are eligible for work.
+    pub(crate) fn eligible_names(&self) -> Vec<Arc<str>> {
         self.table.borrow().eligible().map(Into::into).collect()
     }
 
-    /// The addresses for a caller of a zone.
+    /// The HTTP addresses for a caller in a zone.
     pub(crate) fn addresses_for(&self, zone: &str) -> Vec<Arc<str>> {
         let own = self.own.borrow();
-        let mut addresses = self.table.borrow().addresses_for(zone, LEAST_ADDRESSES);
+        let mut addresses = self.table.borrow().addresses_for(zone, MIN_ADDRESSES);
         if addresses.is_empty() && own.state == PresenceState::Ready {
             addresses.push(own.http_address.clone());
         }
@@ -271,18 +271,18 @@
 }
 
 impl Members {
-    fn follow_peers(&self) {
+    fn update_peers(&self) {
         let own = self.own.borrow();
         let peers = self.table.borrow().peer_addresses(&own.name, &own.zone);
-        self.store_path.set_peers(peers);
+        self.transport.set_peers(peers);
     }
 
     fn on_own_record(&self, record: &KeyedRecord) {
-        self.outlive(record);
+        self.raise_incarnation(record);
         let is_removed = record.value.is_none() && record.key == self.own.borrow().name;
         if is_removed && !self.has_left.get() {
-            // Another daemon took this one for dead for long.
-            self.write_at_once.notify_one();
+            // Another daemon removed the record as that of a dead daemon.
+            self.write_requested.notify_one();
         }
     }
 
@@ -295,7 +295,7 @@
             self.suspected.notify_one();
         } else if suspicion.incarnation == own.incarnation {
             log::warn!(by = &*suspicion.by; "this daemon is suspected and says that it lives");
-            self.write_at_once.notify_one();
+            self.write_requested.notify_one();
         }
     }
 
@@ -326,10 +326,10 @@
         for record in records {
             self.on_own_record(record);
             if let Err(error) = self.on_record(record) {
-                log::error!(member = &*record.key, error:% = error; "a daemon's record cannot be read");
+                log::error!(member = &*record.key, error:% = error; "cannot decode a membership record; ignoring it");
             }
         }
-        self.follow_peers();
+        self.update_peers();
         self.changed.notify_waiters();
     }
 
--- a/crates/borageshore_gateway/src/members/writing.rs
+++ b/crates/borageshore_gateway/src/members/writing.rs
@@ -1,4 +1,4 @@
-//! What this daemon writes of itself and of those that it watches.
+//! Writes this daemon's presence record and its suspicions to the store.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -8,15 +8,15 @@
 use bytes::Bytes;
 
 use super::{Members, SUSPICION_PREFIX};
-use crate::{follow::ONLY_PARTITION, store_path::Store};
+use crate::{follow::ONLY_PARTITION, store_transport::Store};
 
-/// The pause before a record that could not be written is written again: others may wait for it.
-const WRITE_AGAIN_MS: u64 = 500;
+/// The pause before a failed write of the presence record is repeated.
+const RETRY_INTERVAL_MS: u64 = 500;
 
 impl Members {
-    /// Writes what this daemon says of itself, at each change and now and then, until it leaves.
+    /// Writes this daemon's presence record at each change and periodically, until it leaves.
     pub(crate) async fn announce(self: Rc<Self>, store: Store) {
-        let mut is_lost = false;
+        let mut is_failing = false;
         while !self.has_left.get() {
             let key = self.own.borrow().name.clone();
             let value = serde_json::to_vec(&*self.own.borrow()).expect("plain data");
@@ -26,22 +26,22 @@
                 .await;
             let pause_ms = self.table.borrow().record_interval_ms();
             let pause_ms = match &written {
-                // This record is also what tries out a closed way to the store.
-                Ok(_) if self.store_path.is_detour() => pause_ms.min(PROBE_INTERVAL_MS),
+                // The record also probes the direct route to the store.
+                Ok(_) if self.transport.uses_peers() => pause_ms.min(PROBE_INTERVAL_MS),
                 Ok(_) => pause_ms,
-                Err(_) => WRITE_AGAIN_MS,
+                Err(_) => RETRY_INTERVAL_MS,
             };
             if let Err(error) = &written
-                && !is_lost
+                && !is_failing
             {
                 log::warn!(error:% = error; "this daemon's record does not reach the store");
             }
-            is_lost = written.is_err();
-            within_ms(pause_ms, self.write_at_once.notified()).await;
+            is_failing = written.is_err();
+            within_ms(pause_ms, self.write_requested.notified()).await;
         }
     }
 
-    /// Writes suspicions; others take them for deaths unless they are refuted.
+    /// Writes suspicions; unless refuted in time, their daemons are declared dead.
     pub(crate) async fn suspect(&self, store: &Store, silent: &[Suspicion]) {
         let record = |suspicion: &Suspicion| {
             let key = format!("{SUSPICION_PREFIX}{}", suspicion.name);
@@ -56,7 +56,7 @@
         match written {
             Ok(_) => log::warn!(silent:? = names; "daemons are silent"),
             Err(error) => {
-                log::info!(silent:? = names, error:% = error; "daemons are silent, and the store does not take it");
+                log::info!(silent:? = names, error:% = error; "daemons are silent, but their suspicions could not be written to the store");
                 let now_ms = self.clock.now_ms();
                 let mut watch = self.watch.borrow_mut();
                 for name in names {
@@ -66,13 +66,13 @@
         }
     }
 
-    /// Removes the records of daemons that have been dead for long.
+    /// Removes expired records of dead daemons.
     ///
-    /// Guards against a start that reads all VMs of a year: the store keeps the newest record of each for good,
-    /// and thousands are replaced a day.
-    pub(crate) async fn forget_dead(&self, store: &Store) -> Result<(), StoreError> {
-        let forgotten = self.table.borrow().expired();
-        let keys = forgotten
+    /// The store keeps the newest record of each key forever, so a start would read the records of every VM that was
+    /// ever replaced.
+    pub(crate) async fn remove_expired(&self, store: &Store) -> Result<(), StoreError> {
+        let expired = self.table.borrow().expired();
+        let keys = expired
             .iter()
             .flat_map(|name| [name.clone(), format!("{SUSPICION_PREFIX}{name}").into()]);
         let removals: Vec<(Arc<str>, Bytes)> = keys.map(|key| (key, Bytes::new())).collect();
@@ -82,11 +82,11 @@
         store
             .append(Topic::Members, ONLY_PARTITION, &removals, None)
             .await?;
-        log::info!(daemons:? = forgotten; "records of daemons removed that have been dead for long");
+        log::info!(daemons:? = expired; "records of daemons removed that have been dead for long");
         Ok(())
     }
 
-    /// Removes this daemon's record; one on its way may still come after it.
+    /// Removes this daemon's record; a presence record still in flight may be stored after the removal.
     pub(crate) async fn leave(&self, store: &Store) {
         self.has_left.set(true);
         let record = [(self.own_name(), Bytes::new())];
@@ -94,7 +94,7 @@
             .append(Topic::Members, ONLY_PARTITION, &record, None)
             .await;
         if let Err(error) = removed {
-            log::info!(error:% = error; "the end did not reach the store, others learn it by silence");
+            log::info!(error:% = error; "could not remove this daemon's record; others detect its end by missing heartbeats");
         }
     }
 }
--- a/crates/borageshore_gateway/src/orderer.rs
+++ b/crates/borageshore_gateway/src/orderer.rs
@@ -1,4 +1,4 @@
-//! Orders to engines: one daemon at a time brings them to the versions that trainers name.
+//! Orders engines to load the versions that trainers name, on one daemon at a time.
 
 use std::{cell::RefCell, pin::pin, rc::Rc, sync::Arc};
 
@@ -13,27 +13,26 @@
 use futures_util::future::{join_all, select};
 
 use crate::{
-    duties::{Announced, Duties},
+    duties::{Duties, SendPermit},
     endpoints::Endpoints,
     members::Members,
     routes::Routes,
     submission_index::SubmissionIndex,
 };
 
-/// The pace at which engines under order are asked whether they are done; their reports are 100 to
-/// 200 ms old.
+/// The interval at which engines with pending orders are polled; their reports are 100 to 200 ms old.
 const POLL_MS: u64 = 80;
-/// A load takes 0.9 s: no engine is asked before.
+/// The delay of the first poll after an order, a little less than the 0.9 s that a load takes.
 const FIRST_POLL_MS: u64 = 800;
-/// An order that does not show at its engine by then was lost, or comes late; it is given again.
-const ORDER_LOST_MS: u64 = 2_600;
-/// Where there is nothing to do, the state is looked at again after this time.
+/// An order that its engine has not carried out by then is dropped and may be sent again.
+const ORDER_TIMEOUT_MS: u64 = 2_600;
+/// The longest pause between two rounds without pending orders.
 const IDLE_MS: u64 = 1_000;
 
 #[derive(Debug, Clone)]
-struct UnderWay {
+struct SentOrder {
     target: ModelVersion,
-    since_ms: u64,
+    sent_at_ms: u64,
 }
 
 /// What the orderer needs of the rest of the daemon.
@@ -49,18 +48,18 @@
     pub(crate) limits: SwapLimits,
 }
 
-/// Gives orders while this daemon is the one that may ([`Duties`]).
+/// Sends orders while this daemon holds the duties ([`Duties`]).
 #[derive(Debug)]
 pub(crate) struct Orderer {
     parts: OrdererParts,
-    under_way: RefCell<SortedMap<Arc<str>, UnderWay>>,
+    pending: RefCell<SortedMap<Arc<str>, SentOrder>>,
 }
 
 impl Orderer {
     pub(crate) fn spawn(parts: OrdererParts) {
         let orderer = Rc::new(Self {
             parts,
-            under_way: RefCell::default(),
+            pending: RefCell::default(),
         });
         monoio::spawn(orderer.run());
     }
@@ -68,8 +67,8 @@
     async fn run(self: Rc<Self>) {
         loop {
             let named = pin!(self.parts.routes.version_named.notified());
-            let round = pin!(self.parts.duties.round_came());
-            let is_busy = match self.parts.duties.position_if_held() {
+            let round = pin!(self.parts.duties.round_announced());
+            let is_busy = match self.parts.duties.offset_if_holder() {
                 Some(at) => self.step(at).await,
                 None => false,
             };
@@ -81,9 +80,9 @@
         }
     }
 
-    /// Looks at the engines under order and gives the next orders; says whether it waits for any.
+    /// Collects completed orders and sends the next ones; returns whether any order may be pending.
     async fn step(&self, at: u64) -> bool {
-        let done = self.collect_done().await;
+        let done = self.collect_completed().await;
         let targets = self.parts.endpoints.engine_targets();
         let reports = match self.plan(&targets, &[]).is_empty() {
             true => Vec::new(),
@@ -91,7 +90,7 @@
         };
         let planned = self.plan(&targets, &reports);
         if planned.is_empty() && done.is_empty() {
-            return !self.under_way.borrow().is_empty();
+            return !self.pending.borrow().is_empty();
         }
         let order = |(instance, version): (Arc<str>, ModelVersion)| {
             let reported = reports
@@ -105,22 +104,21 @@
         true
     }
 
-    /// The next orders; with reports, only engines that answered and carry out no order get one.
+    /// Plans the next orders; an engine without a report counts as not busy.
     ///
-    /// What loads is known from the orders that this daemon gave, and from the engines themselves. Orders of
-    /// rounds that were read are not counted: after a full stop the newest, of whatever age, took up all
-    /// loads at once for 3 s, and a step waited 4.1 s for a slot at engines that were two versions behind.
+    /// Loading engines are known by this daemon's orders and the engines' reports. Orders of followed rounds don't
+    /// count: after a restart of all daemons, the newest round, however old, would use up the limit of parallel loads.
     fn plan(
         &self,
         targets: &[EndpointTarget],
         reports: &[(EndpointTarget, EngineReport)],
     ) -> Vec<(Arc<str>, ModelVersion)> {
-        let under_way = self.under_way.borrow();
+        let pending = self.pending.borrow();
         let state = |target: &EndpointTarget| {
             let report = reports.iter().find(|(asked, _)| asked == target);
             EngineState {
                 instance: target.instance.clone(),
-                is_loading: under_way.contains_key(&target.instance)
+                is_loading: pending.contains_key(&target.instance)
                     || report.is_some_and(|(_, report)| report.is_busy),
                 is_leased: !self.parts.duties.may_order(&target.instance),
                 running: report.map_or(0, |(_, report)| report.running),
@@ -133,7 +131,7 @@
         endpoints.with_versions(|versions| plan_round(&engines, versions, &models, limits))
     }
 
-    /// All models that engines serve; one whose trainer has named no version yet wants none.
+    /// The target of each model that engines serve; version 0 if its trainer has not named one.
     fn models(&self) -> Vec<ModelTarget> {
         let named = self.parts.routes.named_versions();
         let target = |model: Arc<str>| {
@@ -149,7 +147,7 @@
         models.into_iter().map(target).collect()
     }
 
-    /// Asks all engines for their state; who does not answer is left out.
+    /// Requests the reports of all engines; those that don't respond are left out.
     async fn reports(&self, targets: &[EndpointTarget]) -> Vec<(EndpointTarget, EngineReport)> {
         let ask = targets
             .iter()
@@ -158,18 +156,18 @@
         for (target, report) in join_all(ask).await {
             match report {
                 Ok(report) => {
-                    self.learn(&target.instance, &report);
+                    self.record_versions(&target.instance, &report);
                     reports.push((target, report));
                 }
                 Err(error) => {
-                    log::info!(instance = &*target.instance, error:% = error; "engine does not report, no order now");
+                    log::info!(instance = &*target.instance, error:% = error; "engine did not report; sending it no order now");
                 }
             }
         }
         reports
     }
 
-    fn learn(&self, instance: &Arc<str>, report: &EngineReport) {
+    fn record_versions(&self, instance: &Arc<str>, report: &EngineReport) {
         for (model, version) in &report.models {
             self.parts.endpoints.on_version(instance, model, *version);
         }
@@ -198,44 +196,42 @@
             done,
             others_ordered: self.parts.duties.held_by_others(),
         };
-        let Some(announced) = self.parts.duties.announce_round(at, &round).await else {
+        let Some(permit) = self.parts.duties.announce_round(at, &round).await else {
             return;
         };
-        let give = orders.into_iter().map(|(target, version, report)| {
+        let sending = orders.into_iter().map(|(target, version, report)| {
             let order = VersionOrder {
                 model: version.model.clone(),
                 version: version.version,
                 holder: holder.clone(),
-                epoch: announced.epoch,
+                epoch: permit.epoch,
                 after_orders: report.orders_accepted,
             };
-            self.give(target, version, order, announced)
+            self.send_order(target, version, order, permit)
         });
-        join_all(give).await;
+        join_all(sending).await;
     }
 
-    async fn give(
+    async fn send_order(
         &self,
         target: EndpointTarget,
         version: ModelVersion,
         order: VersionOrder,
-        announced: Announced,
+        permit: SendPermit,
     ) {
-        if !announced.may_send() {
-            log::warn!(instance = &*target.instance; "an order is too late, it is not given");
+        if !permit.may_send() {
+            log::warn!(instance = &*target.instance; "send window of an order has closed; not sending it");
             return;
         }
         let instance = target.instance.clone();
         self.parts
             .endpoints
             .on_load_ordered(&instance, version.clone());
-        let under_way = UnderWay {
+        let pending = SentOrder {
             target: version,
-            since_ms: self.parts.clock.now_ms(),
+            sent_at_ms: self.parts.clock.now_ms(),
         };
-        self.under_way
-            .borrow_mut()
-            .insert(instance.clone(), under_way);
+        self.pending.borrow_mut().insert(instance.clone(), pending);
         let answer = self.parts.client.order(&target, &order).await;
         log::info!(
             instance = &*instance, model = &*order.model, version = order.version,
@@ -243,18 +239,19 @@
             "order given"
         );
         if let Ok(OrderAnswer::Rejected(_)) = answer {
-            self.under_way.borrow_mut().remove(&instance);
+            self.pending.borrow_mut().remove(&instance);
             self.parts.endpoints.on_load_done(&instance);
         }
     }
 
-    /// Asks the engines under order; returns those that have what they were told to load.
-    async fn collect_done(&self) -> Vec<(Arc<str>, Arc<str>, u64)> {
+    /// Polls the engines with pending orders; returns the instance, model and version of each completed load.
+    async fn collect_completed(&self) -> Vec<(Arc<str>, Arc<str>, u64)> {
         let targets = self.parts.endpoints.engine_targets();
         let now_ms = self.parts.clock.now_ms();
-        let under_way = self.under_way.borrow().clone();
-        let is_due = |(_, order): &(&Arc<str>, &UnderWay)| now_ms >= order.since_ms + FIRST_POLL_MS;
-        let ask = under_way.iter().filter(is_due).map(|(instance, order)| {
+        let pending = self.pending.borrow().clone();
+        let is_due =
+            |(_, order): &(&Arc<str>, &SentOrder)| now_ms >= order.sent_at_ms + FIRST_POLL_MS;
+        let ask = pending.iter().filter(is_due).map(|(instance, order)| {
             let target = targets.iter().find(|target| target.instance == *instance);
             async move {
                 let report = match target {
@@ -267,18 +264,18 @@
         let mut done = Vec::new();
         for (instance, order, is_listed, report) in join_all(ask).await {
             if let Some(report) = &report {
-                self.learn(&instance, report);
+                self.record_versions(&instance, report);
                 if version_in(report, &order.target) >= order.target.version && !report.is_busy {
                     let version = version_in(report, &order.target);
                     done.push((instance.clone(), order.target.model.clone(), version));
-                    self.under_way.borrow_mut().remove(&instance);
+                    self.pending.borrow_mut().remove(&instance);
                     continue;
                 }
             }
-            let age_ms = self.parts.clock.now_ms() - order.since_ms;
-            if !is_listed || age_ms > ORDER_LOST_MS {
+            let age_ms = self.parts.clock.now_ms() - order.sent_at_ms;
+            if !is_listed || age_ms > ORDER_TIMEOUT_MS {
                 log::info!(instance = &*instance, model = &*order.target.model, version = order.target.version, age_ms; "order lost");
-                self.under_way.borrow_mut().remove(&instance);
+                self.pending.borrow_mut().remove(&instance);
             }
         }
         done
--- a/crates/borageshore_gateway/src/peers.rs
+++ b/crates/borageshore_gateway/src/peers.rs
@@ -1,5 +1,5 @@
-//! Requests passed on to other daemons: questions to the one that has the answer, submissions to one
-//! that reaches the store.
+//! Forwards requests to other daemons: reads of a submission to its owner, submissions to a daemon that reaches the
+//! store.
 
 use std::{cell::RefCell, sync::Arc};
 
@@ -13,30 +13,30 @@
     http::request::Parts,
 };
 
-/// Marks a request that a peer has passed on, so that it is not passed on again.
-pub(crate) const PASSED_ON: &str = "borageshore-passed-on";
-/// A peer is a few ms away.
-const CONNECT_MS: u64 = 200;
-/// What an answer may take beyond the time that the reader wants to wait.
+/// The header of a forwarded request, which is not forwarded again.
+pub(crate) const FORWARDED_HEADER: &str = "borageshore-passed-on";
+/// The connect timeout; peers are a few ms away.
+const CONNECT_TIMEOUT_MS: u64 = 200;
+/// The time that a response may take beyond the wait that the caller asked for.
 const ANSWER_SLACK_MS: u64 = 600;
-/// A peer that did not answer is not asked for this long; others see its death in about a second, and it may stand still for a moment.
+/// How long a peer that did not respond is avoided. Longer than the second or so in which its death is detected.
 const AVOID_MS: u64 = 2_000;
 
-/// What a peer may take to write a submission to the store.
-const SUBMIT_MS: u64 = 1_000;
+/// The time that a peer may take to write a submission to the store.
+const SUBMIT_TIMEOUT_MS: u64 = 1_000;
 
-/// What came of a submission that was passed on.
+/// The outcome of a forwarded submission.
 #[derive(Debug)]
-pub(crate) enum HandedOn {
+pub(crate) enum SubmitOutcome {
     /// A peer has accepted it.
     Accepted(EdgeResponse),
     /// A peer may have accepted it.
     Unknown,
-    /// No peer has taken anything of it.
-    Nowhere,
+    /// Certainly no peer has accepted it.
+    NotAccepted,
 }
 
-/// The client of peers.
+/// Client for other daemons.
 #[derive(Debug)]
 pub(crate) struct Peers {
     http: HttpClient,
@@ -53,45 +53,48 @@
         }
     }
 
-    /// Passes a question on; `None` if the peer has no sure answer.
+    /// Forwards a read; `None` if the peer gives no definite response.
     pub(crate) async fn ask(
         &self,
         address: &Arc<str>,
         head: &Parts,
         wait_ms: u64,
     ) -> Option<EdgeResponse> {
-        match self.pass_on(address, head, Bytes::new(), wait_ms).await {
+        match self.forward(address, head, Bytes::new(), wait_ms).await {
             Ok((StatusCode::OK | StatusCode::NOT_FOUND, response)) => Some(response),
             Ok((status, _)) => {
-                log::info!(peer = &**address, status = status.as_u16(); "peer is not sure");
+                log::info!(peer = &**address, status = status.as_u16(); "peer gives no definite response");
                 None
             }
             Err(_) => None,
         }
     }
 
-    /// Passes a submission on to the first peer that accepts it.
-    pub(crate) async fn hand_on(
+    /// Forwards a submission to one peer after the other until one accepts it or may have accepted it.
+    pub(crate) async fn submit(
         &self,
         addresses: &[Arc<str>],
         head: &Parts,
         body: &Bytes,
-    ) -> HandedOn {
+    ) -> SubmitOutcome {
         for address in addresses {
-            match self.pass_on(address, head, body.clone(), SUBMIT_MS).await {
-                Ok((StatusCode::ACCEPTED, response)) => return HandedOn::Accepted(response),
-                // The peer says the same as this daemon: nothing of it runs.
+            match self
+                .forward(address, head, body.clone(), SUBMIT_TIMEOUT_MS)
+                .await
+            {
+                Ok((StatusCode::ACCEPTED, response)) => return SubmitOutcome::Accepted(response),
+                // The peer refused it, so no part of it runs.
                 Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::UNAUTHORIZED, _))
                 | Err(CallError::NotSent(_)) => {}
                 Ok(_) | Err(CallError::NoAnswer(_) | CallError::Disconnected(_)) => {
-                    return HandedOn::Unknown;
+                    return SubmitOutcome::Unknown;
                 }
             }
         }
-        HandedOn::Nowhere
+        SubmitOutcome::NotAccepted
     }
 
-    async fn pass_on(
+    async fn forward(
         &self,
         address: &Arc<str>,
         head: &Parts,
@@ -99,7 +102,9 @@
         wait_ms: u64,
     ) -> Result<(StatusCode, EdgeResponse), CallError> {
         if self.is_avoided(address) {
-            return Err(CallError::NotSent("did not answer lately".into()));
+            return Err(CallError::NotSent(
+                "peer is avoided after a recent failure".into(),
+            ));
         }
         let target = head
             .uri
@@ -111,14 +116,14 @@
             .body(Full::new(body))
             .map_err(|error| CallError::NotSent(error.to_string()))?;
         *request.headers_mut() = head.headers.clone();
-        // The body goes on whole, whatever way it came.
+        // The body is sent whole, whatever its original framing.
         for framing in [CONTENT_LENGTH, TRANSFER_ENCODING, CONNECTION] {
             request.headers_mut().remove(framing);
         }
-        let passed_on = HeaderName::from_static(PASSED_ON);
-        request.headers_mut().insert(passed_on, 1.into());
+        let forwarded = HeaderName::from_static(FORWARDED_HEADER);
+        request.headers_mut().insert(forwarded, 1.into());
         let timeouts = Timeouts {
-            connect_ms: CONNECT_MS,
+            connect_ms: CONNECT_TIMEOUT_MS,
             first_byte_ms: wait_ms + ANSWER_SLACK_MS,
         };
         let called = self.http.call(address, request, timeouts).await;
@@ -129,7 +134,7 @@
     }
 
     fn avoid(&self, address: &Arc<str>, error: &CallError) {
-        log::info!(peer = &**address, error:% = error; "peer does not answer");
+        log::info!(peer = &**address, error:% = error; "call to peer failed; avoiding it for a while");
         let until_ms = self.clock.now_ms() + AVOID_MS;
         let mut avoided = self.avoided_until_ms.borrow_mut();
         avoided.insert(address.clone(), until_ms);
--- a/crates/borageshore_gateway/src/progress.rs
+++ b/crates/borageshore_gateway/src/progress.rs
@@ -15,7 +15,7 @@
 use futures_util::future::join_all;
 use tokio::sync::Notify;
 
-use crate::{ledger_view::Shard, members::Members, store_path::Store};
+use crate::{ledger_view::Shard, members::Members, store_transport::Store};
 
 /// The minimum interval at which new events are saved; a crash loses the events since the last save.
 const SAVE_INTERVAL_MS: u64 = 250;
@@ -137,7 +137,7 @@
             if self.runs.borrow().is_empty() {
                 self.run_added.notified().await;
             }
-            let holders = self.members.holders().max(1);
+            let holders = self.members.holder_count().max(1);
             let interval_ms = SAVE_INTERVAL_MS.max(holders as u64 * SAVE_INTERVAL_MS_PER_HOLDER);
             sleep_ms(interval_ms).await;
             self.save(bytes_per_save(interval_ms, holders)).await;
--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -32,7 +32,7 @@
     sent::SentRequest,
     trials::Permit,
 };
-use crate::{endpoints::Endpoints, follow::Fold, members::Members, store_path::Store};
+use crate::{endpoints::Endpoints, follow::Fold, members::Members, store_transport::Store};
 
 /// How long a caller waits for a trial claim to be stored and read back.
 const CLAIM_TIMEOUT_MS: u64 = 400;
--- a/crates/borageshore_gateway/src/quarantine/trials.rs
+++ b/crates/borageshore_gateway/src/quarantine/trials.rs
@@ -56,7 +56,7 @@
     /// Claims the trial of a request. If several daemons claim it, the one whose record is first in the log wins.
     pub(super) async fn claim(self: &Rc<Self>, content: Fingerprint) -> Result<Permit, Held> {
         let count = self.claims.replace(self.claims.get() + 1);
-        let (name, incarnation) = self.members.own_life();
+        let (name, incarnation) = self.members.own_identity();
         let trial_record = TrialRecord {
             content,
             number: self.table.borrow().trials(&content) + 1,
--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! What arrives at the three addresses of a daemon.
+//! Serves the three addresses for callers and the platform, and the metrics page.
 
 use std::{net::SocketAddr, rc::Rc, sync::Arc};
 
@@ -26,29 +26,29 @@
 use crate::{
     access::CallerAccess,
     calls::Calls,
-    life::Life,
+    lifecycle::Lifecycle,
     members::Members,
-    peers::{HandedOn, PASSED_ON, Peers},
+    peers::{FORWARDED_HEADER, Peers, SubmitOutcome},
     routes::Routes,
     submissions::Submissions,
 };
 
-/// Callers that come too early come back after this time: routes arrive within a second of a start.
-const NOT_READY_AGAIN_MS: u64 = 300;
-/// Callers reuse connections that were idle for up to four fifths of the platform's 15 s limit; a
-/// longer limit of ours never cuts one that they are about to use.
+/// The retry delay given to callers while the daemon starts; routes are read within a second.
+const NOT_READY_RETRY_MS: u64 = 300;
+/// The idle timeout of connections. Longer than the platform's 15 s, so that no connection is closed that a caller is
+/// about to reuse.
 const IDLE_TIMEOUT_MS: u64 = 20_000;
-/// The platform's largest body.
-const BODY_BYTES: usize = 32 * 1024 * 1024;
+/// The size limit of a request body, as on the platform.
+const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
 
-/// How many peers are asked to take a submission: a store that turns some VMs away turns away a third.
-const PEERS_ASKED: usize = 2;
+/// The number of peers that are asked to accept a submission; a store that refuses some VMs refuses about a third.
+const MAX_SUBMIT_PEERS: usize = 2;
 
-/// Bounds on what callers send.
+/// The limits on requests of callers and peers.
 pub(crate) fn server_limits() -> ServerLimits {
     ServerLimits {
         head_timeout_ms: IDLE_TIMEOUT_MS,
-        body_bytes: BODY_BYTES,
+        body_bytes: MAX_BODY_BYTES,
         ..ServerLimits::default()
     }
 }
@@ -57,21 +57,21 @@
 #[derive(Debug)]
 pub(crate) struct MetricsPage {
     pub(crate) instruments: Rc<Instruments>,
-    pub(crate) life: Rc<Life>,
+    pub(crate) lifecycle: Rc<Lifecycle>,
 }
 
 impl Handler for MetricsPage {
     async fn handle(&self, _request: EdgeRequest, _remote: SocketAddr) -> EdgeResponse {
         self.instruments
-            .set("requests_in_flight", self.life.in_flight() as u64);
+            .set("requests_in_flight", self.lifecycle.in_flight() as u64);
         Response::new(full_body(self.instruments.to_text()))
     }
 }
 
-/// Decodes requests and hands them to their subjects.
+/// Decodes requests of callers and dispatches them to their handlers.
 #[derive(Debug, Clone)]
 pub(crate) struct Server {
-    pub(crate) life: Rc<Life>,
+    pub(crate) lifecycle: Rc<Lifecycle>,
     pub(crate) routes: Rc<Routes>,
     pub(crate) members: Rc<Members>,
     pub(crate) access: Rc<CallerAccess>,
@@ -83,10 +83,10 @@
 
 impl Handler for Server {
     async fn handle(&self, request: EdgeRequest, _remote: SocketAddr) -> EdgeResponse {
-        let _in_flight = self.life.begin();
+        let _in_flight = self.lifecycle.track_request();
         let mut response = self.answer(request).await;
-        if self.life.state() == PresenceState::Draining {
-            // The caller opens its next connection elsewhere instead of meeting a closed one.
+        if self.lifecycle.state() == PresenceState::Draining {
+            // Makes the caller open its next connection to another daemon.
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(CONNECTION, close);
         }
@@ -112,11 +112,11 @@
         }
     }
 
-    /// Answers a question about a submission, in the name of the caller's organisation.
+    /// Serves a request about a submission of the caller's organisation.
     async fn submission(
         &self,
         id: &Arc<str>,
-        asked: &SubmissionRequest,
+        request: &SubmissionRequest,
         key: Option<KeyDigest>,
         head: &Parts,
     ) -> EdgeResponse {
@@ -135,10 +135,10 @@
         let Some(id) = scoped(pass.organisation().map(|name| &**name), id) else {
             return refusal(&Fault::new(ResultCode::UnknownSubmission, &**id), None);
         };
-        if let Some(answer) = self.ask_home(&id, asked, head).await {
+        if let Some(answer) = self.ask_owner(&id, request, head).await {
             return answer;
         }
-        match asked {
+        match request {
             SubmissionRequest::Results { after, wait_ms } => {
                 self.submissions.results(&id, *after, *wait_ms).await
             }
@@ -147,27 +147,26 @@
         }
     }
 
-    /// Passes a question about a submission on to the daemon that has its records. Where that one
-    /// has no sure answer, this daemon reads the records itself.
-    async fn ask_home(
+    /// Forwards a request about a submission to its owner. `None` if this daemon is to serve it from the store.
+    async fn ask_owner(
         &self,
         submission: &str,
-        asked: &SubmissionRequest,
+        request: &SubmissionRequest,
         head: &Parts,
     ) -> Option<EdgeResponse> {
-        let wait_ms = match asked {
+        let wait_ms = match request {
             SubmissionRequest::Results { wait_ms, .. } => *wait_ms,
             SubmissionRequest::Body { .. } | SubmissionRequest::End => 0,
         };
-        if head.headers.contains_key(PASSED_ON) {
+        if head.headers.contains_key(FORWARDED_HEADER) {
             return None;
         }
-        let home = self.members.home_of(submission)?;
-        self.peers.ask(&home, head, wait_ms).await
+        let owner = self.members.owner_address(submission)?;
+        self.peers.ask(&owner, head, wait_ms).await
     }
 
     fn ready(&self) -> EdgeResponse {
-        match self.life.state() {
+        match self.lifecycle.state() {
             PresenceState::Ready => ok_response(),
             PresenceState::Starting => not_ready(),
             PresenceState::Draining => refusal(&Fault::new(ResultCode::Draining, ""), None),
@@ -175,11 +174,11 @@
     }
 
     fn addresses(&self, zone: &str) -> EdgeResponse {
-        let listed = self.members.addresses_for(zone);
-        if listed.is_empty() {
+        let addresses = self.members.addresses_for(zone);
+        if addresses.is_empty() {
             return not_ready();
         }
-        addresses_response(&listed, self.address_ttl_s)
+        addresses_response(&addresses, self.address_ttl_s)
     }
 
     async fn call(
@@ -200,7 +199,7 @@
             key,
             is_public: route.is_public,
         };
-        // Before the body is read: what may not run need not be sent.
+        // Before the body is read, so that a refused caller need not send it.
         let pass = match self.access.admit(credentials).await {
             Ok(pass) => pass,
             Err(denial) => return denial.response(),
@@ -231,7 +230,7 @@
         }
     }
 
-    /// Accepts a submission here, or at a peer where the store does not take it from this VM.
+    /// Accepts a submission, through a peer if the store does not take it from this VM.
     async fn submit(
         &self,
         submission: Submission,
@@ -242,27 +241,27 @@
         let id = submission.id.clone();
         let response = self.submissions.accept(submission, service).await;
         let is_refused = response.status() == StatusCode::SERVICE_UNAVAILABLE;
-        if !is_refused || head.headers.contains_key(PASSED_ON) {
+        if !is_refused || head.headers.contains_key(FORWARDED_HEADER) {
             return response;
         }
-        let peers = self.members.some_peers(PEERS_ASKED);
-        match self.peers.hand_on(&peers, head, body).await {
-            HandedOn::Accepted(accepted) => {
+        let peers = self.members.pick_eligible(MAX_SUBMIT_PEERS);
+        match self.peers.submit(&peers, head, body).await {
+            SubmitOutcome::Accepted(accepted) => {
                 log::info!(submission = &*id; "submission accepted by a peer");
                 accepted
             }
-            HandedOn::Unknown => {
+            SubmitOutcome::Unknown => {
                 let fault = Fault::new(ResultCode::AcceptanceUnknown, "a peer did not answer");
                 refusal(&fault, None)
             }
-            HandedOn::Nowhere => response,
+            SubmitOutcome::NotAccepted => response,
         }
     }
 }
 
 fn not_ready() -> EdgeResponse {
     let fault = Fault::new(ResultCode::NotReady, "");
-    refusal(&fault, Some(NOT_READY_AGAIN_MS))
+    refusal(&fault, Some(NOT_READY_RETRY_MS))
 }
 
 fn body_fault(fault: BodyError) -> Fault {
--- /dev/null
+++ b/crates/borageshore_gateway/src/store_transport.rs
@@ -0,0 +1,299 @@
+//! Calls to the store, on the direct route or through a peer.
+
+use std::{
+    cell::{Cell, RefCell},
+    net::SocketAddr,
+    pin::pin,
+    rc::Rc,
+    sync::Arc,
+};
+
+use borageshore_membership::{StoreCallOutcome, StoreFailover, StoreRoute};
+use borageshore_net::{CallError, Clock, EdgeRequest, EdgeResponse, Handler, full_body, read_body};
+use borageshore_platform::{StoreCall, StoreConnections, StoreTransport, is_store_answer};
+use bytes::Bytes;
+use futures_util::future::{Either, select};
+use hyper::{Response, StatusCode};
+use tokio::sync::Notify;
+
+use crate::{
+    quarantine::{CLEARED_PATH, CRASHES_PATH, Quarantine},
+    server::server_limits,
+    true_time::{CLOCK_PATH, SharedTime},
+};
+
+/// The store client, whose calls fail over to peers.
+pub(crate) type Store = borageshore_platform::Store<FailoverTransport>;
+
+/// The timeout of an append on the direct route before it is repeated through a peer. Longer than a slow store's
+/// 200 ms, and short enough that both routes are tried before the heartbeats stop after 3 s.
+const DIRECT_APPEND_TIMEOUT_MS: u64 = 600;
+/// The time that a peer may add to the store's response time.
+const PEER_SLACK_MS: u64 = 200;
+/// The number of peers that are tried for one call.
+const MAX_PEERS_TRIED: usize = 2;
+
+type CallResult = Result<(StatusCode, Bytes), CallError>;
+
+/// A store transport that falls back to peers when the store does not answer directly.
+#[derive(Debug, Clone)]
+pub(crate) struct FailoverTransport {
+    inner: Rc<Inner>,
+}
+
+#[derive(Debug)]
+struct Inner {
+    address: Arc<str>,
+    clock: Clock,
+    connections: StoreConnections,
+    may_use_peers: bool,
+    failover: RefCell<StoreFailover>,
+    peers: RefCell<Vec<Arc<str>>>,
+    next_peer: Cell<usize>,
+    /// When the store last answered, on either route.
+    answered_at_ms: Cell<u64>,
+    /// Notified when calls switch from the direct route to peers.
+    switched_to_peers: Notify,
+}
+
+impl FailoverTransport {
+    pub(crate) fn open(address: Arc<str>, clock: Clock, may_use_peers: bool) -> Self {
+        Self {
+            inner: Rc::new(Inner {
+                address,
+                clock,
+                connections: StoreConnections::default(),
+                may_use_peers,
+                failover: RefCell::default(),
+                peers: RefCell::default(),
+                next_peer: Cell::default(),
+                answered_at_ms: Cell::new(clock.now_ms()),
+                switched_to_peers: Notify::new(),
+            }),
+        }
+    }
+
+    /// Replaces the addresses of peers that forward calls, nearest first.
+    pub(crate) fn set_peers(&self, peers: Vec<Arc<str>>) {
+        if self.inner.may_use_peers {
+            self.inner.peers.replace(peers);
+        }
+    }
+
+    /// The time since the store last answered, on either route.
+    pub(crate) fn silent_ms(&self) -> u64 {
+        let now_ms = self.inner.clock.now_ms();
+        now_ms - self.inner.answered_at_ms.get()
+    }
+
+    /// Whether calls go through peers first.
+    pub(crate) fn uses_peers(&self) -> bool {
+        self.inner.failover.borrow().uses_peers()
+    }
+
+    /// Makes a call on the direct route.
+    async fn call_direct(&self, call: &StoreCall) -> CallResult {
+        let inner = &self.inner;
+        let answer = inner.connections.call_at(&inner.address, call).await;
+        let is_restored = inner
+            .failover
+            .borrow_mut()
+            .on_direct_result(is_answered(&answer), inner.clock.now_ms());
+        if is_restored {
+            log::info!("this daemon's own way to the store is open again");
+        }
+        answer
+    }
+
+    /// Makes a call through a peer. If none returns the store's answer, returns the least certain failure; `None`
+    /// without peers.
+    async fn call_via_peer(&self, call: &StoreCall) -> Option<CallResult> {
+        let peers: Vec<Arc<str>> = self.inner.peers.borrow().clone();
+        let call = StoreCall {
+            first_byte_ms: call.first_byte_ms + PEER_SLACK_MS,
+            ..call.clone()
+        };
+        let mut failed = None;
+        for _ in 0..MAX_PEERS_TRIED.min(peers.len()) {
+            let index = self.inner.next_peer.get() % peers.len();
+            let answer = self.inner.connections.call_at(&peers[index], &call).await;
+            if is_answered(&answer) {
+                return Some(answer);
+            }
+            self.inner.next_peer.set(index + 1);
+            let may_try_next = outcome_of(&answer).may_try_other_route(call.is_idempotent);
+            failed = Some(dominant_result(answer, failed));
+            if !may_try_next {
+                break;
+            }
+        }
+        failed
+    }
+
+    fn on_peer_result(&self, answer: Option<&CallResult>) {
+        let has_answered = answer.is_some_and(is_answered);
+        let now_ms = self.inner.clock.now_ms();
+        if self
+            .inner
+            .failover
+            .borrow_mut()
+            .on_peer_result(has_answered, now_ms)
+        {
+            log::warn!("the store does not answer this daemon, peers pass its calls on");
+            self.inner.switched_to_peers.notify_waiters();
+        }
+    }
+
+    /// Tries the direct route, then peers for a call that has no answer.
+    async fn call_direct_first(&self, call: &StoreCall) -> CallResult {
+        let has_peers = !self.inner.peers.borrow().is_empty();
+        let direct_call = StoreCall {
+            first_byte_ms: match call.is_append() && has_peers {
+                true => call.first_byte_ms.min(DIRECT_APPEND_TIMEOUT_MS),
+                false => call.first_byte_ms,
+            },
+            ..call.clone()
+        };
+        let switched_to_peers = self.inner.switched_to_peers.notified();
+        let answer = match select(
+            pin!(self.call_direct(&direct_call)),
+            pin!(switched_to_peers),
+        )
+        .await
+        {
+            Either::Left((answer, _)) => answer,
+            // Only reads wait this long: an append with peers available times out sooner.
+            Either::Right(_) => Err(CallError::NoAnswer("calls switched to peers".into())),
+        };
+        let is_direct_suspect = {
+            let failover = self.inner.failover.borrow();
+            failover.uses_peers() || failover.may_ask_peers(self.inner.clock.now_ms())
+        };
+        let is_connection_broken = call.is_append() && matches!(answer, Err(CallError::Disconnected(_)));
+        let may_ask = has_peers && (is_direct_suspect || is_connection_broken);
+        if !may_ask || !outcome_of(&answer).may_try_other_route(call.is_idempotent) {
+            return answer;
+        }
+        let peer_result = self.call_via_peer(call).await;
+        if is_direct_suspect {
+            self.on_peer_result(peer_result.as_ref());
+        } else {
+            let is_done = peer_result.as_ref().is_some_and(is_answered);
+            log::info!(is_done; "connection broke during an append; peers were asked to repeat it");
+        }
+        dominant_result(answer, peer_result)
+    }
+
+    async fn call_via_peer_first(&self, call: &StoreCall) -> CallResult {
+        let peer_result = self.call_via_peer(call).await;
+        match peer_result {
+            Some(answer) if !outcome_of(&answer).may_try_other_route(call.is_idempotent) => answer,
+            peer_result => {
+                self.on_peer_result(peer_result.as_ref());
+                let direct_result = self.call_direct(call).await;
+                dominant_result(direct_result, peer_result)
+            }
+        }
+    }
+}
+
+impl StoreTransport for FailoverTransport {
+    async fn call(&self, call: StoreCall) -> CallResult {
+        let now_ms = self.inner.clock.now_ms();
+        let may_probe = call.is_append() && call.is_idempotent;
+        let route = self
+            .inner
+            .failover
+            .borrow_mut()
+            .next_route(may_probe, now_ms);
+        let answer = match route {
+            StoreRoute::Direct => self.call_direct_first(&call).await,
+            StoreRoute::Peer => self.call_via_peer_first(&call).await,
+        };
+        if is_answered(&answer) {
+            self.inner.answered_at_ms.set(self.inner.clock.now_ms());
+        }
+        answer
+    }
+}
+
+fn is_answered(answer: &CallResult) -> bool {
+    outcome_of(answer) == StoreCallOutcome::Answered
+}
+
+fn outcome_of(answer: &CallResult) -> StoreCallOutcome {
+    match answer {
+        Ok((status, _)) if is_store_answer(*status) => StoreCallOutcome::Answered,
+        Ok((StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE, _)) => {
+            StoreCallOutcome::Refused
+        }
+        Err(CallError::NotSent(_)) => StoreCallOutcome::Refused,
+        Ok(_) | Err(CallError::NoAnswer(_) | CallError::Disconnected(_)) => {
+            StoreCallOutcome::Unknown
+        }
+    }
+}
+
+/// The result that decides a call tried twice: an answer if there is one, else an unknown outcome before a refusal,
+/// as the attempt with the unknown outcome may have taken effect.
+fn dominant_result(first: CallResult, second: Option<CallResult>) -> CallResult {
+    match second {
+        Some(second) if outcome_of(&second).takes_precedence_over(outcome_of(&first)) => second,
+        _ => first,
+    }
+}
+
+/// Serves requests of peers: forwards store calls while the direct route works, and handles quarantine messages and
+/// clock requests.
+#[derive(Debug, Clone)]
+pub(crate) struct PeerHandler {
+    pub(crate) path: FailoverTransport,
+    pub(crate) quarantine: Rc<Quarantine>,
+    pub(crate) time: Rc<SharedTime>,
+}
+
+impl Handler for PeerHandler {
+    async fn handle(&self, request: EdgeRequest, _remote: SocketAddr) -> EdgeResponse {
+        if request.uri().path() == CRASHES_PATH {
+            return self.quarantine.on_crash_reports(request).await;
+        }
+        if request.uri().path() == CLEARED_PATH {
+            return self.quarantine.on_cleared(request).await;
+        }
+        if request.uri().path() == CLOCK_PATH {
+            return self.time.clock_response();
+        }
+        let (head, body) = request.into_parts();
+        let Ok(body) = read_body(body, server_limits()).await else {
+            return status(StatusCode::BAD_REQUEST);
+        };
+        let target = head
+            .uri
+            .path_and_query()
+            .map_or("/", |target| target.as_str());
+        let Some(call) = StoreCall::from_peer(head.method, target, body) else {
+            return status(StatusCode::NOT_FOUND);
+        };
+        let now_ms = self.path.inner.clock.now_ms();
+        if !self.path.inner.failover.borrow().reaches_store(now_ms) {
+            return status(StatusCode::SERVICE_UNAVAILABLE);
+        }
+        match self.path.call_direct(&call).await {
+            Ok((answer, body)) => {
+                let mut response = Response::new(full_body(body));
+                *response.status_mut() = answer;
+                response
+            }
+            Err(CallError::NotSent(_)) => status(StatusCode::SERVICE_UNAVAILABLE),
+            Err(CallError::NoAnswer(_) | CallError::Disconnected(_)) => {
+                status(StatusCode::GATEWAY_TIMEOUT)
+            }
+        }
+    }
+}
+
+fn status(status: StatusCode) -> EdgeResponse {
+    let mut response = Response::new(full_body(Bytes::new()));
+    *response.status_mut() = status;
+    response
+}
--- a/crates/borageshore_gateway/src/true_time.rs
+++ b/crates/borageshore_gateway/src/true_time.rs
@@ -1,4 +1,4 @@
-//! True time as this daemon estimates it, with what its peers show.
+//! This daemon's estimate of true time, synchronized with peers.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
@@ -11,30 +11,30 @@
 
 use crate::members::Members;
 
-/// Where peers are asked what their clocks show, at the address that callers do not have.
+/// The path of clock requests, at the address for peers.
 pub(crate) const CLOCK_PATH: &str = "/clock";
-/// The peers that are asked: one of five may be stepped, slow or gone, and most still agree.
+/// The number of peers that are asked: a majority still agrees if one is stepped, slow or gone.
 const PEERS_ASKED: usize = 5;
-/// The pace at which a daemon that starts asks until its peers agree.
-const BEGIN_EVERY_MS: u64 = 400;
-/// After so many tries it goes by its own time of day.
-const BEGIN_TRIES: usize = 8;
-/// The pace at which the time of day is followed.
-const FOLLOW_EVERY_MS: u64 = 10_000;
-/// A peer is a few ms away; an answer that takes longer says little.
+/// The interval between attempts to synchronize with peers at the start.
+const SYNC_INTERVAL_MS: u64 = 400;
+/// The number of attempts after which a daemon starts with its own time of day.
+const MAX_SYNC_ATTEMPTS: usize = 8;
+/// The interval at which the estimate is slewed.
+const SLEW_INTERVAL_MS: u64 = 10_000;
+/// Timeouts of a clock request; peers are a few ms away, and a slow response makes an imprecise sample.
 const TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 200,
     first_byte_ms: 200,
 };
 
-/// What a daemon's clocks show.
+/// A reading of a daemon's clocks.
 #[derive(Debug, Serialize, Deserialize)]
-struct Shown {
+struct ClockReading {
     estimate_ms: u64,
     time_of_day_ms: u64,
 }
 
-/// True time, kept with peers.
+/// The estimate of true time, synchronized with peers.
 #[derive(Debug)]
 pub(crate) struct SharedTime {
     members: Rc<Members>,
@@ -43,7 +43,7 @@
 }
 
 impl SharedTime {
-    /// Begins with this VM's time of day, and asks peers from then on.
+    /// Starts with this VM's time of day and synchronizes with peers in the background.
     pub(crate) fn spawn(members: Rc<Members>) -> Rc<Self> {
         let shared = Rc::new(Self {
             members,
@@ -59,36 +59,36 @@
         self.time.borrow().unix_ms(boot_time_ms())
     }
 
-    /// Tells a peer what this daemon's clocks show.
-    pub(crate) fn show(&self) -> EdgeResponse {
-        let shown = Shown {
+    /// The response to a clock request of a peer.
+    pub(crate) fn clock_response(&self) -> EdgeResponse {
+        let reading = ClockReading {
             estimate_ms: self.unix_ms(),
             time_of_day_ms: time_of_day_ms(),
         };
-        json_response(200, &shown)
+        json_response(200, &reading)
     }
 
     async fn run(self: Rc<Self>) {
-        for _ in 0..BEGIN_TRIES {
-            sleep_ms(BEGIN_EVERY_MS).await;
+        for _ in 0..MAX_SYNC_ATTEMPTS {
+            sleep_ms(SYNC_INTERVAL_MS).await;
             let samples = self.samples().await;
             if self.time.borrow_mut().sync_to_peers(&samples) {
                 break;
             }
         }
         loop {
-            sleep_ms(FOLLOW_EVERY_MS).await;
+            sleep_ms(SLEW_INTERVAL_MS).await;
             let samples = self.samples().await;
             let now_ms = boot_time_ms();
             let mut time = self.time.borrow_mut();
             time.slew(time_of_day_ms(), now_ms, &samples);
             let away_ms = time_of_day_ms() as i64 - time.unix_ms(now_ms) as i64;
-            log::debug!(peers = samples.len(), away_ms; "time of day against the estimate");
+            log::debug!(peers = samples.len(), away_ms; "compared the time of day with the estimate");
         }
     }
 
     async fn samples(&self) -> Vec<ClockSample> {
-        let peers = self.members.some_relays(PEERS_ASKED);
+        let peers = self.members.pick_peer_addresses(PEERS_ASKED);
         let asked = join_all(peers.iter().map(|peer| self.ask(peer))).await;
         asked.into_iter().flatten().collect()
     }
@@ -99,17 +99,17 @@
         let (status, body) = match self.http.call(peer, request, TIMEOUTS).await {
             Ok(answer) => answer,
             Err(error) => {
-                log::debug!(peer = &**peer, error:% = error; "a peer does not tell its time");
+                log::debug!(peer = &**peer, error:% = error; "clock request to a peer failed; leaving out its sample");
                 return None;
             }
         };
         let answered_at_ms = boot_time_ms();
-        let shown: Shown = serde_json::from_slice(&body).ok()?;
+        let reading: ClockReading = serde_json::from_slice(&body).ok()?;
         (status == StatusCode::OK).then_some(ClockSample {
             asked_at_ms,
             answered_at_ms,
-            estimate_ms: shown.estimate_ms,
-            time_of_day_ms: shown.time_of_day_ms,
+            estimate_ms: reading.estimate_ms,
+            time_of_day_ms: reading.time_of_day_ms,
         })
     }
 }
--- a/crates/borageshore_gateway/src/usage/counter.rs
+++ b/crates/borageshore_gateway/src/usage/counter.rs
@@ -1,4 +1,4 @@
-//! What this daemon counts, and tells the store.
+//! Counts this daemon's requests and writes the totals to the store.
 
 use std::{
     cell::{Cell, RefCell},
@@ -14,46 +14,47 @@
 use tokio::sync::Notify;
 
 use super::records::{Author, total_record};
-use crate::{members::Members, store_path::Store, true_time::SharedTime};
+use crate::{members::Members, store_transport::Store, true_time::SharedTime};
 
-/// The pause between two appends for each daemon that lives: all of them together make 200 a second at the most. A
-/// daemon that is killed takes with it what it counted in that time.
+/// The pause between two appends, for each live daemon: all together make at most 200 appends a second. A daemon that
+/// is killed loses the counts of one pause.
 const PAUSE_MS_PER_DAEMON: u64 = 5;
-/// The pause where there are few daemons.
-const LEAST_PAUSE_MS: u64 = 50;
-/// The pause after an append that failed.
-const AGAIN_MS: u64 = 300;
+/// The minimum pause between two appends.
+const MIN_PAUSE_MS: u64 = 50;
+/// The pause after a failed append.
+const RETRY_MS: u64 = 300;
 
 /// Counts requests by organisation and window.
 ///
-/// What is counted is appended at once, and what comes within the pause after that together: where calls are rare a
-/// daemon that is killed loses none, and where they are many the loss is a small part.
+/// A count is appended at once, and those of the following pause in one batch: a daemon that is killed loses nothing at
+/// low rates and a small part at high rates.
 #[derive(Debug)]
 pub(crate) struct UsageCounter {
-    times: UsageTiming,
+    timing: UsageTiming,
     time: Rc<SharedTime>,
     store: Store,
     members: Rc<Members>,
     partitions: u64,
     counts: RefCell<OwnCounts>,
-    /// Rises when an append may still be done late, so that it cannot take the place of a newer one.
+    /// Part of the keys; incremented after an append with an unknown outcome, so that a late write cannot overwrite a
+    /// newer total.
     generation: Cell<u64>,
     is_writing: Cell<bool>,
     /// Whether the last append failed.
-    is_lost: Cell<bool>,
+    is_failing: Cell<bool>,
     counted: Notify,
 }
 
 impl UsageCounter {
     pub(crate) fn spawn(
-        times: UsageTiming,
+        timing: UsageTiming,
         time: Rc<SharedTime>,
         store: Store,
         members: Rc<Members>,
         partitions: u64,
     ) -> Rc<Self> {
         let counter = Rc::new(Self {
-            times,
+            timing,
             time,
             store,
             members,
@@ -61,20 +62,20 @@
             counts: RefCell::default(),
             generation: Cell::new(0),
             is_writing: Cell::new(false),
-            is_lost: Cell::new(false),
+            is_failing: Cell::new(false),
             counted: Notify::new(),
         });
         monoio::spawn(counter.clone().run());
         counter
     }
 
-    /// Says whether something counted is not in the store yet.
-    pub(crate) fn is_unwritten(&self) -> bool {
+    /// Whether any count is not in the store yet.
+    pub(crate) fn has_unwritten(&self) -> bool {
         self.is_writing.get() || self.counts.borrow().is_dirty()
     }
 
     fn add(&self, organisation: &Arc<str>, begun_at_ms: u64) {
-        let window = Window::at(begun_at_ms, self.times.window_ms);
+        let window = Window::at(begun_at_ms, self.timing.window_ms);
         self.counts.borrow_mut().add(window, organisation, 1);
         self.counted.notify_one();
     }
@@ -84,35 +85,35 @@
             self.counted.notified().await;
             while self.counts.borrow().is_dirty() {
                 self.is_writing.set(true);
-                let told = self.tell().await;
+                let flushed = self.flush().await;
                 self.is_writing.set(false);
-                let daemons = self.members.count() as u64;
-                match told {
+                let live_daemons = self.members.count() as u64;
+                match flushed {
                     Ok(()) => {
-                        self.is_lost.set(false);
-                        sleep_ms(LEAST_PAUSE_MS.max(daemons * PAUSE_MS_PER_DAEMON)).await;
+                        self.is_failing.set(false);
+                        sleep_ms(MIN_PAUSE_MS.max(live_daemons * PAUSE_MS_PER_DAEMON)).await;
                     }
                     Err(error) => {
-                        if !self.is_lost.replace(true) {
+                        if !self.is_failing.replace(true) {
                             log::info!(error:% = error; "what was counted is not in the store yet");
                         }
-                        sleep_ms(AGAIN_MS).await;
+                        sleep_ms(RETRY_MS).await;
                     }
                 }
             }
         }
     }
 
-    async fn tell(&self) -> Result<(), StoreError> {
-        let oldest = self.times.first_reportable(self.time.unix_ms());
+    async fn flush(&self) -> Result<(), StoreError> {
+        let oldest = self.timing.first_reportable(self.time.unix_ms());
         self.counts.borrow_mut().forget_before(oldest);
-        let untold = self.counts.borrow_mut().take_dirty();
-        let (name, incarnation) = self.members.own_life();
+        let dirty = self.counts.borrow_mut().take_dirty();
+        let (name, incarnation) = self.members.own_identity();
         let author = Author {
-            life: format!("{name}.{incarnation}").into(),
+            incarnation: format!("{name}.{incarnation}").into(),
             generation: self.generation.get(),
         };
-        let records: Vec<(Arc<str>, Bytes)> = untold
+        let records: Vec<(Arc<str>, Bytes)> = dirty
             .iter()
             .map(|(window, counts)| total_record(*window, &author, counts))
             .collect();
@@ -128,25 +129,25 @@
             if let StoreError::Uncertain(_) = error {
                 self.generation.set(self.generation.get() + 1);
             }
-            let windows = untold.iter().map(|(window, _)| *window);
+            let windows = dirty.iter().map(|(window, _)| *window);
             self.counts.borrow_mut().mark_dirty(windows);
         }
         appended.map(|_| ())
     }
 }
 
-/// A request of an organisation, counted once when it is over: in the window in which the first of its attempts
-/// began that ran, or may have run.
+/// A request of an organisation. It is counted once, when dropped, in the window in which its first attempt began that
+/// ran or may have run.
 #[derive(Debug)]
-pub(crate) struct RequestUse {
-    /// Where it is counted; nowhere if nobody is to be told of it.
+pub(crate) struct RequestUsage {
+    /// The counter and the organisation; `None` if the request is not counted.
     counted: Option<(Rc<UsageCounter>, Arc<str>)>,
-    /// When each attempt began, in true time; none for one that has not run.
+    /// The start of each attempt in estimated true time; `None` for one that did not run.
     attempts: RefCell<Vec<Option<u64>>>,
 }
 
-impl RequestUse {
-    /// Begins with a request without attempts.
+impl RequestUsage {
+    /// A request without attempts.
     pub(crate) fn begin(
         counter: Option<&Rc<UsageCounter>>,
         organisation: Option<&Arc<str>>,
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Notes that an attempt begins; returns its number.
+    /// Records the start of an attempt; returns its number.
     pub(crate) fn on_attempt(&self) -> usize {
         let mut attempts = self.attempts.borrow_mut();
         let now_ms = self
@@ -168,7 +169,7 @@
         attempts.len() - 1
     }
 
-    /// Notes that an attempt certainly did not run.
+    /// Records that an attempt certainly did not run.
     pub(crate) fn on_not_run(&self, number: usize) {
         if let Some(attempt) = self.attempts.borrow_mut().get_mut(number) {
             *attempt = None;
@@ -176,7 +177,7 @@
     }
 }
 
-impl Drop for RequestUse {
+impl Drop for RequestUsage {
     fn drop(&mut self) {
         let begun_at_ms = self.attempts.borrow().iter().flatten().min().copied();
         if let (Some((counter, organisation)), Some(begun_at_ms)) = (&self.counted, begun_at_ms) {
--- a/crates/borageshore_gateway/src/usage/mod.rs
+++ b/crates/borageshore_gateway/src/usage/mod.rs
@@ -1,4 +1,4 @@
-//! Usage: what this daemon sent for each organisation, kept in the store, and reported by one daemon.
+//! Usage: requests counted for each organisation, stored as totals, and reported by one daemon.
 
 mod counter;
 mod records;
@@ -6,10 +6,10 @@
 mod view;
 
 pub(crate) use self::{
-    counter::{RequestUse, UsageCounter},
+    counter::{RequestUsage, UsageCounter},
     records::{ReportRecord, UsageReports},
     reporter::{Reporter, ReporterParts},
 };
 
-/// The subject of the duty to report usage: all windows are one.
-pub(crate) const USAGE: &str = "duty:usage";
+/// The subject of the duty to report usage, the same for all windows.
+pub(crate) const USAGE_SUBJECT: &str = "duty:usage";
--- a/crates/borageshore_gateway/src/usage/reporter.rs
+++ b/crates/borageshore_gateway/src/usage/reporter.rs
@@ -1,4 +1,4 @@
-//! Reports of usage, sent by the daemon that holds the duty.
+//! Sends usage reports from the daemon that holds the duty.
 
 use std::rc::Rc;
 
@@ -7,16 +7,16 @@
 use borageshore_platform::{DutyClient, DutyHolder};
 use borageshore_usage::{Counts, UsageTiming, Window};
 
-use super::{USAGE, records::UsageReports, view::UsageView};
-use crate::{duties::Duties, members::Members, store_path::Store, true_time::SharedTime};
+use super::{USAGE_SUBJECT, records::UsageReports, view::UsageView};
+use crate::{duties::Duties, members::Members, store_transport::Store, true_time::SharedTime};
 
-/// The pace at which reports are looked for; a refused one is sent again after it.
-const PACE_MS: u64 = 250;
+/// The interval between checks for a due report; also the pause before a refused one is sent again.
+const POLL_INTERVAL_MS: u64 = 250;
 
 /// What the reporter needs of the rest of the daemon.
 #[derive(Debug)]
 pub(crate) struct ReporterParts {
-    pub(crate) times: UsageTiming,
+    pub(crate) timing: UsageTiming,
     pub(crate) client: DutyClient,
     pub(crate) duties: Rc<Duties>,
     pub(crate) reports: Rc<UsageReports>,
@@ -28,8 +28,8 @@
     pub(crate) instruments: Rc<Instruments>,
 }
 
-/// Reports each window once its counts have come in: fixed by an announcement, then sent, one call at a time, until
-/// the platform has it or it is overdue.
+/// Reports each window once its totals are complete: an announcement finalizes the counts, which are then sent, one
+/// call at a time, until the platform accepts them or the report is overdue.
 #[derive(Debug)]
 pub(crate) struct Reporter {
     parts: ReporterParts,
@@ -42,10 +42,10 @@
 
     async fn run(self) {
         let mut view = None;
-        let mut cleaned = Window(0);
+        let mut removed_before = Window(0);
         loop {
-            sleep_ms(PACE_MS).await;
-            let Some(at) = self.parts.duties.position_if_held() else {
+            sleep_ms(POLL_INTERVAL_MS).await;
+            let Some(at) = self.parts.duties.offset_if_holder() else {
                 view = None;
                 continue;
             };
@@ -53,20 +53,20 @@
             let view = view.get_or_insert_with(|| {
                 UsageView::spawn(&parts.store, parts.clock, parts.partitions)
             });
-            if parts.duties.may_act(USAGE) {
+            if parts.duties.may_act(USAGE_SUBJECT) {
                 self.report_next(at, view).await;
             }
-            let first = parts.times.first_retained(parts.time.unix_ms());
-            if std::mem::replace(&mut cleaned, first) < first {
-                view.forget_before(first).await;
+            let first = parts.timing.first_retained(parts.time.unix_ms());
+            if std::mem::replace(&mut removed_before, first) < first {
+                view.remove_before(first).await;
             }
         }
     }
 
-    /// Reports the next window, if one is due; announced on the condition that nothing came after `at`.
+    /// Reports the next window if one is due and the duties' partition still ends at offset `at`.
     async fn report_next(&self, at: u64, view: &UsageView) {
         let parts = &self.parts;
-        let next = parts.reports.next(&parts.times, parts.time.unix_ms());
+        let next = parts.reports.next(&parts.timing, parts.time.unix_ms());
         let Some((window, fixed)) = next else { return };
         let counts = match fixed {
             Some(counts) => counts,
@@ -82,20 +82,20 @@
             parts.duties.held_by_others(),
             window,
             &counts,
-            parts.times.first_retained(parts.time.unix_ms()),
+            parts.timing.first_retained(parts.time.unix_ms()),
         );
-        let Some(announced) = parts.duties.announce(at, &records).await else {
+        let Some(permit) = parts.duties.announce(at, &records).await else {
             return;
         };
         let duty_holder = DutyHolder {
             name: holder,
-            epoch: announced.epoch,
+            epoch: permit.epoch,
         };
         let sending = parts
             .client
-            .report_usage(&duty_holder, window.0, &counts, || announced.may_send());
+            .report_usage(&duty_holder, window.0, &counts, || permit.may_send());
         match sending.await {
-            Ok(()) => self.on_taken(window, &counts, duty_holder.epoch),
+            Ok(()) => self.on_accepted(window, &counts, duty_holder.epoch),
             Err(error) => {
                 parts.instruments.count("usage_report", "failed");
                 log::warn!(window = window.0, epoch = duty_holder.epoch, error:% = error; "a usage report is not taken yet");
@@ -103,11 +103,11 @@
         }
     }
 
-    fn on_taken(&self, window: Window, counts: &Counts, epoch: u64) {
+    fn on_accepted(&self, window: Window, counts: &Counts, epoch: u64) {
         let parts = &self.parts;
-        parts.reports.on_taken(window);
+        parts.reports.on_accepted(window);
         parts.instruments.count("usage_report", "taken");
-        let end_ms = window.end_ms(parts.times.window_ms);
+        let end_ms = window.end_ms(parts.timing.window_ms);
         let late_ms = parts.time.unix_ms().saturating_sub(end_ms);
         let requests: u64 = counts.values().sum();
         log::info!(window = window.0, epoch, late_ms, requests, organisations = counts.len(); "usage reported");
--- a/crates/borageshore_gateway/src/usage/view.rs
+++ b/crates/borageshore_gateway/src/usage/view.rs
@@ -1,4 +1,4 @@
-//! All daemons' totals, as the holder of the duty reads them.
+//! The totals of all daemons, followed by the holder of the duty.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
@@ -12,15 +12,15 @@
 use super::records::{total_counts, total_key};
 use crate::{
     follow::{Fold, FollowSpec, Follower, StartFrom},
-    store_path::Store,
+    store_transport::Store,
 };
 
-/// Totals that come close together are read together.
+/// The pause between reads, so that totals appended close together are read together.
 const PAUSE_MS: u64 = 200;
-/// Keys that one append removes, each a record of its own.
+/// The maximum number of keys that one append removes.
 const KEYS_PER_APPEND: usize = 500;
 
-/// What one partition holds.
+/// Folds the totals of one partition.
 #[derive(Debug, Default)]
 struct TotalsFold {
     totals: RefCell<Totals>,
@@ -30,8 +30,8 @@
 impl Fold for TotalsFold {
     fn apply(&self, records: &[KeyedRecord]) {
         for record in records {
-            let Some((window, life)) = total_key(&record.key) else {
-                log::error!(key = &*record.key; "a total of usage has an unknown key");
+            let Some((window, incarnation)) = total_key(&record.key) else {
+                log::error!(key = &*record.key; "cannot parse the key of a usage total; ignoring it");
                 continue;
             };
             let Some(value) = &record.value else {
@@ -40,15 +40,17 @@
             };
             self.keys.borrow_mut().insert(record.key.clone(), window);
             match total_counts(value) {
-                Some(counts) => self.totals.borrow_mut().merge(window, &life, &counts),
-                None => log::error!(key = &*record.key; "a total of usage cannot be read"),
+                Some(counts) => self
+                    .totals
+                    .borrow_mut()
+                    .merge(window, &incarnation, &counts),
+                None => log::error!(key = &*record.key; "cannot decode a usage total; ignoring it"),
             }
         }
     }
 }
 
-/// The totals of all partitions. Only the holder follows them: read by all daemons, they would be most of what these
-/// read.
+/// The totals of all partitions. Only the holder follows them, as they would be most of what a daemon reads.
 #[derive(Debug)]
 pub(super) struct UsageView {
     store: Store,
@@ -76,16 +78,16 @@
         }
     }
 
-    /// Brings the view up to what the store has by now.
+    /// Catches up with the store; returns whether all partitions are current.
     pub(super) async fn confirm(&self) -> bool {
         let confirming = self.partitions.iter().map(|follow| follow.confirm_now());
         join_all(confirming)
             .await
             .into_iter()
-            .all(|is_whole| is_whole)
+            .all(|is_current| is_current)
     }
 
-    /// The requests of all in a window.
+    /// The counts of all daemons in a window.
     pub(super) fn counts_of(&self, window: Window) -> Counts {
         let mut all = Counts::default();
         for fold in &self.folds {
@@ -96,22 +98,27 @@
         all
     }
 
-    /// Takes totals of windows before one out of the store.
-    pub(super) async fn forget_before(&self, first: Window) {
+    /// Removes totals of windows before `first` from the store.
+    pub(super) async fn remove_before(&self, first: Window) {
         for (partition, fold) in (0..).zip(&self.folds) {
             fold.totals.borrow_mut().forget_before(first);
-            let old: Vec<(Arc<str>, Bytes)> = {
+            let expired: Vec<(Arc<str>, Bytes)> = {
                 let keys = fold.keys.borrow();
-                let old = keys.iter().filter(|(_, window)| **window < first);
-                old.map(|(key, _)| (key.clone(), Bytes::new()))
+                let expired = keys.iter().filter(|(_, window)| **window < first);
+                expired
+                    .map(|(key, _)| (key.clone(), Bytes::new()))
                     .take(KEYS_PER_APPEND)
                     .collect()
             };
-            if old.is_empty() {
+            if expired.is_empty() {
                 continue;
             }
-            if let Err(error) = self.store.append(Topic::Usage, partition, &old, None).await {
-                log::info!(keys = old.len(), error:% = error; "old totals of usage are not removed yet");
+            if let Err(error) = self
+                .store
+                .append(Topic::Usage, partition, &expired, None)
+                .await
+            {
+                log::info!(keys = expired.len(), error:% = error; "old totals of usage are not removed yet");
             }
         }
     }
--- a/crates/borageshore_gateway/src/watch.rs
+++ b/crates/borageshore_gateway/src/watch.rs
@@ -7,7 +7,7 @@
 use borageshore_wire::{WireHeartbeat, decode, encode};
 use monoio::net::udp::UdpSocket;
 
-use crate::{members::Members, store_path::Store};
+use crate::{members::Members, store_transport::Store};
 
 /// Size of the receive buffer; a heartbeat is a name and two numbers.
 const DATAGRAM_BYTES: usize = 512;
@@ -39,7 +39,7 @@
     async fn check_members(self: Rc<Self>) {
         let mut counter = 0;
         loop {
-            let look = self.members.look();
+            let look = self.members.check_watched();
             counter += 1;
             self.send_heartbeats(&look.watchers, counter).await;
             if !look.silent.is_empty() {
@@ -53,7 +53,7 @@
     }
 
     async fn send_heartbeats(&self, watchers: &[Arc<str>], counter: i64) {
-        let (name, incarnation) = self.members.own_life();
+        let (name, incarnation) = self.members.own_identity();
         let heartbeat = WireHeartbeat::new(name.to_string(), incarnation as i64, counter);
         let Ok(datagram) = encode(&heartbeat) else {
             return;
--- a/crates/borageshore_gateway/src/writer.rs
+++ b/crates/borageshore_gateway/src/writer.rs
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use tokio::sync::Notify;
 
-use crate::{ledger_view::Shard, store_path::Store};
+use crate::{ledger_view::Shard, store_transport::Store};
 
 /// Results that arrive within this time are appended together; trainers read twice a second.
 const BATCH_WINDOW_MS: u64 = 15;
