--- a/crates/borageshore_daemon/src/edge/generate.rs
+++ b/crates/borageshore_daemon/src/edge/generate.rs
@@ -13,7 +13,7 @@
 use super::answer::{Answer, json_of, ran, respond, set_header, terms};
 use crate::{
     daemon::{Daemon, InFlight},
-    generation::{Generation, GenerationFailure, Gone, OnSwap, Token, TokenSink, generate},
+    generation::{Generation, GenerationFailure, OnSwap, SinkClosed, Token, TokenSink, generate},
 };
 
 #[derive(Debug, Deserialize)]
@@ -87,7 +87,7 @@
 }
 
 impl TokenSink for CollectedTokens {
-    async fn on_token(&mut self, token: &Token) -> Result<(), Gone> {
+    async fn on_token(&mut self, token: &Token) -> Result<(), SinkClosed> {
         self.tokens.push(token.text.clone());
         self.versions.push(token.version);
         Ok(())
@@ -160,16 +160,16 @@
 }
 
 impl StreamSink {
-    async fn write(&mut self, line: &StreamLine<'_>) -> Result<(), Gone> {
+    async fn write(&mut self, line: &StreamLine<'_>) -> Result<(), SinkClosed> {
         if let Some(first) = self.first.take() {
-            first.send(Ok(())).map_err(|_| Gone)?;
+            first.send(Ok(())).map_err(|_| SinkClosed)?;
         }
         let mut encoded = serde_json::to_vec(line).expect("lines are plain data");
         encoded.push(b'\n');
         self.sender
             .send_data(encoded.into())
             .await
-            .map_err(|_| Gone)
+            .map_err(|_| SinkClosed)
     }
 
     async fn finish(mut self, ended: Result<(), GenerationFailure>) {
@@ -199,7 +199,7 @@
 }
 
 impl TokenSink for StreamSink {
-    async fn on_token(&mut self, token: &Token) -> Result<(), Gone> {
+    async fn on_token(&mut self, token: &Token) -> Result<(), SinkClosed> {
         let index = self.token_count;
         self.token_count += 1;
         self.write(&StreamLine::Token {
--- a/crates/borageshore_daemon/src/generation.rs
+++ b/crates/borageshore_daemon/src/generation.rs
@@ -51,8 +51,8 @@
 
 /// Where tokens go.
 pub(crate) trait TokenSink {
-    /// Takes a token; `Gone` when nobody wants any more.
-    fn on_token(&mut self, token: &Token) -> impl Future<Output = Result<(), Gone>>;
+    /// Takes a token; `SinkClosed` when nobody wants any more.
+    fn on_token(&mut self, token: &Token) -> impl Future<Output = Result<(), SinkClosed>>;
 
     /// Forgets all tokens so far. Only called under [`OnSwap::Restart`].
     fn on_restart(&mut self);
@@ -60,7 +60,7 @@
 
 /// Nobody reads the answer any more.
 #[derive(Debug)]
-pub(crate) struct Gone;
+pub(crate) struct SinkClosed;
 
 /// Why a generation ended without its whole answer.
 #[derive(Debug, Clone)]
--- a/crates/borageshore_daemon/src/samples.rs
+++ b/crates/borageshore_daemon/src/samples.rs
@@ -11,7 +11,7 @@
 use crate::{
     calls::{ServiceCall, call_service},
     daemon::{Daemon, InFlight, Life},
-    generation::{Generation, Gone, OnSwap, Token, TokenSink, generate},
+    generation::{Generation, OnSwap, SinkClosed, Token, TokenSink, generate},
     peer_server::failed_sample,
 };
 
@@ -51,7 +51,7 @@
 }
 
 impl TokenSink for Collected {
-    async fn on_token(&mut self, token: &Token) -> Result<(), Gone> {
+    async fn on_token(&mut self, token: &Token) -> Result<(), SinkClosed> {
         self.tokens.push(token.clone());
         Ok(())
     }
