--- a/crates/borageshore_daemon/src/calls.rs
+++ b/crates/borageshore_daemon/src/calls.rs
@@ -15,7 +15,7 @@
 use crate::{
     daemon::Daemon,
     gate::GateRequest,
-    generation::EndpointWatch,
+    generation::EndpointRequestGuard,
     peer_server::failed_call,
     platform::plain::{ConnectionUse, PlainCall, call_plain},
 };
@@ -346,7 +346,7 @@
         return Err(CallError::NotSent("the endpoint has gone".into()));
     };
     daemon.endpoints.borrow_mut().on_start(endpoint);
-    let mut watch = EndpointWatch::open(daemon, endpoint);
+    let mut guard = EndpointRequestGuard::open(daemon, endpoint);
     let connection = match call.idempotent {
         Idempotent::Yes => ConnectionUse::Pooled,
         Idempotent::No => ConnectionUse::Fresh,
@@ -377,7 +377,7 @@
     .await;
     match answered {
         Ok(answer) => {
-            watch.succeeded();
+            guard.succeeded();
             Ok(StoredAnswer {
                 code: ResultCode::Done,
                 status: answer.status,
@@ -387,7 +387,7 @@
             })
         }
         Err(error) => {
-            watch.failed();
+            guard.failed();
             Err(error)
         }
     }
--- a/crates/borageshore_daemon/src/generation.rs
+++ b/crates/borageshore_daemon/src/generation.rs
@@ -97,7 +97,7 @@
         };
         let mut attempt = Attempt::open();
         daemon.endpoints.borrow_mut().on_start(&endpoint);
-        let mut watch = EndpointWatch::open(daemon, &endpoint);
+        let mut guard = EndpointRequestGuard::open(daemon, &endpoint);
         let end = attempt_once(
             daemon,
             generation,
@@ -112,7 +112,7 @@
         }
         match end {
             AttemptEnd::Finished => {
-                watch.succeeded();
+                guard.succeeded();
                 return Ok(());
             }
             AttemptEnd::CallerGone => {
@@ -127,7 +127,7 @@
                 sink.on_restart();
             }
             AttemptEnd::Failed(error) => {
-                watch.failed();
+                guard.failed();
                 log::debug!(
                     "attempt of {} at {endpoint} failed: {error}",
                     generation.request_id
@@ -327,12 +327,12 @@
 
 /// Counts a request at an endpoint until its end is known, also when its task is dropped.
 #[derive(Debug)]
-pub(crate) struct EndpointWatch {
+pub(crate) struct EndpointRequestGuard {
     daemon: Rc<Daemon>,
     endpoint: Option<Arc<str>>,
 }
 
-impl EndpointWatch {
+impl EndpointRequestGuard {
     /// Begins to watch a request that was counted by `on_start`.
     pub(crate) fn open(daemon: &Rc<Daemon>, endpoint: &Arc<str>) -> Self {
         Self {
@@ -360,7 +360,7 @@
     }
 }
 
-impl Drop for EndpointWatch {
+impl Drop for EndpointRequestGuard {
     fn drop(&mut self) {
         if let Some(endpoint) = self.endpoint.take() {
             self.daemon.endpoints.borrow_mut().on_cancelled(&endpoint);
