--- a/crates/borageshore_daemon/src/admin.rs
+++ b/crates/borageshore_daemon/src/admin.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     daemon::{Daemon, Life},
-    edge::{Answer, json_of, query},
+    edge::{Answer, query, read_request_json},
     jobs,
 };
 
@@ -51,7 +51,7 @@
     }
     match (request.method(), path) {
         (&Method::GET, ["settings"]) => get_settings(daemon),
-        (&Method::POST, ["settings"]) => match json_of::<SettingsChange>(request).await {
+        (&Method::POST, ["settings"]) => match read_request_json::<SettingsChange>(request).await {
             Ok(change) => change_settings(daemon, change).await,
             Err(answer) => answer,
         },
--- a/crates/borageshore_daemon/src/edge/answer.rs
+++ b/crates/borageshore_daemon/src/edge/answer.rs
@@ -146,7 +146,7 @@
 }
 
 /// Reads a body within the limits of the edge.
-pub(crate) async fn body_of(request: EdgeRequest) -> Result<Bytes, Answer> {
+pub(crate) async fn read_request_body(request: EdgeRequest) -> Result<Bytes, Answer> {
     let read = read_body(request.into_body(), ServerLimits::default()).await;
     read.map_err(|fault| match fault {
         BodyFault::TooLarge => Answer::refused(ResultCode::BodyTooLarge, "body"),
@@ -159,11 +159,11 @@
 }
 
 /// Reads a JSON body.
-pub(crate) async fn json_of<Content>(request: EdgeRequest) -> Result<Content, Answer>
+pub(crate) async fn read_request_json<Content>(request: EdgeRequest) -> Result<Content, Answer>
 where
     Content: serde::de::DeserializeOwned,
 {
-    let body = body_of(request).await?;
+    let body = read_request_body(request).await?;
     let parsed = serde_json::from_slice(&body);
     parsed.map_err(|error| Answer::refused(ResultCode::MalformedRequest, format!("body: {error}")))
 }
--- a/crates/borageshore_daemon/src/edge/call.rs
+++ b/crates/borageshore_daemon/src/edge/call.rs
@@ -6,7 +6,7 @@
 use borageshore_net::{EdgeRequest, EdgeResponse};
 use borageshore_routing::Idempotent;
 
-use super::answer::{Answer, JSON, body_of, respond, set_header, terms, text_header};
+use super::answer::{Answer, JSON, read_request_body, respond, set_header, terms, text_header};
 use crate::{
     calls::{CallAnswer, ServiceCall, call_service},
     daemon::Daemon,
@@ -38,7 +38,7 @@
         Some(query) => format!("/{rest}?{query}"),
         None => format!("/{rest}"),
     };
-    let body = match body_of(request).await {
+    let body = match read_request_body(request).await {
         Ok(body) => body,
         Err(answer) => return respond(answer),
     };
--- a/crates/borageshore_daemon/src/edge/generate.rs
+++ b/crates/borageshore_daemon/src/edge/generate.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 
-use super::answer::{Answer, json_of, ran, respond, set_header, terms};
+use super::answer::{Answer, ran, read_request_json, respond, set_header, terms};
 use crate::{
     daemon::{Daemon, InFlight},
     generation::{Generation, GenerationFailure, OnSwap, SinkClosed, Token, TokenSink, generate},
@@ -43,7 +43,7 @@
         Ok(terms) => terms,
         Err(answer) => return respond(answer),
     };
-    let body: GenerateBody = match json_of(request).await {
+    let body: GenerateBody = match read_request_json(request).await {
         Ok(body) => body,
         Err(answer) => return respond(answer),
     };
--- a/crates/borageshore_daemon/src/edge/mod.rs
+++ b/crates/borageshore_daemon/src/edge/mod.rs
@@ -11,7 +11,7 @@
 use borageshore_net::{EdgeRequest, EdgeResponse, Handler};
 use hyper::{Method, header::HeaderMap};
 
-pub(crate) use self::answer::{Answer, json_of, query};
+pub(crate) use self::answer::{Answer, query, read_request_json};
 use self::answer::{JSON, respond, set_header, text_header};
 use crate::{
     addresses, admin,
--- a/crates/borageshore_daemon/src/edge/trainer.rs
+++ b/crates/borageshore_daemon/src/edge/trainer.rs
@@ -6,7 +6,7 @@
 use borageshore_net::EdgeRequest;
 use serde::Deserialize;
 
-use super::answer::{Answer, JSON, json_of, query_number};
+use super::answer::{Answer, JSON, query_number, read_request_json};
 use crate::{
     admin,
     daemon::{Daemon, Life},
@@ -68,7 +68,7 @@
     if let Err(answer) = is_trainer(daemon, &request) {
         return answer;
     }
-    match json_of::<WeightsBody>(request).await {
+    match read_request_json::<WeightsBody>(request).await {
         Ok(body) => admin::publish_weights(daemon, job, body.version).await,
         Err(answer) => answer,
     }
