--- a/crates/borageshore_daemon/src/platform/engine.rs
+++ b/crates/borageshore_daemon/src/platform/engine.rs
@@ -89,7 +89,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
     /// It is being carried out.
-    Taken,
+    Accepted,
     /// The engine has seen a newer fencing number.
     StaleEpoch,
 }
@@ -199,7 +199,7 @@
         let (status, _) = self.http.call(address, request, ORDER_TIMEOUTS).await?;
         match status {
             StatusCode::CONFLICT => Ok(OrderAnswer::StaleEpoch),
-            status if status.is_success() => Ok(OrderAnswer::Taken),
+            status if status.is_success() => Ok(OrderAnswer::Accepted),
             status => Err(CallError::NoAnswer(format!("status {status}"))),
         }
     }
--- a/crates/borageshore_daemon/src/swaps.rs
+++ b/crates/borageshore_daemon/src/swaps.rs
@@ -237,7 +237,7 @@
         epoch,
     };
     match daemon.engine.order(&replica.address, &order).await {
-        Ok(OrderAnswer::Taken) => {
+        Ok(OrderAnswer::Accepted) => {
             log::info!(
                 "{} loads version {} of {}",
                 replica.name,
