--- a/crates/borageshore_daemon/src/peer_server.rs
+++ b/crates/borageshore_daemon/src/peer_server.rs
@@ -10,7 +10,7 @@
 };
 use monoio::net::{TcpListener, TcpStream};
 
-use crate::{addresses, calls, daemon::Daemon, gossip, jobs, samples, stream::NOTHING_HEARD};
+use crate::{addresses, calls, daemon::Daemon, gossip, jobs, samples, stream::END_OFFSET_UNKNOWN};
 
 /// How long a new connection may take to show its token.
 const HELLO_MS: u64 = 2_000;
@@ -70,7 +70,7 @@
         }
         PeerRequest::Follow(_) => PeerReply::Follow(FollowReply::new(
             0,
-            NOTHING_HEARD,
+            END_OFFSET_UNKNOWN,
             Vec::new(),
             None,
             None,
--- a/crates/borageshore_daemon/src/stream.rs
+++ b/crates/borageshore_daemon/src/stream.rs
@@ -32,7 +32,7 @@
 const SNAPSHOT_EVERY_RECORDS: u64 = 1_000;
 
 /// Stands for the end of a log that a peer has not heard of yet.
-pub(crate) const NOTHING_HEARD: i64 = -1;
+pub(crate) const END_OFFSET_UNKNOWN: i64 = -1;
 
 /// Where a stream's records are read from.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -237,7 +237,7 @@
                 .follower
                 .borrow()
                 .end_offset()
-                .map_or(NOTHING_HEARD, |end| end as i64),
+                .map_or(END_OFFSET_UNKNOWN, |end| end as i64),
             records: if is_covered { records } else { Vec::new() },
             snapshot_next_offset: snapshot.as_ref().map(|_| applied as i64),
             snapshot,
@@ -281,7 +281,7 @@
             return Err("the peer answered something else".into());
         };
         // A peer that has heard nothing of the log would make us believe that the log is empty.
-        if reply.end_offset == NOTHING_HEARD {
+        if reply.end_offset == END_OFFSET_UNKNOWN {
             return Err("the peer has no state either".into());
         }
         let heard_at_ms = daemon
