--- a/crates/borageshore_daemon/src/control.rs
+++ b/crates/borageshore_daemon/src/control.rs
@@ -239,7 +239,7 @@
     let wants = wanted_shards(daemon, now_ms);
     let ttl_ms = daemon.root_setting("lease_ttl_ms");
     let mut agent = daemon.lease_agent.borrow_mut();
-    agent.on_contact(daemon.leases.heard_at_ms());
+    agent.on_contact(daemon.leases.last_contact_at_ms());
     let records = daemon
         .leases
         .with_fold(|table| agent.tick(table, &wants, ttl_ms, now_ms));
--- a/crates/borageshore_daemon/src/stream.rs
+++ b/crates/borageshore_daemon/src/stream.rs
@@ -53,7 +53,7 @@
     records_since_snapshot: Cell<u64>,
     is_closed: Cell<bool>,
     /// When the log was last heard of, by us or by the peer that we follow.
-    heard_at_ms: Cell<u64>,
+    last_contact_at_ms: Cell<u64>,
     progressed: Notify,
     queued: Notify,
 }
@@ -71,7 +71,7 @@
             recent: RefCell::default(),
             records_since_snapshot: Cell::new(0),
             is_closed: Cell::new(false),
-            heard_at_ms: Cell::new(0),
+            last_contact_at_ms: Cell::new(0),
             progressed: Notify::new(),
             queued: Notify::new(),
         }
@@ -104,8 +104,8 @@
     }
 
     /// When the log was last heard of.
-    pub(crate) fn heard_at_ms(&self) -> u64 {
-        self.heard_at_ms.get()
+    pub(crate) fn last_contact_at_ms(&self) -> u64 {
+        self.last_contact_at_ms.get()
     }
 
     /// Queues a record; returns its sequence.
@@ -241,7 +241,9 @@
             records: if is_covered { records } else { Vec::new() },
             snapshot_next_offset: snapshot.as_ref().map(|_| applied as i64),
             snapshot,
-            log_age_ms: daemon.now_ms().saturating_sub(self.heard_at_ms.get()) as i64,
+            log_age_ms: daemon
+                .now_ms()
+                .saturating_sub(self.last_contact_at_ms.get()) as i64,
         }
     }
 
@@ -254,7 +256,7 @@
                     .read(&self.name, from_offset, FOLLOW_WAIT_MS)
                     .await;
                 let page = page.map_err(|error| error.to_string())?;
-                self.heard_at_ms.set(daemon.now_ms());
+                self.last_contact_at_ms.set(daemon.now_ms());
                 Ok(page)
             }
             Source::Peer(address) => self.read_from_peer(daemon, address, from_offset).await,
@@ -284,11 +286,11 @@
         if reply.end_offset == END_OFFSET_UNKNOWN {
             return Err("the peer has no state either".into());
         }
-        let heard_at_ms = daemon
+        let last_contact_at_ms = daemon
             .now_ms()
             .saturating_sub(reply.log_age_ms.max(0) as u64);
-        self.heard_at_ms
-            .set(self.heard_at_ms.get().max(heard_at_ms));
+        self.last_contact_at_ms
+            .set(self.last_contact_at_ms.get().max(last_contact_at_ms));
         if let (Some(snapshot), Some(next_offset)) = (reply.snapshot, reply.snapshot_next_offset) {
             let snapshot = serde_json::from_str(&snapshot).map_err(|error| error.to_string())?;
             self.follower
