--- a/crates/borageshore_daemon/src/edge/generate.rs
+++ b/crates/borageshore_daemon/src/edge/generate.rs
@@ -13,7 +13,9 @@
 use super::answer::{Answer, ran, read_request_json, respond, set_header, terms};
 use crate::{
     daemon::{Daemon, InFlight},
-    generation::{Generation, GenerationFailure, OnSwap, SinkClosed, Token, TokenSink, generate},
+    generation::{
+        Generation, GenerationFailure, SinkClosed, SwapPolicy, Token, TokenSink, generate,
+    },
 };
 
 #[derive(Debug, Deserialize)]
@@ -56,7 +58,7 @@
         adapter: body.adapter,
         workload: Workload::Live,
         deadline_ms: terms.deadline_ms,
-        on_swap: OnSwap::Keep,
+        swap_policy: SwapPolicy::Keep,
     };
     if body.stream {
         return stream_tokens(daemon, generation).await;
--- a/crates/borageshore_daemon/src/generation.rs
+++ b/crates/borageshore_daemon/src/generation.rs
@@ -30,12 +30,12 @@
     pub(crate) adapter: Option<Arc<str>>,
     pub(crate) workload: Workload,
     pub(crate) deadline_ms: u64,
-    pub(crate) on_swap: OnSwap,
+    pub(crate) swap_policy: SwapPolicy,
 }
 
 /// What to do when the engine's weights change in the middle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum OnSwap {
+pub(crate) enum SwapPolicy {
     /// Go on; the tokens say which version made them.
     Keep,
     /// Begin again, so that one version makes the whole.
@@ -54,7 +54,7 @@
     /// Takes a token; `SinkClosed` when nobody wants any more.
     fn on_token(&mut self, token: &Token) -> impl Future<Output = Result<(), SinkClosed>>;
 
-    /// Forgets all tokens so far. Only called under [`OnSwap::Restart`].
+    /// Forgets all tokens so far. Only called under [`SwapPolicy::Restart`].
     fn on_restart(&mut self);
 }
 
@@ -311,7 +311,7 @@
     let swapped = produced
         .last()
         .is_some_and(|last| last.version != chunk.version);
-    if swapped && generation.on_swap == OnSwap::Restart {
+    if swapped && generation.swap_policy == SwapPolicy::Restart {
         return Some(AttemptEnd::Restart);
     }
     let token = Token {
--- a/crates/borageshore_daemon/src/samples.rs
+++ b/crates/borageshore_daemon/src/samples.rs
@@ -11,7 +11,7 @@
 use crate::{
     calls::{ServiceCall, call_service},
     daemon::{Daemon, InFlight, Life},
-    generation::{Generation, OnSwap, SinkClosed, Token, TokenSink, generate},
+    generation::{Generation, SinkClosed, SwapPolicy, Token, TokenSink, generate},
     peer_server::failed_sample,
 };
 
@@ -70,9 +70,9 @@
     let Some(service) = daemon.setting_text(&order.job, "service") else {
         return Err(Fault::new(ResultCode::UnknownJob, &*order.job));
     };
-    let on_swap = match daemon.setting_text(&order.job, "swap_policy").as_deref() {
-        Some("restart") => OnSwap::Restart,
-        _ => OnSwap::Keep,
+    let swap_policy = match daemon.setting_text(&order.job, "swap_policy").as_deref() {
+        Some("restart") => SwapPolicy::Restart,
+        _ => SwapPolicy::Keep,
     };
     let generation = Generation {
         request_id: order.sample_id.clone(),
@@ -83,7 +83,7 @@
         adapter: Some(order.job.clone()),
         workload: Workload::Training,
         deadline_ms: order.deadline_ms,
-        on_swap,
+        swap_policy,
     };
     let mut collected = Collected::default();
     generate(daemon, &generation, &mut collected)
