--- a/crates/borageshore_daemon/src/gate.rs
+++ b/crates/borageshore_daemon/src/gate.rs
@@ -105,13 +105,13 @@
                 retry_after_ms,
             }),
             AdmissionDecision::Queued => {
-                self.wait_turn(daemon, id, workload, node, deadline_ms)
+                self.wait_in_queue(daemon, id, workload, node, deadline_ms)
                     .await
             }
         }
     }
 
-    async fn wait_turn(
+    async fn wait_in_queue(
         self: &Rc<Self>,
         daemon: &Rc<Daemon>,
         id: TicketId,
@@ -121,16 +121,16 @@
     ) -> Result<Slot, GateRefusal> {
         let (sender, receiver) = oneshot::channel();
         self.waiters.borrow_mut().insert(id, sender);
-        let mut place = QueuePlace {
+        let mut queued = QueuedRequest {
             gate: self.clone(),
             id,
             workload,
             receiver: Some(receiver),
         };
         let remaining_ms = deadline_ms.saturating_sub(daemon.now_ms());
-        let started = within_ms(remaining_ms, place.turn()).await;
-        if started == Some(Turn::Started) {
-            place.receiver = None;
+        let started = within_ms(remaining_ms, queued.wait()).await;
+        if started == Some(QueueWait::Started) {
+            queued.receiver = None;
             return Ok(self.slot(daemon, workload));
         }
         let fault = Fault::new(ResultCode::DeadlineBeforeStart, &*node);
@@ -170,7 +170,7 @@
 }
 
 #[derive(Debug, PartialEq, Eq)]
-enum Turn {
+enum QueueWait {
     Started,
     Closed,
 }
@@ -181,27 +181,27 @@
 /// the gate handed out the slot and before this task ran again. The slot then lies in the channel,
 /// and the drop gives it back.
 #[derive(Debug)]
-struct QueuePlace {
+struct QueuedRequest {
     gate: Rc<Gate>,
     id: TicketId,
     workload: Workload,
     receiver: Option<oneshot::Receiver<()>>,
 }
 
-impl QueuePlace {
-    async fn turn(&mut self) -> Turn {
+impl QueuedRequest {
+    async fn wait(&mut self) -> QueueWait {
         let receiver = self
             .receiver
             .as_mut()
             .expect("taken only after the turn came");
         match receiver.await {
-            Ok(()) => Turn::Started,
-            Err(_) => Turn::Closed,
+            Ok(()) => QueueWait::Started,
+            Err(_) => QueueWait::Closed,
         }
     }
 }
 
-impl Drop for QueuePlace {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
         let Some(mut receiver) = self.receiver.take() else {
             return;
