--- a/crates/borageshore_daemon/src/calls.rs
+++ b/crates/borageshore_daemon/src/calls.rs
@@ -20,11 +20,11 @@
     platform::plain::{ConnectionUse, PlainCall, call_plain},
 };
 
-const CONNECT_MS: u64 = 1_000;
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
 /// How much longer than the call's own deadline a peer may take to answer.
 const FORWARD_SLACK_MS: u64 = 1_000;
 /// The pace at which a repeated call looks for the answer of the first.
-const WAIT_STEP_MS: u64 = 500;
+const ANSWER_POLL_MS: u64 = 500;
 
 /// A call as the edge hands it over.
 #[derive(Debug, Clone)]
@@ -90,9 +90,9 @@
             .borrow_mut()
             .decide(&call.request_key, prefix, daemon.now_ms());
         match decision {
-            KeyDecision::Run => return run_and_remember(daemon, call).await,
+            KeyDecision::Run => return run_and_record(daemon, call).await,
             KeyDecision::Replay(answer) => {
-                let outcome = outcome_of(answer.code);
+                let outcome = replayed_outcome(answer.code);
                 return CallAnswer {
                     outcome,
                     answer,
@@ -115,13 +115,13 @@
                 return CallAnswer::fault(fault, Outcome::Unknown);
             }
             KeyDecision::Wait => {
-                borageshore_net::within_ms(WAIT_STEP_MS, daemon.keys_answered.notified()).await;
+                borageshore_net::within_ms(ANSWER_POLL_MS, daemon.keys_answered.notified()).await;
             }
         }
     }
 }
 
-fn outcome_of(code: ResultCode) -> Outcome {
+fn replayed_outcome(code: ResultCode) -> Outcome {
     if code == ResultCode::Done {
         Outcome::Done
     } else {
@@ -130,7 +130,7 @@
 }
 
 /// Runs on a task of its own, so that a caller that goes away does not leave the key without answer.
-async fn run_and_remember(daemon: &Rc<Daemon>, call: &ServiceCall) -> CallAnswer {
+async fn run_and_record(daemon: &Rc<Daemon>, call: &ServiceCall) -> CallAnswer {
     let (daemon, call) = (daemon.clone(), call.clone());
     let running = monoio::spawn(async move {
         let answer = run(&daemon, &call).await;
@@ -240,14 +240,14 @@
         detail: reply.detail,
     };
     CallAnswer {
-        outcome: outcome_by_code(code),
+        outcome: outcome_from_code(code),
         answer,
         retry_after_ms: None,
     }
 }
 
 /// What a code says of whether the request ran.
-fn outcome_by_code(code: ResultCode) -> Outcome {
+fn outcome_from_code(code: ResultCode) -> Outcome {
     match code {
         ResultCode::Done => Outcome::Done,
         ResultCode::KeyMemoryFull
@@ -356,7 +356,7 @@
         .setting(&call.node, "first_byte_timeout_ms")
         .min(remaining_ms);
     let timeouts = Timeouts {
-        connect_ms: CONNECT_MS,
+        connect_ms: CONNECT_TIMEOUT_MS,
         first_byte_ms,
     };
     let plain = PlainCall {
--- a/crates/borageshore_daemon/src/generation.rs
+++ b/crates/borageshore_daemon/src/generation.rs
@@ -14,7 +14,7 @@
     platform::engine::{ChunkStream, Engine, EngineChunk, EngineRequest},
 };
 
-const CONNECT_MS: u64 = 1_000;
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
 /// Bytes of a prompt that decide which engines are likely to have it cached.
 const PREFIX_BYTES: usize = 256;
 
@@ -230,7 +230,7 @@
     let request = engine_request(daemon, generation, produced);
     let first_byte_ms = daemon.setting(&generation.node, "first_byte_timeout_ms");
     let timeouts = Timeouts {
-        connect_ms: CONNECT_MS,
+        connect_ms: CONNECT_TIMEOUT_MS,
         first_byte_ms,
     };
     attempt.on_event(AttemptEvent::Start);
--- a/crates/borageshore_daemon/src/peer_client.rs
+++ b/crates/borageshore_daemon/src/peer_client.rs
@@ -14,7 +14,7 @@
 
 /// The most idle connections kept to one peer.
 const IDLE_PER_PEER: usize = 16;
-const CONNECT_MS: u64 = 1_000;
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
 /// Why a peer gave no answer.
 #[derive(Debug)]
@@ -88,7 +88,7 @@
 
     async fn connect(&self, address: &str) -> Result<TcpStream, PeerError> {
         let target: SocketAddr = address.parse().map_err(fail)?;
-        let connected = within_ms(CONNECT_MS, TcpStream::connect_addr(target)).await;
+        let connected = within_ms(CONNECT_TIMEOUT_MS, TcpStream::connect_addr(target)).await;
         let connected = connected.ok_or_else(|| PeerError("connecting took too long".into()))?;
         let mut stream = connected.map_err(fail)?;
         let _ = stream.set_nodelay(true);
--- a/crates/borageshore_daemon/src/platform/log_service.rs
+++ b/crates/borageshore_daemon/src/platform/log_service.rs
@@ -15,7 +15,7 @@
 const APPEND_TIMEOUT_MS: u64 = 3_000;
 /// How much longer than the asked wait a read may take.
 const READ_SLACK_MS: u64 = 2_000;
-const CONNECT_MS: u64 = 1_000;
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
 /// The log behind one address.
 #[derive(Debug, Clone)]
@@ -46,7 +46,7 @@
         first_byte_ms: u64,
     ) -> Result<(StatusCode, Bytes), LogError> {
         let timeouts = Timeouts {
-            connect_ms: CONNECT_MS,
+            connect_ms: CONNECT_TIMEOUT_MS,
             first_byte_ms,
         };
         let answer = self.http.call(&self.address, request, timeouts).await;
