--- a/crates/borageshore_daemon/src/edge/answer.rs
+++ b/crates/borageshore_daemon/src/edge/answer.rs
@@ -103,7 +103,7 @@
     let headers = response.headers_mut();
     set_header(headers, "content-type", &answer.content_type);
     set_header(headers, "x-result-code", &answer.code.number().to_string());
-    set_header(headers, "x-ran", ran(answer.outcome));
+    set_header(headers, "x-ran", ran_header_value(answer.outcome));
     if let Some(retry_after_ms) = answer.retry_after_ms {
         set_header(
             headers,
@@ -115,7 +115,7 @@
     response
 }
 
-pub(super) fn ran(outcome: Outcome) -> &'static str {
+pub(super) fn ran_header_value(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::NotRun => "no",
         Outcome::Done => "yes",
@@ -169,12 +169,16 @@
 }
 
 /// What the head of a request says of how to treat it.
-pub(super) struct Terms {
+pub(super) struct RequestOptions {
     pub(super) node: Arc<str>,
     pub(super) deadline_ms: u64,
 }
 
-pub(super) fn terms(daemon: &Daemon, service: &str, headers: &HeaderMap) -> Result<Terms, Answer> {
+pub(super) fn request_options(
+    daemon: &Daemon,
+    service: &str,
+    headers: &HeaderMap,
+) -> Result<RequestOptions, Answer> {
     if daemon.life() == Life::Starting {
         return Err(Answer::refused(ResultCode::NotReady, "no settings yet"));
     }
@@ -208,7 +212,7 @@
             ));
         }
     };
-    Ok(Terms {
+    Ok(RequestOptions {
         node,
         deadline_ms: daemon.now_ms().saturating_add(allowed_ms),
     })
--- a/crates/borageshore_daemon/src/edge/call.rs
+++ b/crates/borageshore_daemon/src/edge/call.rs
@@ -6,7 +6,9 @@
 use borageshore_net::{EdgeRequest, EdgeResponse};
 use borageshore_routing::Idempotent;
 
-use super::answer::{Answer, JSON, read_request_body, respond, set_header, terms, text_header};
+use super::answer::{
+    Answer, JSON, read_request_body, request_options, respond, set_header, text_header,
+};
 use crate::{
     calls::{CallAnswer, ServiceCall, call_service},
     daemon::Daemon,
@@ -21,8 +23,8 @@
     rest: &str,
     request: EdgeRequest,
 ) -> EdgeResponse {
-    let terms = match terms(daemon, service, request.headers()) {
-        Ok(terms) => terms,
+    let options = match request_options(daemon, service, request.headers()) {
+        Ok(options) => options,
         Err(answer) => return respond(answer),
     };
     let headers = request.headers();
@@ -31,7 +33,8 @@
     } else {
         Idempotent::Yes
     };
-    let request_key = text_header(headers, KEY_HEADER).unwrap_or_else(|| own_key(daemon));
+    let request_key =
+        text_header(headers, KEY_HEADER).unwrap_or_else(|| generate_request_key(daemon));
     let content_type = text_header(headers, "content-type").unwrap_or_else(|| JSON.into());
     let method: Arc<str> = request.method().as_str().into();
     let path = match request.uri().query() {
@@ -44,14 +47,14 @@
     };
     let call = ServiceCall {
         service: service.into(),
-        node: terms.node,
+        node: options.node,
         method,
         path: path.into(),
         content_type,
         body,
         request_key: request_key.clone(),
         idempotent,
-        deadline_ms: terms.deadline_ms,
+        deadline_ms: options.deadline_ms,
     };
     let answered = call_service(daemon, call).await;
     let mut response = respond(call_answer(answered));
@@ -60,7 +63,7 @@
 }
 
 /// A key for a caller that brought none: its request runs at most once, as it cannot be repeated.
-fn own_key(daemon: &Daemon) -> Arc<str> {
+fn generate_request_key(daemon: &Daemon) -> Arc<str> {
     let prefix = daemon.keys.borrow().prefix(daemon.now_ms());
     format!("{prefix}.{:016x}", daemon.random_below(u64::MAX)).into()
 }
--- a/crates/borageshore_daemon/src/edge/generate.rs
+++ b/crates/borageshore_daemon/src/edge/generate.rs
@@ -10,7 +10,9 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 
-use super::answer::{Answer, ran, read_request_json, respond, set_header, terms};
+use super::answer::{
+    Answer, ran_header_value, read_request_json, request_options, respond, set_header,
+};
 use crate::{
     daemon::{Daemon, InFlight},
     generation::{
@@ -41,8 +43,8 @@
     request: EdgeRequest,
     request_id: &Arc<str>,
 ) -> EdgeResponse {
-    let terms = match terms(daemon, service, request.headers()) {
-        Ok(terms) => terms,
+    let options = match request_options(daemon, service, request.headers()) {
+        Ok(options) => options,
         Err(answer) => return respond(answer),
     };
     let body: GenerateBody = match read_request_json(request).await {
@@ -52,12 +54,12 @@
     let generation = Generation {
         request_id: request_id.clone(),
         service: service.into(),
-        node: terms.node,
+        node: options.node,
         prompt: body.prompt,
         max_tokens: body.max_tokens,
         adapter: body.adapter,
         workload: Workload::Live,
-        deadline_ms: terms.deadline_ms,
+        deadline_ms: options.deadline_ms,
         swap_policy: SwapPolicy::Keep,
     };
     if body.stream {
@@ -70,11 +72,11 @@
             tokens: &collected.tokens,
             versions: &collected.versions,
         })),
-        Err(failure) => respond(failed(failure)),
+        Err(failure) => respond(failure_answer(failure)),
     }
 }
 
-fn failed(failure: GenerationFailure) -> Answer {
+fn failure_answer(failure: GenerationFailure) -> Answer {
     let answer = Answer::fault(&failure.fault, failure.outcome);
     Answer {
         retry_after_ms: failure.retry_after_ms,
@@ -122,19 +124,19 @@
 /// before it still comes with its own status; the last line says that the answer is whole.
 async fn stream_tokens(daemon: &Rc<Daemon>, generation: Generation) -> EdgeResponse {
     let (sender, body) = stream_body();
-    let (first, begun) = oneshot::channel();
+    let (start_sender, start_receiver) = oneshot::channel();
     let mut sink = StreamSink {
         sender,
-        first: Some(first),
+        start_sender: Some(start_sender),
         token_count: 0,
     };
     let daemon = daemon.clone();
     monoio::spawn(async move {
         let _in_flight = InFlight::open(&daemon);
-        let ended = generate(&daemon, &generation, &mut sink).await;
-        sink.finish(ended).await;
+        let result = generate(&daemon, &generation, &mut sink).await;
+        sink.finish(result).await;
     });
-    match begun.await {
+    match start_receiver.await {
         Ok(Ok(())) => {
             let mut response = Response::new(body);
             let headers = response.headers_mut();
@@ -144,10 +146,10 @@
                 "x-result-code",
                 &ResultCode::Done.number().to_string(),
             );
-            set_header(headers, "x-ran", ran(Outcome::Done));
+            set_header(headers, "x-ran", ran_header_value(Outcome::Done));
             response
         }
-        Ok(Err(failure)) => respond(failed(failure)),
+        Ok(Err(failure)) => respond(failure_answer(failure)),
         Err(_) => respond(Answer::fault(
             &Fault::new(ResultCode::EndpointFailed, "stream"),
             Outcome::Unknown,
@@ -157,14 +159,14 @@
 
 struct StreamSink {
     sender: http_body_util::channel::Sender<Bytes, borageshore_net::BodyError>,
-    first: Option<oneshot::Sender<Result<(), GenerationFailure>>>,
+    start_sender: Option<oneshot::Sender<Result<(), GenerationFailure>>>,
     token_count: u64,
 }
 
 impl StreamSink {
     async fn write(&mut self, line: &StreamLine<'_>) -> Result<(), SinkClosed> {
-        if let Some(first) = self.first.take() {
-            first.send(Ok(())).map_err(|_| SinkClosed)?;
+        if let Some(start_sender) = self.start_sender.take() {
+            start_sender.send(Ok(())).map_err(|_| SinkClosed)?;
         }
         let mut encoded = serde_json::to_vec(line).expect("lines are plain data");
         encoded.push(b'\n');
@@ -174,15 +176,15 @@
             .map_err(|_| SinkClosed)
     }
 
-    async fn finish(mut self, ended: Result<(), GenerationFailure>) {
+    async fn finish(mut self, result: Result<(), GenerationFailure>) {
         let token_count = self.token_count;
-        match ended {
+        match result {
             Ok(()) => {
                 let _ = self.write(&StreamLine::Done { token_count }).await;
             }
-            Err(failure) => match self.first.take() {
-                Some(first) => {
-                    let _ = first.send(Err(failure));
+            Err(failure) => match self.start_sender.take() {
+                Some(start_sender) => {
+                    let _ = start_sender.send(Err(failure));
                 }
                 None => {
                     let code = failure.fault.code.number();
--- a/crates/borageshore_daemon/src/edge/trainer.rs
+++ b/crates/borageshore_daemon/src/edge/trainer.rs
@@ -13,7 +13,7 @@
     jobs,
 };
 
-fn is_trainer(daemon: &Daemon, request: &EdgeRequest) -> Result<(), Answer> {
+fn authorize_trainer(daemon: &Daemon, request: &EdgeRequest) -> Result<(), Answer> {
     let offered = admin::bearer(request);
     let is_known = daemon
         .config
@@ -28,7 +28,7 @@
 }
 
 pub(super) async fn on_pull(daemon: &Rc<Daemon>, job: &str, request: &EdgeRequest) -> Answer {
-    let pull = match pull_of(daemon, job, request) {
+    let pull = match parse_pull(daemon, job, request) {
         Ok(pull) => pull,
         Err(answer) => return answer,
     };
@@ -44,8 +44,8 @@
     }
 }
 
-fn pull_of(daemon: &Daemon, job: &str, request: &EdgeRequest) -> Result<jobs::Pull, Answer> {
-    is_trainer(daemon, request)?;
+fn parse_pull(daemon: &Daemon, job: &str, request: &EdgeRequest) -> Result<jobs::Pull, Answer> {
+    authorize_trainer(daemon, request)?;
     if daemon.life() == Life::Starting {
         return Err(Answer::refused(ResultCode::NotReady, "no settings yet"));
     }
@@ -65,7 +65,7 @@
 }
 
 pub(super) async fn on_weights(daemon: &Rc<Daemon>, job: &str, request: EdgeRequest) -> Answer {
-    if let Err(answer) = is_trainer(daemon, &request) {
+    if let Err(answer) = authorize_trainer(daemon, &request) {
         return answer;
     }
     match read_request_json::<WeightsBody>(request).await {
