--- a/crates/borageshore_daemon/src/addresses.rs
+++ b/crates/borageshore_daemon/src/addresses.rs
@@ -24,15 +24,15 @@
 /// runs out; its calls would end as unknown. A leaving daemon passes the question on instead.
 pub(crate) async fn for_caller(daemon: &Rc<Daemon>, caller: &str) -> String {
     if daemon.life() != Life::Draining {
-        return own_answer(daemon, caller);
+        return local_address_list(daemon, caller);
     }
-    match ask_peer(daemon, caller).await {
+    match fetch_from_peer(daemon, caller).await {
         Some(body) => body,
-        None => own_answer(daemon, caller),
+        None => local_address_list(daemon, caller),
     }
 }
 
-async fn ask_peer(daemon: &Rc<Daemon>, caller: &str) -> Option<String> {
+async fn fetch_from_peer(daemon: &Rc<Daemon>, caller: &str) -> Option<String> {
     let peers: Vec<Arc<str>> = {
         let membership = daemon.membership.borrow();
         let usable = membership.usable(daemon.now_ms());
@@ -49,10 +49,10 @@
 
 /// Answers a peer that leaves.
 pub(crate) fn on_peer_addresses(daemon: &Daemon, request: &AddressRequest) -> AddressReply {
-    AddressReply::new(own_answer(daemon, &request.caller))
+    AddressReply::new(local_address_list(daemon, &request.caller))
 }
 
-fn own_answer(daemon: &Daemon, caller: &str) -> String {
+fn local_address_list(daemon: &Daemon, caller: &str) -> String {
     let count = daemon.root_setting("address_count") as usize;
     let list = AddressList {
         addresses: daemon.membership.borrow().address_list(caller, count),
--- a/crates/borageshore_daemon/src/peer_client.rs
+++ b/crates/borageshore_daemon/src/peer_client.rs
@@ -13,7 +13,7 @@
 };
 
 /// The most idle connections kept to one peer.
-const IDLE_PER_PEER: usize = 16;
+const MAX_IDLE_PER_PEER: usize = 16;
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
 /// Why a peer gave no answer.
@@ -65,49 +65,51 @@
     }
 
     async fn exchange(&self, address: &str, request: &PeerRequest) -> Result<PeerReply, PeerError> {
-        let payload = encode(request).map_err(fail)?;
+        let payload = encode(request).map_err(to_peer_error)?;
         let idle = self.idle.borrow_mut().get_mut(address).and_then(Vec::pop);
         let mut stream = match idle {
             Some(stream) => stream,
             None => self.connect(address).await?,
         };
-        write_frame(&mut stream, &payload).await.map_err(fail)?;
+        write_frame(&mut stream, &payload)
+            .await
+            .map_err(to_peer_error)?;
         let reply = read_frame(&mut stream, MAX_FRAME_BYTES)
             .await
-            .map_err(fail)?;
+            .map_err(to_peer_error)?;
         if matches!(request, PeerRequest::Follow(_)) {
             self.metrics
                 .on_control_bytes("peer", Direction::Sent, payload.len());
             self.metrics
                 .on_control_bytes("peer", Direction::Received, reply.len());
         }
-        let reply = decode(&reply).map_err(fail)?;
-        self.keep(address, stream);
+        let reply = decode(&reply).map_err(to_peer_error)?;
+        self.return_to_pool(address, stream);
         Ok(reply)
     }
 
     async fn connect(&self, address: &str) -> Result<TcpStream, PeerError> {
-        let target: SocketAddr = address.parse().map_err(fail)?;
+        let target: SocketAddr = address.parse().map_err(to_peer_error)?;
         let connected = within_ms(CONNECT_TIMEOUT_MS, TcpStream::connect_addr(target)).await;
         let connected = connected.ok_or_else(|| PeerError("connecting took too long".into()))?;
-        let mut stream = connected.map_err(fail)?;
+        let mut stream = connected.map_err(to_peer_error)?;
         let _ = stream.set_nodelay(true);
         write_frame(&mut stream, self.token.as_bytes())
             .await
-            .map_err(fail)?;
+            .map_err(to_peer_error)?;
         Ok(stream)
     }
 
-    fn keep(&self, address: &str, stream: TcpStream) {
+    fn return_to_pool(&self, address: &str, stream: TcpStream) {
         let mut idle = self.idle.borrow_mut();
         let streams = idle.get_or_insert_with(address.into(), Vec::new);
-        if streams.len() < IDLE_PER_PEER {
+        if streams.len() < MAX_IDLE_PER_PEER {
             streams.push(stream);
         }
     }
 }
 
-fn fail<Cause>(cause: Cause) -> PeerError
+fn to_peer_error<Cause>(cause: Cause) -> PeerError
 where
     Cause: fmt::Display,
 {
--- a/crates/borageshore_daemon/src/peer_server.rs
+++ b/crates/borageshore_daemon/src/peer_server.rs
@@ -13,9 +13,9 @@
 use crate::{addresses, calls, daemon::Daemon, gossip, jobs, samples, stream::END_OFFSET_UNKNOWN};
 
 /// How long a new connection may take to show its token.
-const HELLO_MS: u64 = 2_000;
+const HANDSHAKE_TIMEOUT_MS: u64 = 2_000;
 /// The largest token.
-const HELLO_BYTES: usize = 1_024;
+const MAX_TOKEN_BYTES: usize = 1_024;
 
 /// Accepts peers until the process ends.
 pub(crate) fn bind(daemon: &Rc<Daemon>) -> io::Result<()> {
@@ -37,8 +37,12 @@
 
 async fn serve(daemon: Rc<Daemon>, mut stream: TcpStream) {
     let _ = stream.set_nodelay(true);
-    let hello = within_ms(HELLO_MS, read_frame(&mut stream, HELLO_BYTES)).await;
-    let Some(Ok(token)) = hello else {
+    let handshake = within_ms(
+        HANDSHAKE_TIMEOUT_MS,
+        read_frame(&mut stream, MAX_TOKEN_BYTES),
+    )
+    .await;
+    let Some(Ok(token)) = handshake else {
         return;
     };
     if !daemon.config.peer_token.matches(&token) {
