--- a/crates/borageshore_daemon/src/stream.rs
+++ b/crates/borageshore_daemon/src/stream.rs
@@ -23,11 +23,11 @@
 /// How long a relay collects records before it answers.
 const RELAY_BATCH_MS: u64 = 100;
 /// The pause after a failed read.
-const RETRY_MS: u64 = 200;
+const RETRY_DELAY_MS: u64 = 200;
 /// Records kept for peers that follow through this daemon.
 const RECENT_RECORDS: usize = 4_096;
 /// Records in one append.
-const BATCH_RECORDS: usize = 64;
+const APPEND_BATCH_RECORDS: usize = 64;
 /// A snapshot is due after this many records without one.
 const SNAPSHOT_EVERY_RECORDS: u64 = 1_000;
 
@@ -67,7 +67,7 @@
         Self {
             name,
             follower: RefCell::new(Follower::open(fold)),
-            proposer: RefCell::new(Proposer::open(writer, BATCH_RECORDS)),
+            proposer: RefCell::new(Proposer::open(writer, APPEND_BATCH_RECORDS)),
             recent: RefCell::default(),
             records_since_snapshot: Cell::new(0),
             is_closed: Cell::new(false),
@@ -78,11 +78,11 @@
     }
 
     /// Looks at the folded state.
-    pub(crate) fn with_fold<Look, Seen>(&self, look: Look) -> Seen
+    pub(crate) fn with_fold<Read, Output>(&self, read: Read) -> Output
     where
-        Look: FnOnce(&State) -> Seen,
+        Read: FnOnce(&State) -> Output,
     {
-        look(self.follower.borrow().fold())
+        read(self.follower.borrow().fold())
     }
 
     /// Says whether the state was read up to the end of the log as last heard.
@@ -136,9 +136,9 @@
     }
 
     /// Appends a snapshot when the last one lies far back. A second daemon doing the same is harmless.
-    pub(crate) fn propose_snapshot_if_due<Wrap>(&self, wrap: Wrap)
+    pub(crate) fn propose_snapshot_if_due<MakeBody>(&self, make_body: MakeBody)
     where
-        Wrap: FnOnce(u64, State::Snapshot) -> State::Body,
+        MakeBody: FnOnce(u64, State::Snapshot) -> State::Body,
     {
         if self.records_since_snapshot.get() < SNAPSHOT_EVERY_RECORDS {
             return;
@@ -148,7 +148,7 @@
             let follower = self.follower.borrow();
             (follower.applied_offset(), follower.fold().snapshot())
         };
-        self.propose(wrap(next_offset, snapshot));
+        self.propose(make_body(next_offset, snapshot));
     }
 
     /// Folds a page and settles our own records in it.
@@ -156,7 +156,7 @@
     where
         Observe: FnMut(&LogRecord, &Envelope<State::Body>),
     {
-        self.remember(&page.records);
+        self.cache_recent(&page.records);
         let mut own_sequence = 0;
         let mut applied = 0;
         self.follower
@@ -170,13 +170,13 @@
             });
         self.records_since_snapshot
             .set(self.records_since_snapshot.get() + applied);
-        self.settle(daemon, own_sequence);
+        self.update_proposer(daemon, own_sequence);
         if applied > 0 {
             self.progressed.notify_waiters();
         }
     }
 
-    fn settle(&self, daemon: &Daemon, own_sequence: u64) {
+    fn update_proposer(&self, daemon: &Daemon, own_sequence: u64) {
         let (applied, end) = self.offsets();
         let jitter_percent = daemon.random_below(100);
         let mut proposer = self.proposer.borrow_mut();
@@ -188,7 +188,7 @@
         self.queued.notify_one();
     }
 
-    fn remember(&self, records: &[LogRecord]) {
+    fn cache_recent(&self, records: &[LogRecord]) {
         let mut recent = self.recent.borrow_mut();
         for record in records {
             let expected = recent.back().map(|last| last.offset + 1);
@@ -328,10 +328,10 @@
                     observe(&daemon, record, envelope);
                 });
             }
-            Err(why) => {
+            Err(reason) => {
                 failures += 1;
-                log::debug!("stream {} from {source:?}: {why}", stream.name);
-                sleep_ms(RETRY_MS + daemon.random_below(RETRY_MS)).await;
+                log::debug!("stream {} from {source:?}: {reason}", stream.name);
+                sleep_ms(RETRY_DELAY_MS + daemon.random_below(RETRY_DELAY_MS)).await;
             }
         }
     }
@@ -365,12 +365,15 @@
     let mut proposer = stream.proposer.borrow_mut();
     match appended {
         Ok(_) => proposer.on_acknowledged(),
-        Err(LogError::Refused(why)) => {
-            log::debug!("append to {} refused: {why}", stream.name);
+        Err(LogError::Refused(reason)) => {
+            log::debug!("append to {} refused: {reason}", stream.name);
             proposer.on_refused(daemon.now_ms(), daemon.random_below(100));
         }
-        Err(LogError::Unknown(why)) => {
-            log::info!("append to {} has no answer, reading on: {why}", stream.name);
+        Err(LogError::Unknown(reason)) => {
+            log::info!(
+                "append to {} has no answer, reading on: {reason}",
+                stream.name
+            );
             proposer.on_lost_answer();
         }
     }
