--- a/crates/borageshore_daemon/src/platform/engine.rs
+++ b/crates/borageshore_daemon/src/platform/engine.rs
@@ -14,9 +14,9 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest line of a stream.
-const LINE_BYTES: usize = 1024 * 1024;
+const MAX_LINE_BYTES: usize = 1024 * 1024;
 /// How long the end of a body may take after its last chunk.
-const RELEASE_MS: u64 = 1_000;
+const BODY_END_TIMEOUT_MS: u64 = 1_000;
 const ORDER_TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 1_000,
     first_byte_ms: 3_000,
@@ -227,18 +227,18 @@
 }
 
 impl HttpChunks {
-    fn take_lines(&mut self, data: &[u8]) -> Result<(), CallError> {
+    fn parse_lines(&mut self, data: &[u8]) -> Result<(), CallError> {
         self.buffer.extend_from_slice(data);
         let Some(end) = self.buffer.iter().rposition(|byte| *byte == b'\n') else {
-            if self.buffer.len() > LINE_BYTES {
+            if self.buffer.len() > MAX_LINE_BYTES {
                 return Err(CallError::NoAnswer(
                     "a line of the stream is too long".into(),
                 ));
             }
             return Ok(());
         };
-        let whole: Vec<u8> = self.buffer.drain(..=end).collect();
-        for line in whole
+        let complete: Vec<u8> = self.buffer.drain(..=end).collect();
+        for line in complete
             .split(|byte| *byte == b'\n')
             .filter(|line| !line.is_empty())
         {
@@ -253,7 +253,7 @@
 impl ChunkStream for HttpChunks {
     fn release(mut self) {
         monoio::spawn(async move {
-            if let Some(None) = within_ms(RELEASE_MS, self.body.frame()).await {
+            if let Some(None) = within_ms(BODY_END_TIMEOUT_MS, self.body.frame()).await {
                 self.http.keep(&self.address, self.sender);
             }
         });
@@ -270,7 +270,7 @@
                 Some(Some(Err(error))) => return Err(CallError::NoAnswer(error.to_string())),
                 Some(Some(Ok(frame))) => {
                     if let Ok(data) = frame.into_data() {
-                        self.take_lines(&data)?;
+                        self.parse_lines(&data)?;
                     }
                 }
             }
--- a/crates/borageshore_daemon/src/platform/log_service.rs
+++ b/crates/borageshore_daemon/src/platform/log_service.rs
@@ -26,7 +26,7 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Appended {
+struct AppendResponse {
     offset: u64,
 }
 
@@ -51,8 +51,8 @@
         };
         let answer = self.http.call(&self.address, request, timeouts).await;
         answer.map_err(|error| match error {
-            CallError::NotSent(why) => LogError::Refused(why),
-            CallError::NoAnswer(why) | CallError::Broken(why) => LogError::Unknown(why),
+            CallError::NotSent(reason) => LogError::Refused(reason),
+            CallError::NoAnswer(reason) | CallError::Broken(reason) => LogError::Unknown(reason),
         })
     }
 }
@@ -72,7 +72,7 @@
         if !status.is_success() {
             return Err(LogError::Unknown(format!("status {status}")));
         }
-        let appended: Appended =
+        let appended: AppendResponse =
             serde_json::from_slice(&body).map_err(|error| LogError::Unknown(error.to_string()))?;
         Ok(appended.offset)
     }
--- a/crates/borageshore_daemon/src/platform/plain.rs
+++ b/crates/borageshore_daemon/src/platform/plain.rs
@@ -9,7 +9,7 @@
 use hyper::{Request, header::HOST};
 
 /// The largest answer that is passed on.
-const ANSWER_BYTES: usize = 16 * 1024 * 1024;
+const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 /// The header by which an endpoint says that it refused before running anything.
 const NOT_RUN_HEADER: &str = "x-not-run";
 
@@ -76,7 +76,7 @@
         .get("content-type")
         .and_then(|value| value.to_str().ok());
     let content_type: Arc<str> = content_type.unwrap_or("application/octet-stream").into();
-    let collecting = Limited::new(response.into_body(), ANSWER_BYTES).collect();
+    let collecting = Limited::new(response.into_body(), MAX_ANSWER_BYTES).collect();
     let collected = borageshore_net::within_ms(timeouts.first_byte_ms, collecting).await;
     let body = match collected {
         Some(Ok(body)) => body.to_bytes(),
