--- a/crates/borageshore_daemon/tests/streams.rs
+++ b/crates/borageshore_daemon/tests/streams.rs
@@ -17,13 +17,13 @@
 };
 
 /// A daemon before two engines.
-struct Setting {
+struct Fixture {
     daemon: String,
     engines: Vec<HttpServer>,
     http: HttpClient,
 }
 
-impl Setting {
+impl Fixture {
     async fn open() -> Self {
         let options = EngineOptions {
             step_ms: 2,
@@ -40,13 +40,13 @@
             state: VmState::Live,
         });
         let daemon = support::open_daemon(vms.collect()).await;
-        let setting = Self {
+        let fixture = Self {
             daemon,
             engines,
             http: HttpClient::open(),
         };
-        setting.configure().await;
-        setting
+        fixture.configure().await;
+        fixture
     }
 
     async fn configure(&self) {
@@ -96,7 +96,7 @@
         (status == 200).then(|| serde_json::from_value(answer["tokens"].clone()).unwrap())
     }
 
-    async fn assert_whole(&self, prompt: &str) {
+    async fn assert_complete(&self, prompt: &str) {
         let expected: Vec<String> = (0..TOKENS)
             .map(|index| expected_token(prompt, index))
             .collect();
@@ -104,47 +104,47 @@
     }
 }
 
-macro_rules! stories {
-    ($($name:ident: |$setting:ident| $story:expr;)*) => {
+macro_rules! fixture_tests {
+    ($($name:ident: |$fixture:ident| $steps:expr;)*) => {
         $(
             #[test]
             fn $name() {
                 run_event_loop(async {
-                    let $setting = Setting::open().await;
-                    $story
+                    let $fixture = Fixture::open().await;
+                    $steps
                 });
             }
         )*
     };
 }
 
-stories! {
+fixture_tests! {
     // An engine sends chunks of another request into a caller's stream. They are dropped; the caller
     // gets its own answer, every token in its place.
-    crossed_chunks_are_dropped: |setting| {
+    crossed_chunks_are_dropped: |fixture| {
         for engine in 0..2 {
-            setting.switch(engine, EngineSwitches { cross_chunks: 8, ..EngineSwitches::default() }).await;
+            fixture.switch(engine, EngineSwitches { cross_chunks: 8, ..EngineSwitches::default() }).await;
         }
         for number in 0..4 {
-            setting.assert_whole(&format!("crossed {number}")).await;
+            fixture.assert_complete(&format!("crossed {number}")).await;
         }
     };
 
     // An engine goes silent while its connections stay open. The progress deadline finds it, and the
     // answer is made whole by the other engine, from the last good token on.
-    stalled_engine_is_left: |setting| {
-        setting.switch(0, EngineSwitches { stall_ms: 60_000, ..EngineSwitches::default() }).await;
+    stalled_engine_is_left: |fixture| {
+        fixture.switch(0, EngineSwitches { stall_ms: 60_000, ..EngineSwitches::default() }).await;
         for number in 0..6 {
-            setting.assert_whole(&format!("stalled {number}")).await;
+            fixture.assert_complete(&format!("stalled {number}")).await;
         }
     };
 
     // Both engines stall for a moment in the middle of answers, longer than the progress deadline of
     // one attempt. Retries come out of a budget, and the answers are whole.
-    short_stalls_are_survived: |setting| {
+    short_stalls_are_survived: |fixture| {
         for engine in 0..2 {
-            setting.switch(engine, EngineSwitches { stall_ms: 100, ..EngineSwitches::default() }).await;
+            fixture.switch(engine, EngineSwitches { stall_ms: 100, ..EngineSwitches::default() }).await;
         }
-        setting.assert_whole("short stall").await;
+        fixture.assert_complete("short stall").await;
     };
 }
