--- a/crates/borageshore_daemon/src/gate.rs
+++ b/crates/borageshore_daemon/src/gate.rs
@@ -1,4 +1,4 @@
-//! Waiting for a slot of a service.
+//! Admission of requests to a service: waiting for a free slot.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,7 +15,7 @@
 
 use crate::daemon::Daemon;
 
-/// The admission of one service with the tasks that wait in it.
+/// The admission state of one service and the tasks that wait for its slots.
 #[derive(Debug)]
 pub(crate) struct Gate {
     admission: RefCell<Admission>,
@@ -23,7 +23,7 @@
     next_id: Cell<TicketId>,
 }
 
-/// What a request brings to a gate.
+/// A request for a slot.
 #[derive(Debug, Clone)]
 pub(crate) struct GateRequest {
     pub(crate) node: Arc<str>,
@@ -32,7 +32,7 @@
     pub(crate) deadline_ms: u64,
 }
 
-/// A slot, given back when dropped.
+/// An occupied slot; dropping it frees the slot.
 #[derive(Debug)]
 pub(crate) struct Slot {
     gate: Rc<Gate>,
@@ -52,16 +52,16 @@
     }
 }
 
-/// A refusal by a gate: nothing was run.
+/// A rejected request for a slot; nothing was run.
 #[derive(Debug, Clone)]
 pub(crate) struct GateRefusal {
     pub(crate) fault: Fault,
-    /// When to come back.
+    /// The time after which the caller may retry.
     pub(crate) retry_after_ms: u64,
 }
 
 impl Gate {
-    /// Opens a gate.
+    /// Creates a gate without running or waiting requests.
     pub(crate) fn open(limits: AdmissionLimits) -> Rc<Self> {
         Rc::new(Self {
             admission: RefCell::new(Admission::open(limits)),
@@ -70,13 +70,13 @@
         })
     }
 
-    /// Follows a change of limits.
+    /// Replaces the limits and starts the waiting requests that now fit.
     pub(crate) fn set_limits(&self, limits: AdmissionLimits) {
         self.admission.borrow_mut().set_limits(limits);
         self.start_waiting();
     }
 
-    /// Waits for a slot; a refusal comes as soon as it is certain.
+    /// Waits for a slot until the request's deadline; fails at once if its node's queue is full.
     pub(crate) async fn acquire(
         self: &Rc<Self>,
         daemon: &Rc<Daemon>,
@@ -175,11 +175,11 @@
     Closed,
 }
 
-/// A place in the queue, left when dropped.
+/// A request in the queue; dropping it removes the request.
 ///
-/// Guards against a slot that is lost for ever: the caller goes away, or the deadline comes, after
-/// the gate handed out the slot and before this task ran again. The slot then lies in the channel,
-/// and the drop gives it back.
+/// Guards against a leaked slot: if the caller disconnects or the deadline passes after the gate
+/// granted the slot and before this task runs again, the grant is still in the channel, and `drop`
+/// frees the slot.
 #[derive(Debug)]
 struct QueuedRequest {
     gate: Rc<Gate>,
@@ -193,7 +193,7 @@
         let receiver = self
             .receiver
             .as_mut()
-            .expect("taken only after the turn came");
+            .expect("the receiver is taken only after the wait");
         match receiver.await {
             Ok(()) => QueueWait::Started,
             Err(_) => QueueWait::Closed,
