--- a/crates/borageshore_daemon/src/generation.rs
+++ b/crates/borageshore_daemon/src/generation.rs
@@ -1,4 +1,4 @@
-//! Token generation: one request, as many attempts as it takes, one whole answer.
+//! Token generation: runs a request over one or more attempts until its answer is complete.
 
 use std::{future::Future, rc::Rc, sync::Arc};
 
@@ -15,10 +15,10 @@
 };
 
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
-/// Bytes of a prompt that decide which engines are likely to have it cached.
+/// Length in bytes of the prompt prefix by which engines that likely have it cached are preferred.
 const PREFIX_BYTES: usize = 256;
 
-/// A request for tokens, from a caller or for a sample.
+/// A request for tokens, made by a caller or for a training sample.
 #[derive(Debug, Clone)]
 pub(crate) struct Generation {
     pub(crate) request_id: Arc<str>,
@@ -33,36 +33,36 @@
     pub(crate) swap_policy: SwapPolicy,
 }
 
-/// What to do when the engine's weights change in the middle.
+/// What happens to a generation when the engine's weights change during it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SwapPolicy {
-    /// Go on; the tokens say which version made them.
+    /// Continue; each token carries the version that produced it.
     Keep,
-    /// Begin again, so that one version makes the whole.
+    /// Start over, so that a single version produces all tokens.
     Restart,
 }
 
-/// One token with the version that made it.
+/// A token and the weight version that produced it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Token {
     pub(crate) text: String,
     pub(crate) version: Option<u64>,
 }
 
-/// Where tokens go.
+/// The receiver of generated tokens.
 pub(crate) trait TokenSink {
-    /// Takes a token; `SinkClosed` when nobody wants any more.
+    /// Receives a token; returns [`SinkClosed`] if no more tokens are wanted.
     fn on_token(&mut self, token: &Token) -> impl Future<Output = Result<(), SinkClosed>>;
 
-    /// Forgets all tokens so far. Only called under [`SwapPolicy::Restart`].
+    /// Discards all tokens received so far; called only under [`SwapPolicy::Restart`].
     fn on_restart(&mut self);
 }
 
-/// Nobody reads the answer any more.
+/// The reader of the answer is gone.
 #[derive(Debug)]
 pub(crate) struct SinkClosed;
 
-/// Why a generation ended without its whole answer.
+/// Why a generation ended without a complete answer.
 #[derive(Debug, Clone)]
 pub(crate) struct GenerationFailure {
     pub(crate) fault: Fault,
@@ -77,7 +77,8 @@
     Failed(CallError),
 }
 
-/// Generates the whole answer, resuming on another engine after the last good token.
+/// Generates the complete answer; after a failed attempt, another engine resumes after the last
+/// valid token.
 pub(crate) async fn generate<Sink>(
     daemon: &Rc<Daemon>,
     generation: &Generation,
@@ -173,7 +174,8 @@
         .with_random(|random| choose_endpoint(&daemon.endpoints.borrow(), request, now_ms, random))
 }
 
-/// Generation is idempotent, so only the deadline and the retry budget end the attempts.
+/// Returns an error if no further attempt is allowed. Generation is idempotent, so only the
+/// deadline and the retry budget limit the attempts.
 fn check_retry(
     daemon: &Daemon,
     generation: &Generation,
@@ -287,10 +289,10 @@
     }
 }
 
-/// Takes in one chunk.
+/// Processes one chunk; returns how the attempt ended, or `None` if it continues.
 ///
-/// Guards against late and crossed answers: a chunk of another request, or out of its place, is
-/// dropped and counted; it can never end up in this answer.
+/// Guards against late and misrouted chunks: one of another request, or with an unexpected index,
+/// is dropped and counted, and never becomes part of this answer.
 async fn on_chunk<Sink>(
     daemon: &Daemon,
     generation: &Generation,
@@ -325,7 +327,7 @@
     None
 }
 
-/// Counts a request at an endpoint until its end is known, also when its task is dropped.
+/// Counts a request as in flight at an endpoint; dropping it without a result counts as cancelled.
 #[derive(Debug)]
 pub(crate) struct EndpointRequestGuard {
     daemon: Rc<Daemon>,
@@ -333,7 +335,7 @@
 }
 
 impl EndpointRequestGuard {
-    /// Begins to watch a request that was counted by `on_start`.
+    /// Takes over a request that was already counted by `on_start`.
     pub(crate) fn open(daemon: &Rc<Daemon>, endpoint: &Arc<str>) -> Self {
         Self {
             daemon: daemon.clone(),
@@ -341,14 +343,14 @@
         }
     }
 
-    /// The endpoint answered.
+    /// Reports that the endpoint answered.
     pub(crate) fn succeeded(&mut self) {
         if let Some(endpoint) = self.endpoint.take() {
             self.daemon.endpoints.borrow_mut().on_success(&endpoint);
         }
     }
 
-    /// The endpoint failed.
+    /// Reports that the endpoint failed.
     pub(crate) fn failed(&mut self) {
         if let Some(endpoint) = self.endpoint.take() {
             let now_ms = self.daemon.now_ms();
