--- a/crates/borageshore_daemon/src/calls.rs
+++ b/crates/borageshore_daemon/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services, some of which must run at most once.
+//! Calls to plain services; non-idempotent calls run at most once per request key.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -21,12 +21,12 @@
 };
 
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
-/// How much longer than the call's own deadline a peer may take to answer.
+/// Extra time after the call's deadline for the answer of the peer to arrive.
 const FORWARD_SLACK_MS: u64 = 1_000;
-/// The pace at which a repeated call looks for the answer of the first.
+/// The interval at which a repeated call checks for the answer of the first one.
 const ANSWER_POLL_MS: u64 = 500;
 
-/// A call as the edge hands it over.
+/// A call to a service, as received by the edge.
 #[derive(Debug, Clone)]
 pub(crate) struct ServiceCall {
     pub(crate) service: Arc<str>,
@@ -41,7 +41,7 @@
     pub(crate) deadline_ms: u64,
 }
 
-/// What is told to the caller.
+/// The answer to the caller.
 #[derive(Debug, Clone)]
 pub(crate) struct CallAnswer {
     pub(crate) outcome: Outcome,
@@ -50,7 +50,7 @@
 }
 
 impl CallAnswer {
-    /// An answer without a body of an endpoint.
+    /// An answer made by this daemon instead of an endpoint.
     pub(crate) fn fault(fault: Fault, outcome: Outcome) -> Self {
         let answer = StoredAnswer {
             code: fault.code,
@@ -67,7 +67,7 @@
     }
 }
 
-/// Carries out a call, here or at the daemon that owns its key.
+/// Runs a call, either here or, if it is not idempotent, at the daemon that owns its request key.
 pub(crate) async fn call_service(daemon: &Rc<Daemon>, call: ServiceCall) -> CallAnswer {
     if call.idempotent == Idempotent::Yes {
         return run(daemon, &call).await;
@@ -82,7 +82,7 @@
     forward(daemon, &call, &prefix).await
 }
 
-/// Runs a key that this incarnation owns, if it never ran before.
+/// Runs a call whose key this incarnation owns, or returns the answer of its earlier run.
 async fn run_once(daemon: &Rc<Daemon>, call: &ServiceCall, prefix: &KeyPrefix) -> CallAnswer {
     loop {
         let decision = daemon
@@ -129,7 +129,8 @@
     }
 }
 
-/// Runs on a task of its own, so that a caller that goes away does not leave the key without answer.
+/// Runs the call and records its answer, on a separate task, so that the answer is recorded even
+/// if the caller disconnects.
 async fn run_and_record(daemon: &Rc<Daemon>, call: &ServiceCall) -> CallAnswer {
     let (daemon, call) = (daemon.clone(), call.clone());
     let running = monoio::spawn(async move {
@@ -148,11 +149,10 @@
     running.await
 }
 
-/// Hands the call to the daemon that owns its key.
+/// Forwards the call to the daemon that owns its key.
 ///
-/// Guards against a second run: whatever goes wrong on the way, an earlier copy of this call may
-/// have reached the owner, so the only truthful answer is that nobody knows. No other daemon ever
-/// runs the key.
+/// Guards against a second run: no other daemon runs the key, and if forwarding fails, the outcome
+/// is unknown, since this or an earlier copy of the call may have reached the owner.
 async fn forward(daemon: &Rc<Daemon>, call: &ServiceCall, prefix: &KeyPrefix) -> CallAnswer {
     let owner = {
         let membership = daemon.membership.borrow();
@@ -184,7 +184,7 @@
     }
 }
 
-/// Answers a peer that forwards a call to us.
+/// Handles a call forwarded by a peer.
 pub(crate) async fn on_peer_call(daemon: &Rc<Daemon>, request: CallRequest) -> CallReply {
     let Some(prefix) = KeyPrefix::parse(&request.request_key) else {
         return failed_call(Fault::new(
@@ -246,7 +246,7 @@
     }
 }
 
-/// What a code says of whether the request ran.
+/// Derives from a result code whether the request ran.
 fn outcome_from_code(code: ResultCode) -> Outcome {
     match code {
         ResultCode::Done => Outcome::Done,
@@ -261,7 +261,7 @@
     }
 }
 
-/// Runs a call at an endpoint, and again where that does no harm.
+/// Runs a call at an endpoint and retries at others where a repetition is safe.
 async fn run(daemon: &Rc<Daemon>, call: &ServiceCall) -> CallAnswer {
     let request = GateRequest {
         node: call.node.clone(),
