--- a/crates/borageshore_daemon/src/addresses.rs
+++ b/crates/borageshore_daemon/src/addresses.rs
@@ -1,4 +1,4 @@
-//! The addresses that callers should use, and the prefix of their request keys.
+//! The address list for callers, with the prefix for their request keys.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -7,7 +7,7 @@
 
 use crate::daemon::{Daemon, Life};
 
-/// How long a peer may take to answer for a daemon that leaves.
+/// How long a draining daemon waits for a peer's address list.
 const PEER_TIMEOUT_MS: u64 = 1_000;
 
 #[derive(Debug, Serialize)]
@@ -17,11 +17,11 @@
     request_key_prefix: String,
 }
 
-/// The answer to a caller as JSON.
+/// The address list for a caller, as JSON.
 ///
-/// Guards against keys that outlive their daemon: a caller whose list still names a leaving daemon
-/// asks it for the next list, and would bind its keys to an incarnation that is gone before the list
-/// runs out; its calls would end as unknown. A leaving daemon passes the question on instead.
+/// Guards against keys that outlive their daemon: a caller may ask a draining daemon for its next
+/// list. With that daemon's own key prefix, its calls would end with an unknown outcome once the
+/// daemon has stopped, so a draining daemon returns the list of a peer instead.
 pub(crate) async fn for_caller(daemon: &Rc<Daemon>, caller: &str) -> String {
     if daemon.life() != Life::Draining {
         return local_address_list(daemon, caller);
@@ -47,7 +47,7 @@
     }
 }
 
-/// Answers a peer that leaves.
+/// Answers a draining peer that asks on behalf of a caller.
 pub(crate) fn on_peer_addresses(daemon: &Daemon, request: &AddressRequest) -> AddressReply {
     AddressReply::new(local_address_list(daemon, &request.caller))
 }
@@ -59,5 +59,5 @@
         ttl_ms: daemon.root_setting("address_ttl_ms"),
         request_key_prefix: daemon.keys.borrow().prefix(daemon.now_ms()).to_string(),
     };
-    serde_json::to_string(&list).expect("lists are plain data")
+    serde_json::to_string(&list).expect("address lists serialize to JSON")
 }
--- a/crates/borageshore_daemon/src/peer_client.rs
+++ b/crates/borageshore_daemon/src/peer_client.rs
@@ -1,4 +1,4 @@
-//! Calls to other daemons.
+//! The client for requests to other daemons (peers).
 
 use std::{cell::RefCell, fmt, net::SocketAddr, rc::Rc, sync::Arc};
 
@@ -12,11 +12,11 @@
     metrics::{Direction, Metrics},
 };
 
-/// The most idle connections kept to one peer.
+/// Maximum number of idle connections per peer.
 const MAX_IDLE_PER_PEER: usize = 16;
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
-/// Why a peer gave no answer.
+/// Why a request to a peer failed.
 #[derive(Debug)]
 pub(crate) struct PeerError(String);
 
@@ -28,7 +28,10 @@
 
 impl std::error::Error for PeerError {}
 
-/// Connections to peers: one request at a time on each, so an answer can only belong to its request.
+/// A connection pool for peers.
+///
+/// Each connection carries one request at a time, so that an answer cannot be matched to another
+/// request.
 #[derive(Debug)]
 pub(crate) struct PeerClient {
     token: Secret,
@@ -37,7 +40,7 @@
 }
 
 impl PeerClient {
-    /// Opens a client without connections.
+    /// Creates a client without connections.
     pub(crate) fn open(token: Secret, metrics: Rc<Metrics>) -> Self {
         Self {
             token,
@@ -46,10 +49,10 @@
         }
     }
 
-    /// Asks a peer and waits for its answer.
+    /// Sends a request to a peer and waits for its answer.
     ///
-    /// Guards against silent connections: a call that fails drops all idle connections to that peer,
-    /// and the connection of a call that timed out is never used again.
+    /// Guards against half-open connections: a failed call closes all idle connections to that
+    /// peer, and the connection of a call that timed out is not reused.
     pub(crate) async fn call(
         &self,
         address: &str,
--- a/crates/borageshore_daemon/src/peer_server.rs
+++ b/crates/borageshore_daemon/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Answers to other daemons.
+//! The server for requests from other daemons (peers).
 
 use std::{io, rc::Rc};
 
@@ -12,12 +12,12 @@
 
 use crate::{addresses, calls, daemon::Daemon, gossip, jobs, samples, stream::END_OFFSET_UNKNOWN};
 
-/// How long a new connection may take to show its token.
+/// How long a new connection may take to send its token.
 const HANDSHAKE_TIMEOUT_MS: u64 = 2_000;
-/// The largest token.
+/// Maximum length of a token.
 const MAX_TOKEN_BYTES: usize = 1_024;
 
-/// Accepts peers until the process ends.
+/// Binds the peer address and accepts connections until the process ends.
 pub(crate) fn bind(daemon: &Rc<Daemon>) -> io::Result<()> {
     let listener = bind_listener(&daemon.config.peer_address)?;
     monoio::spawn(accept_loop(daemon.clone(), listener));
@@ -46,12 +46,12 @@
         return;
     };
     if !daemon.config.peer_token.matches(&token) {
-        log::warn!("a connection showed a wrong peer token");
+        log::warn!("closing a peer connection: wrong peer token");
         return;
     }
     while let Ok(frame) = read_frame(&mut stream, MAX_FRAME_BYTES).await {
         let Ok(request) = decode::<PeerRequest>(&frame) else {
-            log::warn!("a peer sent a frame that cannot be decoded");
+            log::warn!("closing a peer connection: request frame cannot be decoded");
             return;
         };
         let reply = answer(&daemon, request).await;
@@ -92,7 +92,7 @@
     }
 }
 
-/// A reply to a call that failed.
+/// The reply to a failed call.
 pub(crate) fn failed_call(fault: Fault) -> CallReply {
     CallReply {
         code: i32::from(fault.code.number()),
@@ -103,7 +103,7 @@
     }
 }
 
-/// A reply to a sample order that failed.
+/// The reply to a failed request for a sample.
 pub(crate) fn failed_sample(fault: Fault) -> SampleReply {
     SampleReply {
         code: i32::from(fault.code.number()),
@@ -114,7 +114,7 @@
     }
 }
 
-/// A reply to a pull that failed.
+/// The reply to a failed pull.
 pub(crate) fn failed_pull(code: ResultCode) -> PullReply {
     PullReply {
         code: i32::from(code.number()),
