--- a/crates/borageshore_daemon/src/stream.rs
+++ b/crates/borageshore_daemon/src/stream.rs
@@ -1,4 +1,4 @@
-//! One stream of the log in one daemon: following it, serving it to peers, appending to it.
+//! A log stream shared by the tasks of a daemon: follows it, relays it to peers and appends to it.
 
 use std::{
     cell::{Cell, RefCell},
@@ -18,32 +18,32 @@
 
 use crate::daemon::Daemon;
 
-/// How long a read waits for a first record.
+/// How long a read waits for the first new record.
 const FOLLOW_WAIT_MS: u64 = 1_000;
-/// How long a relay collects records before it answers.
+/// How long a relaying daemon collects records before it answers a peer.
 const RELAY_BATCH_MS: u64 = 100;
-/// The pause after a failed read.
+/// The minimum delay after a failed read; up to the same time is added at random.
 const RETRY_DELAY_MS: u64 = 200;
-/// Records kept for peers that follow through this daemon.
+/// Number of recent records kept for peers that follow the stream through this daemon.
 const RECENT_RECORDS: usize = 4_096;
-/// Records in one append.
+/// Maximum number of records in one append.
 const APPEND_BATCH_RECORDS: usize = 64;
 /// A snapshot is due after this many records without one.
 const SNAPSHOT_EVERY_RECORDS: u64 = 1_000;
 
-/// Stands for the end of a log that a peer has not heard of yet.
+/// The `end_offset` in a [`FollowReply`] of a peer that has not read from the log yet.
 pub(crate) const END_OFFSET_UNKNOWN: i64 = -1;
 
-/// Where a stream's records are read from.
+/// The source of a stream's records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// The log itself.
+    /// The log service.
     Log,
     /// A peer, by its peer address.
     Peer(Arc<str>),
 }
 
-/// A stream with its fold, shared by the tasks of a daemon.
+/// A log stream and the state folded from it, shared by the tasks of a daemon.
 #[derive(Debug)]
 pub(crate) struct SharedStream<State> {
     pub(crate) name: Arc<str>,
@@ -52,7 +52,7 @@
     recent: RefCell<VecDeque<LogRecord>>,
     records_since_snapshot: Cell<u64>,
     is_closed: Cell<bool>,
-    /// When the log was last heard of, by us or by the peer that we follow.
+    /// When this daemon, or the peer that it follows, last read from the log service.
     last_contact_at_ms: Cell<u64>,
     progressed: Notify,
     queued: Notify,
@@ -62,7 +62,7 @@
 where
     State: Fold,
 {
-    /// Opens a stream at its beginning.
+    /// Creates a stream that is read from its beginning.
     pub(crate) fn open(name: Arc<str>, writer: Arc<str>, fold: State) -> Self {
         Self {
             name,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Looks at the folded state.
+    /// Calls `read` with the folded state.
     pub(crate) fn with_fold<Read, Output>(&self, read: Read) -> Output
     where
         Read: FnOnce(&State) -> Output,
@@ -85,7 +85,7 @@
         read(self.follower.borrow().fold())
     }
 
-    /// Says whether the state was read up to the end of the log as last heard.
+    /// Returns whether all records up to the last known end of the log are applied.
     pub(crate) fn is_caught_up(&self) -> bool {
         let follower = self.follower.borrow();
         let is_at_end = follower
@@ -94,7 +94,7 @@
         follower.state() == FollowerState::Following && is_at_end
     }
 
-    /// The first offset not folded, and the end of the log as last heard.
+    /// The first offset that is not applied, and the last known end of the log.
     pub(crate) fn offsets(&self) -> (u64, u64) {
         let follower = self.follower.borrow();
         (
@@ -103,12 +103,12 @@
         )
     }
 
-    /// When the log was last heard of.
+    /// When the log service was last read from, directly or through a peer.
     pub(crate) fn last_contact_at_ms(&self) -> u64 {
         self.last_contact_at_ms.get()
     }
 
-    /// Queues a record; returns its sequence.
+    /// Queues a record for appending; returns its sequence number.
     pub(crate) fn propose(&self, body: State::Body) -> u64
     where
         State::Body: Serialize,
@@ -118,24 +118,25 @@
         sequence
     }
 
-    /// Says whether a record of ours has no known place yet.
+    /// Returns whether a record proposed here has no known offset in the log yet.
     pub(crate) fn is_pending(&self, sequence: u64) -> bool {
         self.proposer.borrow().is_pending(sequence)
     }
 
-    /// Waits until something was folded, or for `timeout_ms`.
+    /// Waits until records were applied, but at most `timeout_ms`.
     pub(crate) async fn wait_progress(&self, timeout_ms: u64) {
         within_ms(timeout_ms, self.progressed.notified()).await;
     }
 
-    /// Ends the tasks of this stream.
+    /// Stops the tasks of this stream.
     pub(crate) fn close(&self) {
         self.is_closed.set(true);
         self.queued.notify_one();
         self.progressed.notify_waiters();
     }
 
-    /// Appends a snapshot when the last one lies far back. A second daemon doing the same is harmless.
+    /// Proposes a snapshot once enough records were applied since the last one. Duplicate
+    /// snapshots by several daemons are harmless.
     pub(crate) fn propose_snapshot_if_due<MakeBody>(&self, make_body: MakeBody)
     where
         MakeBody: FnOnce(u64, State::Snapshot) -> State::Body,
@@ -151,7 +152,7 @@
         self.propose(make_body(next_offset, snapshot));
     }
 
-    /// Folds a page and settles our own records in it.
+    /// Applies a page of records and reports this daemon's own records in it to the proposer.
     fn on_page<Observe>(&self, daemon: &Daemon, page: LogPage, mut observe: Observe)
     where
         Observe: FnMut(&LogRecord, &Envelope<State::Body>),
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Answers a peer that follows through this daemon.
+    /// Answers a peer that follows the stream through this daemon.
     pub(crate) async fn serve_follow(
         &self,
         daemon: &Daemon,
@@ -215,7 +216,7 @@
         if self.offsets().0 <= from_offset {
             self.wait_progress(request.wait_ms.clamp(0, FOLLOW_WAIT_MS as i64) as u64)
                 .await;
-            // Records that come close together travel together.
+            // Batches records that arrive shortly after each other.
             sleep_ms(RELAY_BATCH_MS).await;
         }
         let (applied, _) = self.offsets();
@@ -229,7 +230,7 @@
         let has_state = self.follower.borrow().state() == FollowerState::Following;
         let snapshot = (!is_covered && has_state).then(|| {
             let snapshot = self.follower.borrow().fold().snapshot();
-            serde_json::to_string(&snapshot).expect("snapshots are plain data")
+            serde_json::to_string(&snapshot).expect("snapshots serialize to JSON")
         });
         FollowReply {
             first_offset: first_offset as i64,
@@ -280,11 +281,11 @@
             .call(address, &request, 2 * FOLLOW_WAIT_MS)
             .await;
         let PeerReply::Follow(reply) = reply.map_err(|error| error.to_string())? else {
-            return Err("the peer answered something else".into());
+            return Err("the peer sent a reply of another kind".into());
         };
-        // A peer that has heard nothing of the log would make us believe that the log is empty.
+        // Without this check, a peer that has not read from the log would make it look empty.
         if reply.end_offset == END_OFFSET_UNKNOWN {
-            return Err("the peer has no state either".into());
+            return Err("the peer has not read from the log yet".into());
         }
         let last_contact_at_ms = daemon
             .now_ms()
@@ -307,7 +308,7 @@
     }
 }
 
-/// Follows a stream until it is closed; `observe` sees every applied record.
+/// Reads and applies records until the stream is closed; calls `observe` for each applied record.
 pub(crate) async fn follow<State, Choose, Observe>(
     daemon: Rc<Daemon>,
     stream: Rc<SharedStream<State>>,
@@ -330,14 +331,17 @@
             }
             Err(reason) => {
                 failures += 1;
-                log::debug!("stream {} from {source:?}: {reason}", stream.name);
+                log::debug!(
+                    "read of stream {} from {source:?} failed, retrying: {reason}",
+                    stream.name
+                );
                 sleep_ms(RETRY_DELAY_MS + daemon.random_below(RETRY_DELAY_MS)).await;
             }
         }
     }
 }
 
-/// Appends what is proposed until the stream is closed and nothing waits any more.
+/// Appends proposed records until the stream is closed and no record is queued.
 pub(crate) async fn append_proposals<State>(daemon: Rc<Daemon>, stream: Rc<SharedStream<State>>)
 where
     State: Fold,
@@ -366,12 +370,15 @@
     match appended {
         Ok(_) => proposer.on_acknowledged(),
         Err(LogError::Refused(reason)) => {
-            log::debug!("append to {} refused: {reason}", stream.name);
+            log::debug!(
+                "append to stream {} refused, retrying later: {reason}",
+                stream.name
+            );
             proposer.on_refused(daemon.now_ms(), daemon.random_below(100));
         }
         Err(LogError::Unknown(reason)) => {
             log::info!(
-                "append to {} has no answer, reading on: {reason}",
+                "append to stream {} got no answer, reading on to see whether it took effect: {reason}",
                 stream.name
             );
             proposer.on_lost_answer();
