--- a/crates/borageshore_daemon/src/edge/answer.rs
+++ b/crates/borageshore_daemon/src/edge/answer.rs
@@ -1,4 +1,4 @@
-//! Answers, and what is read of a request's head and body.
+//! HTTP answers, and the parsing of request headers, queries and bodies.
 
 use std::sync::Arc;
 
@@ -16,12 +16,12 @@
 
 use crate::daemon::{Daemon, Life};
 
-/// The header that names the settings node a request runs under.
+/// The header with the settings node that a request runs under.
 const NODE_HEADER: &str = "x-node";
 const DEADLINE_HEADER: &str = "x-deadline-ms";
 pub(super) const JSON: &str = "application/json";
 
-/// What an answer is, before it becomes HTTP.
+/// An answer, independent of its HTTP encoding.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) code: ResultCode,
@@ -33,16 +33,16 @@
 }
 
 impl Answer {
-    /// A JSON answer of a request that was carried out.
+    /// A JSON answer to a request that succeeded.
     pub(crate) fn json<Content>(content: &Content) -> Self
     where
         Content: Serialize,
     {
-        let body = serde_json::to_vec(content).expect("answers are plain data");
+        let body = serde_json::to_vec(content).expect("answers serialize to JSON");
         Self::done(JSON, body)
     }
 
-    /// An answer of a request that was carried out.
+    /// An answer to a request that succeeded.
     pub(crate) fn done<Content>(content_type: &str, body: Content) -> Self
     where
         Content: Into<Bytes>,
@@ -57,14 +57,14 @@
         }
     }
 
-    /// A fault.
+    /// An answer that reports a fault.
     pub(crate) fn fault(fault: &Fault, outcome: Outcome) -> Self {
         let body = FaultBody {
             code: fault.code.number(),
             meaning: fault.code.meaning().into(),
             detail: fault.detail.clone(),
         };
-        let body = serde_json::to_vec(&body).expect("answers are plain data");
+        let body = serde_json::to_vec(&body).expect("answers serialize to JSON");
         Self {
             code: fault.code,
             status: fault.code.http_status(),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// A refusal before anything ran.
+    /// An answer that rejects a request before anything ran.
     pub(crate) fn refused<Detail>(code: ResultCode, detail: Detail) -> Self
     where
         Detail: Into<String>,
@@ -123,7 +123,7 @@
     }
 }
 
-/// The value of a query parameter.
+/// The value of a query parameter, without percent-decoding.
 pub(crate) fn query<'q>(request: &'q EdgeRequest, name: &str) -> Option<&'q str> {
     let pairs = request.uri().query()?.split('&');
     pairs
@@ -145,7 +145,7 @@
     text.parse().map_err(refuse)
 }
 
-/// Reads a body within the limits of the edge.
+/// Reads a request body within the default size and time limits of the server.
 pub(crate) async fn read_request_body(request: EdgeRequest) -> Result<Bytes, Answer> {
     let read = read_body(request.into_body(), ServerLimits::default()).await;
     read.map_err(|fault| match fault {
@@ -158,7 +158,7 @@
     })
 }
 
-/// Reads a JSON body.
+/// Reads and parses a JSON request body.
 pub(crate) async fn read_request_json<Content>(request: EdgeRequest) -> Result<Content, Answer>
 where
     Content: serde::de::DeserializeOwned,
@@ -168,7 +168,7 @@
     parsed.map_err(|error| Answer::refused(ResultCode::MalformedRequest, format!("body: {error}")))
 }
 
-/// What the head of a request says of how to treat it.
+/// Options that a request sets by its headers.
 pub(super) struct RequestOptions {
     pub(super) node: Arc<str>,
     pub(super) deadline_ms: u64,
--- a/crates/borageshore_daemon/src/edge/call.rs
+++ b/crates/borageshore_daemon/src/edge/call.rs
@@ -1,4 +1,4 @@
-//! Calls of callers to plain services.
+//! The route for calls to plain services.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -62,7 +62,7 @@
     response
 }
 
-/// A key for a caller that brought none: its request runs at most once, as it cannot be repeated.
+/// Generates a request key for a caller that sent none.
 fn generate_request_key(daemon: &Daemon) -> Arc<str> {
     let prefix = daemon.keys.borrow().prefix(daemon.now_ms());
     format!("{prefix}.{:016x}", daemon.random_below(u64::MAX)).into()
--- a/crates/borageshore_daemon/src/edge/generate.rs
+++ b/crates/borageshore_daemon/src/edge/generate.rs
@@ -1,4 +1,4 @@
-//! Tokens for callers, whole or as a stream.
+//! The route for token generation, answered at once or as a stream.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -120,8 +120,8 @@
     },
 }
 
-/// Answers with a stream of JSON lines. The head is sent with the first token, so that a refusal
-/// before it still comes with its own status; the last line says that the answer is whole.
+/// Answers with a stream of JSON lines. The response starts with the first token, so that an
+/// earlier failure still gets its own HTTP status; the last line marks the answer as complete.
 async fn stream_tokens(daemon: &Rc<Daemon>, generation: Generation) -> EdgeResponse {
     let (sender, body) = stream_body();
     let (start_sender, start_receiver) = oneshot::channel();
@@ -168,7 +168,7 @@
         if let Some(start_sender) = self.start_sender.take() {
             start_sender.send(Ok(())).map_err(|_| SinkClosed)?;
         }
-        let mut encoded = serde_json::to_vec(line).expect("lines are plain data");
+        let mut encoded = serde_json::to_vec(line).expect("stream lines serialize to JSON");
         encoded.push(b'\n');
         self.sender
             .send_data(encoded.into())
@@ -193,9 +193,10 @@
                         detail: &failure.fault.detail,
                     };
                     let _ = self.write(&line).await;
-                    // Without this the body would end as if it were whole.
-                    self.sender
-                        .abort(std::io::Error::other("the answer was cut"));
+                    // Without this, the body would end as if it were complete.
+                    self.sender.abort(std::io::Error::other(
+                        "generation failed after the response had started",
+                    ));
                 }
             },
         }
--- a/crates/borageshore_daemon/src/edge/mod.rs
+++ b/crates/borageshore_daemon/src/edge/mod.rs
@@ -1,4 +1,4 @@
-//! The interface to callers, trainers and operators over HTTP.
+//! The HTTP interface for callers, trainers and operators.
 
 mod answer;
 mod call;
@@ -18,14 +18,14 @@
     daemon::{Daemon, InFlight, Life},
 };
 
-/// The handler of the edge.
+/// The HTTP request handler of a daemon.
 #[derive(Debug)]
 pub(crate) struct Edge {
     daemon: Rc<Daemon>,
 }
 
 impl Edge {
-    /// Opens the edge of a daemon.
+    /// Creates the handler of a daemon.
     pub(crate) fn open(daemon: Rc<Daemon>) -> Self {
         Self { daemon }
     }
@@ -44,7 +44,7 @@
             .on_request(route, code, daemon.now_ms() - started_at_ms);
         set_header(response.headers_mut(), "x-request-id", &request_id);
         if daemon.life() == Life::Draining {
-            // Moves the caller to another address before the connection is closed under it.
+            // Makes the caller connect to another address before this daemon closes the connection.
             set_header(response.headers_mut(), "connection", "close");
         }
         response
--- a/crates/borageshore_daemon/src/edge/trainer.rs
+++ b/crates/borageshore_daemon/src/edge/trainer.rs
@@ -1,4 +1,4 @@
-//! What trainers ask for: samples by cursor, and new weights.
+//! The routes for trainers: pulling samples by cursor and publishing weights.
 
 use std::rc::Rc;
 
