--- a/crates/borageshore_daemon/src/platform/engine.rs
+++ b/crates/borageshore_daemon/src/platform/engine.rs
@@ -1,4 +1,4 @@
-//! Model engines over HTTP: streams of tokens, load reports and orders.
+//! The HTTP client of inference engines: token streams, load reports and weight orders.
 
 use std::{collections::VecDeque, future::Future, sync::Arc};
 
@@ -13,105 +13,105 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// The longest line of a stream.
+/// Maximum length of a line in a stream.
 const MAX_LINE_BYTES: usize = 1024 * 1024;
-/// How long the end of a body may take after its last chunk.
+/// How long to wait for the end of a body after its last chunk.
 const BODY_END_TIMEOUT_MS: u64 = 1_000;
 const ORDER_TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 1_000,
     first_byte_ms: 3_000,
 };
 
-/// A request for tokens.
+/// A request to generate tokens.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct EngineRequest {
-    /// Comes back with every chunk.
+    /// The request identifier; the engine repeats it in every chunk.
     pub request_id: Arc<str>,
     /// The prompt.
     pub prompt: Arc<str>,
-    /// How many tokens in all.
+    /// Maximum number of tokens, including `resume_tokens`.
     pub max_tokens: u64,
-    /// Tokens that an earlier attempt already produced.
+    /// Tokens that an earlier attempt has already produced.
     pub resume_tokens: Vec<String>,
-    /// Higher goes first.
+    /// The priority; higher values are served first.
     pub priority: u64,
-    /// The adapter whose weights to use; the base model without one.
+    /// The adapter whose weights are used; `None` for the base model.
     pub adapter: Option<Arc<str>>,
 }
 
-/// One line of a stream.
+/// One line of a token stream.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineChunk {
-    /// The request that the line belongs to.
+    /// The identifier of the request that the chunk belongs to.
     pub request_id: Arc<str>,
-    /// The token's place, from 0.
+    /// The zero-based index of the token.
     pub index: u64,
     /// The token; `None` in the last line.
     pub token: Option<String>,
-    /// The weight version that produced it; `None` when the engine does not know.
+    /// The weight version that produced it; `None` if the engine does not know it.
     pub version: Option<u64>,
 }
 
-/// The weights of one adapter in an engine.
+/// The weight versions of one adapter in an engine.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdapterReport {
     /// The adapter.
     pub adapter: Arc<str>,
-    /// The version that serves; `None` while it is not known.
+    /// The version in use; `None` if it is not known.
     pub version: Option<u64>,
-    /// The version that is being loaded.
+    /// The version being loaded, if any.
     pub loading: Option<u64>,
 }
 
-/// What an engine says of itself.
+/// An engine's report of its load and weights.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// Requests running and queued.
+    /// Number of running and queued requests.
     pub requests: u64,
-    /// Requests that run at once.
+    /// Maximum number of requests that run concurrently.
     pub slots: u64,
-    /// The weights.
+    /// The weight versions, by adapter.
     pub adapters: Vec<AdapterReport>,
 }
 
-/// An order to be at a version. It may be given any number of times.
+/// An order to load a weight version. It is idempotent.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineOrder {
     /// The adapter.
     pub adapter: Arc<str>,
-    /// The version.
+    /// The weight version to load.
     pub version: u64,
-    /// The fencing number of whoever gives the order.
+    /// The fencing token of the daemon that gives the order.
     pub epoch: u64,
 }
 
-/// What an engine said to an order.
+/// An engine's answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is being carried out.
+    /// The engine executes the order.
     Accepted,
-    /// The engine has seen a newer fencing number.
+    /// The engine has seen a higher fencing token.
     StaleEpoch,
 }
 
 /// An engine's stream of chunks.
 pub trait ChunkStream {
-    /// The next chunk, `None` at the end of the body.
+    /// Returns the next chunk, or `None` at the end of the body.
     fn next_chunk(
         &mut self,
         timeout_ms: u64,
     ) -> impl Future<Output = Result<Option<EngineChunk>, CallError>>;
 
-    /// Gives the connection back after the last chunk, if the body ends there.
+    /// Returns the connection to the pool if the body ends after the last chunk.
     fn release(self);
 }
 
-/// A model engine at an address.
+/// A client of inference engines.
 pub trait Engine {
-    /// Its streams.
+    /// The token stream of a generation.
     type Chunks: ChunkStream;
 
-    /// Starts a generation. `NotSent` is also the answer when the engine refuses.
+    /// Starts a generation. Returns [`CallError::NotSent`] also if the engine refuses the request.
     fn generate(
         &self,
         address: &str,
@@ -119,13 +119,13 @@
         timeouts: Timeouts,
     ) -> impl Future<Output = Result<(Self::Chunks, Option<LoadReport>), CallError>>;
 
-    /// Asks for its report; also returns the bytes received.
+    /// Reads the engine's report; also returns the size of the answer's body in bytes.
     fn report(
         &self,
         address: &str,
     ) -> impl Future<Output = Result<(EngineReport, usize), CallError>>;
 
-    /// Gives an order.
+    /// Sends an order to the engine.
     fn order(
         &self,
         address: &str,
@@ -133,14 +133,14 @@
     ) -> impl Future<Output = Result<OrderAnswer, CallError>>;
 }
 
-/// Engines that speak HTTP.
+/// A client of engines over HTTP.
 #[derive(Debug, Clone)]
 pub struct HttpEngine {
     http: HttpClient,
 }
 
 impl HttpEngine {
-    /// Opens the adapter.
+    /// Creates a client that uses the connections of `http`.
     pub fn open(http: HttpClient) -> Self {
         Self { http }
     }
@@ -155,7 +155,7 @@
         request: &EngineRequest,
         timeouts: Timeouts,
     ) -> Result<(HttpChunks, Option<LoadReport>), CallError> {
-        let body = serde_json::to_vec(request).expect("messages are plain data");
+        let body = serde_json::to_vec(request).expect("engine messages serialize to JSON");
         let request = Request::post("/generate")
             .header(HOST, address)
             .body(Full::new(Bytes::from(body)))
@@ -192,7 +192,7 @@
     }
 
     async fn order(&self, address: &str, order: &EngineOrder) -> Result<OrderAnswer, CallError> {
-        let body = serde_json::to_vec(order).expect("messages are plain data");
+        let body = serde_json::to_vec(order).expect("engine messages serialize to JSON");
         let request = Request::post("/order")
             .body(Full::new(Bytes::from(body)))
             .map_err(|error| CallError::NotSent(error.to_string()))?;
@@ -205,7 +205,7 @@
     }
 }
 
-/// The load that engines add to the head of each answer, which saves asking for it.
+/// The load that engines report in the headers of each answer, which saves a separate request.
 fn load_report(headers: &HeaderMap) -> Option<LoadReport> {
     let number = |name: &str| headers.get(name)?.to_str().ok()?.parse().ok();
     Some(LoadReport {
@@ -214,12 +214,12 @@
     })
 }
 
-/// JSON lines of a body.
+/// A token stream as the JSON lines of an HTTP body.
 #[derive(Debug)]
 pub struct HttpChunks {
     http: HttpClient,
     address: Arc<str>,
-    /// Kept for the next request once the body was read to its end.
+    /// Returned to the pool once the body is read to its end.
     sender: Connection,
     body: Incoming,
     buffer: Vec<u8>,
--- a/crates/borageshore_daemon/src/platform/log_service.rs
+++ b/crates/borageshore_daemon/src/platform/log_service.rs
@@ -1,4 +1,4 @@
-//! The platform's log service over HTTP.
+//! The HTTP client of the platform's log service.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -11,13 +11,13 @@
 
 use crate::metrics::{Direction, Metrics};
 
-/// How long an append may take before its answer counts as lost.
+/// How long to wait for the answer to an append; after that its outcome is unknown.
 const APPEND_TIMEOUT_MS: u64 = 3_000;
-/// How much longer than the asked wait a read may take.
+/// Extra time after a read's own `wait_ms` for its answer to arrive.
 const READ_SLACK_MS: u64 = 2_000;
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
-/// The log behind one address.
+/// The log service at one address.
 #[derive(Debug, Clone)]
 pub(crate) struct HttpLog {
     address: Arc<str>,
@@ -31,7 +31,7 @@
 }
 
 impl HttpLog {
-    /// Opens the adapter.
+    /// Creates a client for the log service at `address`.
     pub(crate) fn open(address: Arc<str>, http: HttpClient, metrics: Rc<Metrics>) -> Self {
         Self {
             address,
@@ -59,7 +59,7 @@
 
 impl LogService for HttpLog {
     async fn append(&self, stream: &str, records: &[String]) -> Result<u64, LogError> {
-        let body = serde_json::to_vec(records).expect("strings encode");
+        let body = serde_json::to_vec(records).expect("strings serialize to JSON");
         self.metrics
             .on_control_bytes("log", Direction::Sent, body.len());
         let request = Request::post(format!("/streams/{stream}"))
@@ -67,7 +67,7 @@
             .map_err(|error| LogError::Refused(error.to_string()))?;
         let (status, body) = self.call(request, APPEND_TIMEOUT_MS).await?;
         if status == StatusCode::TOO_MANY_REQUESTS {
-            return Err(LogError::Refused("over the append rate".into()));
+            return Err(LogError::Refused("append rate limit exceeded".into()));
         }
         if !status.is_success() {
             return Err(LogError::Unknown(format!("status {status}")));
--- a/crates/borageshore_daemon/src/platform/mod.rs
+++ b/crates/borageshore_daemon/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Adapters to outside systems, one module each.
+//! Clients of external systems, one module each.
 
 pub mod engine;
 pub(crate) mod log_service;
--- a/crates/borageshore_daemon/src/platform/plain.rs
+++ b/crates/borageshore_daemon/src/platform/plain.rs
@@ -1,4 +1,4 @@
-//! Plain services: a request is forwarded as it is.
+//! The HTTP client of plain services, which receive requests unchanged.
 
 use std::sync::Arc;
 
@@ -8,9 +8,9 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Request, header::HOST};
 
-/// The largest answer that is passed on.
+/// Maximum size of an answer's body.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// The header by which an endpoint says that it refused before running anything.
+/// The header by which an endpoint states that it refused a request without running any of it.
 const NOT_RUN_HEADER: &str = "x-not-run";
 
 /// A request to a plain service.
@@ -23,7 +23,7 @@
     pub(crate) request_key: Arc<str>,
 }
 
-/// Its answer.
+/// The answer of a plain service.
 #[derive(Debug, Clone)]
 pub(crate) struct PlainAnswer {
     pub(crate) status: u16,
@@ -34,14 +34,14 @@
 /// Which connection a call may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConnectionUse {
-    /// An idle one if there is one.
+    /// An idle connection if there is one.
     Pooled,
-    /// A new one. An idle connection may have been forgotten by something between the two ends; a
-    /// call that must not be repeated would end as unknown there for no need.
+    /// A new connection. An idle one may have been dropped by a middlebox, and a call that must not
+    /// be repeated would needlessly end with an unknown outcome.
     Fresh,
 }
 
-/// Forwards a call to one endpoint and notes in `attempt` how far it got.
+/// Forwards a call to one endpoint and records its progress in `attempt`.
 pub(crate) async fn call_plain(
     http: &HttpClient,
     address: &str,
@@ -85,7 +85,7 @@
     };
     http.keep(address, sender);
     if is_refusal {
-        // The endpoint's own word that nothing ran: a new attempt, refused before hand-over.
+        // The endpoint states that nothing ran, so the attempt counts as refused before sending.
         *attempt = Attempt::open();
         attempt.on_event(AttemptEvent::Refused);
         return Err(CallError::NotSent(format!("refused with status {status}")));
--- a/crates/borageshore_daemon/src/platform/vm_list.rs
+++ b/crates/borageshore_daemon/src/platform/vm_list.rs
@@ -1,4 +1,4 @@
-//! The platform's VM list over HTTP.
+//! The HTTP client of the platform's VM list.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
     first_byte_ms: 3_000,
 };
 
-/// One VM as the list has it.
+/// An entry of the VM list.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct Vm {
     name: Arc<str>,
@@ -31,16 +31,16 @@
     Leaving,
 }
 
-/// A version of the list.
+/// A version of the VM list.
 #[derive(Debug, Clone, Deserialize)]
 pub(crate) struct VmList {
-    /// Rises with each change.
+    /// Increases with each change.
     pub(crate) version: u64,
     vms: Vec<Vm>,
 }
 
 impl VmList {
-    /// The endpoints in the list.
+    /// Converts the entries to endpoint listings.
     pub(crate) fn into_endpoints(self) -> Vec<EndpointListing> {
         let to_listing = |vm: Vm| EndpointListing {
             name: vm.name,
@@ -56,7 +56,8 @@
     }
 }
 
-/// Reads the list if it is newer than the known version; also returns the bytes received.
+/// Reads the list, `None` if it is not newer than `known_version`; also returns the size of the
+/// answer's body in bytes.
 pub(crate) async fn read_vm_list(
     http: &HttpClient,
     address: &str,
