--- a/crates/borageshore_daemon/tests/edge.rs
+++ b/crates/borageshore_daemon/tests/edge.rs
@@ -1,7 +1,6 @@
-//! The edge against what a stranger can send.
+//! The HTTP interface against malformed, oversized and unauthorized requests.
 //!
-//! The cases repeat the table of `docs/decisions/0003-http.md`: each is a fault that made another
-//! server answer wrongly, hang or grow.
+//! The cases are those of `docs/decisions/0003-http.md`.
 
 mod support;
 
@@ -62,7 +61,7 @@
     )
 }
 
-/// Sends raw bytes to a daemon of its own and returns what comes back.
+/// Sends raw bytes to a new daemon and returns the start of its answer.
 fn ask(request: &str) -> String {
     let mut stream = TcpStream::connect(support::spawn_daemon()).unwrap();
     stream
@@ -70,7 +69,7 @@
         .unwrap();
     let request = request.to_owned();
     let mut writing = stream.try_clone().unwrap();
-    // The server may refuse and close before it has read everything.
+    // The server may refuse and close the connection before it has read the whole request.
     let writer = thread::spawn(move || writing.write_all(request.as_bytes()).is_ok());
     let mut answer = vec![0_u8; 4_096];
     let length = stream.read(&mut answer).unwrap();
@@ -79,8 +78,8 @@
     String::from_utf8_lossy(&answer[..length]).into_owned()
 }
 
-/// A stranger opens a connection, sends half a request line and nothing more. The daemon closes it
-/// after its time for heads; without that, such connections pile up until none is left for callers.
+/// Guards against connections that never send a complete request head: they must be closed after
+/// `head_timeout_ms`, or they would use up the connection limit.
 #[test]
 fn half_a_request_line() {
     let mut stream = TcpStream::connect(support::spawn_daemon()).unwrap();
--- a/crates/borageshore_daemon/tests/streams.rs
+++ b/crates/borageshore_daemon/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Answers stay whole when engines cross chunks, stall, or vanish in the middle.
+//! Generated answers are complete even if engines send chunks of other requests or stall.
 
 mod support;
 
@@ -16,7 +16,7 @@
     first_byte_ms: 20_000,
 };
 
-/// A daemon before two engines.
+/// A daemon in front of two engines.
 struct Fixture {
     daemon: String,
     engines: Vec<HttpServer>,
@@ -79,7 +79,7 @@
         answer.await.unwrap();
     }
 
-    /// The tokens of a whole answer.
+    /// Generates tokens; `None` if the request fails.
     async fn generate(&self, prompt: &str) -> Option<Vec<String>> {
         let body = json!({"prompt": prompt, "max_tokens": TOKENS});
         let answer = self
@@ -119,8 +119,8 @@
 }
 
 fixture_tests! {
-    // An engine sends chunks of another request into a caller's stream. They are dropped; the caller
-    // gets its own answer, every token in its place.
+    // Chunks of another request in a caller's stream are dropped; the answer has only its own
+    // tokens, in order.
     crossed_chunks_are_dropped: |fixture| {
         for engine in 0..2 {
             fixture.switch(engine, EngineSwitches { cross_chunks: 8, ..EngineSwitches::default() }).await;
@@ -130,8 +130,8 @@
         }
     };
 
-    // An engine goes silent while its connections stay open. The progress deadline finds it, and the
-    // answer is made whole by the other engine, from the last good token on.
+    // An engine stops sending while its connections stay open. The chunk timeout detects it, and
+    // the other engine completes the answer from the last received token on.
     stalled_engine_is_left: |fixture| {
         fixture.switch(0, EngineSwitches { stall_ms: 60_000, ..EngineSwitches::default() }).await;
         for number in 0..6 {
@@ -139,8 +139,7 @@
         }
     };
 
-    // Both engines stall for a moment in the middle of answers, longer than the progress deadline of
-    // one attempt. Retries come out of a budget, and the answers are whole.
+    // Both engines stall briefly; the answer is still complete.
     short_stalls_are_survived: |fixture| {
         for engine in 0..2 {
             fixture.switch(engine, EngineSwitches { stall_ms: 100, ..EngineSwitches::default() }).await;
--- a/crates/borageshore_daemon/tests/support/mod.rs
+++ b/crates/borageshore_daemon/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests of the daemon share.
+//! Shared helpers of the daemon's tests.
 
-// Each test program uses a part of it.
+// Each test binary uses only some of the helpers.
 #![allow(dead_code)]
 
 use std::{sync::mpsc, thread};
@@ -15,7 +15,8 @@
 use http_body_util::Full;
 use hyper::Request;
 
-/// Runs a daemon with its stand-ins on a thread of its own for the length of the test process.
+/// Runs a daemon with its stand-ins on a separate thread until the test process ends; returns its
+/// HTTP address.
 pub fn spawn_daemon() -> String {
     let (ready, address) = mpsc::channel();
     thread::spawn(move || {
@@ -27,7 +28,8 @@
     address.recv().unwrap()
 }
 
-/// Runs a daemon before these endpoints on the present event loop and waits until it is ready.
+/// Runs a daemon in front of these endpoints on the current event loop and waits until it is ready;
+/// returns its HTTP address.
 pub async fn open_daemon(vms: Vec<Vm>) -> String {
     let log = LogStandin::bind("127.0.0.1:0").unwrap();
     let list = VmListStandin::bind("127.0.0.1:0", vms, 0).unwrap();
