--- a/crates/borageshore_daemon/src/platform/log_service.rs
+++ b/crates/borageshore_daemon/src/platform/log_service.rs
@@ -70,7 +70,9 @@
             return Err(LogError::Refused("append rate limit exceeded".into()));
         }
         if !status.is_success() {
-            return Err(LogError::Unknown(format!("status {status}")));
+            return Err(LogError::Unknown(format!(
+                "the log service answered with status {status}"
+            )));
         }
         let appended: AppendResponse =
             serde_json::from_slice(&body).map_err(|error| LogError::Unknown(error.to_string()))?;
@@ -91,7 +93,9 @@
         self.metrics
             .on_control_bytes("log", Direction::Received, body.len());
         if !status.is_success() {
-            return Err(LogError::Refused(format!("status {status}")));
+            return Err(LogError::Refused(format!(
+                "the log service answered with status {status}"
+            )));
         }
         serde_json::from_slice(&body).map_err(|error| LogError::Unknown(error.to_string()))
     }
--- a/crates/borageshore_daemon/src/stream.rs
+++ b/crates/borageshore_daemon/src/stream.rs
@@ -378,7 +378,7 @@
         }
         Err(LogError::Unknown(reason)) => {
             log::info!(
-                "append to stream {} got no answer, reading on to see whether it took effect: {reason}",
+                "append to stream {} has an unknown outcome, checking in the log: {reason}",
                 stream.name
             );
             proposer.on_lost_answer();
