--- a/crates/borageshore_daemon/src/edge/answer.rs
+++ b/crates/borageshore_daemon/src/edge/answer.rs
@@ -1,4 +1,4 @@
-//! Answers, and what is read of a request's head and body.
+//! HTTP answers, and the parsing of request headers, queries and bodies.
 
 use std::sync::Arc;
 
@@ -16,12 +16,12 @@
 
 use crate::daemon::{Daemon, Phase};
 
-/// The header that names the settings node a request runs under.
+/// The header with the settings node that a request runs under.
 const NODE_HEADER: &str = "x-node";
 const DEADLINE_HEADER: &str = "x-deadline-ms";
 pub(super) const JSON: &str = "application/json";
 
-/// What an answer is, before it becomes HTTP.
+/// An answer, independent of its HTTP encoding.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) code: ResultCode,
@@ -33,16 +33,16 @@
 }
 
 impl Answer {
-    /// A JSON answer of a request that was carried out.
+    /// A JSON answer to a request that succeeded.
     pub(crate) fn json<Content>(content: &Content) -> Self
     where
         Content: Serialize,
     {
-        let body = serde_json::to_vec(content).expect("answers are plain data");
+        let body = serde_json::to_vec(content).expect("answers serialize to JSON");
         Self::done(JSON, body)
     }
 
-    /// An answer of a request that was carried out.
+    /// An answer to a request that succeeded.
     pub(crate) fn done<Content>(content_type: &str, body: Content) -> Self
     where
         Content: Into<Bytes>,
@@ -57,14 +57,14 @@
         }
     }
 
-    /// A fault.
+    /// An answer that reports a fault.
     pub(crate) fn fault(fault: &Fault, outcome: Outcome) -> Self {
         let body = FaultBody {
             code: fault.code.number(),
             meaning: fault.code.meaning().into(),
             detail: fault.detail.clone(),
         };
-        let body = serde_json::to_vec(&body).expect("answers are plain data");
+        let body = serde_json::to_vec(&body).expect("answers serialize to JSON");
         Self {
             code: fault.code,
             status: fault.code.http_status(),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// A refusal before anything ran.
+    /// An answer that rejects a request before anything ran.
     pub(crate) fn refused<Detail>(code: ResultCode, detail: Detail) -> Self
     where
         Detail: Into<String>,
@@ -103,7 +103,7 @@
     let headers = response.headers_mut();
     set_header(headers, "content-type", &answer.content_type);
     set_header(headers, "x-result-code", &answer.code.number().to_string());
-    set_header(headers, "x-ran", ran(answer.outcome));
+    set_header(headers, "x-ran", ran_header_value(answer.outcome));
     if let Some(retry_after_ms) = answer.retry_after_ms {
         set_header(
             headers,
@@ -115,7 +115,7 @@
     response
 }
 
-pub(super) fn ran(outcome: Outcome) -> &'static str {
+pub(super) fn ran_header_value(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::NotRun => "no",
         Outcome::Done => "yes",
@@ -123,7 +123,7 @@
     }
 }
 
-/// The value of a query parameter.
+/// The value of a query parameter, without percent-decoding.
 pub(crate) fn query<'q>(request: &'q EdgeRequest, name: &str) -> Option<&'q str> {
     let pairs = request.uri().query()?.split('&');
     pairs
@@ -145,8 +145,8 @@
     text.parse().map_err(refuse)
 }
 
-/// Reads a body within the limits of the edge.
-pub(crate) async fn body_of(request: EdgeRequest) -> Result<Bytes, Answer> {
+/// Reads a request body within the default size and time limits of the server.
+pub(crate) async fn read_request_body(request: EdgeRequest) -> Result<Bytes, Answer> {
     let read = read_body(request.into_body(), ServerLimits::default()).await;
     read.map_err(|fault| match fault {
         BodyError::TooLarge => Answer::refused(ResultCode::BodyTooLarge, "body"),
@@ -158,23 +158,27 @@
     })
 }
 
-/// Reads a JSON body.
-pub(crate) async fn json_of<Content>(request: EdgeRequest) -> Result<Content, Answer>
+/// Reads and parses a JSON request body.
+pub(crate) async fn read_request_json<Content>(request: EdgeRequest) -> Result<Content, Answer>
 where
     Content: serde::de::DeserializeOwned,
 {
-    let body = body_of(request).await?;
+    let body = read_request_body(request).await?;
     let parsed = serde_json::from_slice(&body);
     parsed.map_err(|error| Answer::refused(ResultCode::MalformedRequest, format!("body: {error}")))
 }
 
-/// What the head of a request says of how to treat it.
-pub(super) struct Terms {
+/// Options that a request sets by its headers.
+pub(super) struct RequestOptions {
     pub(super) node: Arc<str>,
     pub(super) deadline_ms: u64,
 }
 
-pub(super) fn terms(daemon: &Daemon, service: &str, headers: &HeaderMap) -> Result<Terms, Answer> {
+pub(super) fn request_options(
+    daemon: &Daemon,
+    service: &str,
+    headers: &HeaderMap,
+) -> Result<RequestOptions, Answer> {
     if daemon.phase() == Phase::Starting {
         return Err(Answer::refused(ResultCode::NotReady, "no settings yet"));
     }
@@ -208,7 +212,7 @@
             ));
         }
     };
-    Ok(Terms {
+    Ok(RequestOptions {
         node,
         deadline_ms: daemon.now_ms().saturating_add(allowed_ms),
     })
--- a/crates/borageshore_daemon/src/edge/generate.rs
+++ b/crates/borageshore_daemon/src/edge/generate.rs
@@ -1,4 +1,4 @@
-//! Tokens for callers, whole or as a stream.
+//! The route for token generation, answered at once or as a stream.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -10,10 +10,14 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::oneshot;
 
-use super::answer::{Answer, json_of, ran, respond, set_header, terms};
+use super::answer::{
+    Answer, ran_header_value, read_request_json, request_options, respond, set_header,
+};
 use crate::{
     daemon::{Daemon, InFlight},
-    generation::{Generation, GenerationFailure, Gone, OnSwap, Token, TokenSink, generate},
+    generation::{
+        Generation, GenerationFailure, SinkClosed, SwapPolicy, Token, TokenSink, generate,
+    },
 };
 
 #[derive(Debug, Deserialize)]
@@ -39,24 +43,24 @@
     request: EdgeRequest,
     request_id: &Arc<str>,
 ) -> EdgeResponse {
-    let terms = match terms(daemon, service, request.headers()) {
-        Ok(terms) => terms,
+    let options = match request_options(daemon, service, request.headers()) {
+        Ok(options) => options,
         Err(answer) => return respond(answer),
     };
-    let body: GenerateBody = match json_of(request).await {
+    let body: GenerateBody = match read_request_json(request).await {
         Ok(body) => body,
         Err(answer) => return respond(answer),
     };
     let generation = Generation {
         request_id: request_id.clone(),
         service: service.into(),
-        node: terms.node,
+        node: options.node,
         prompt: body.prompt,
         max_tokens: body.max_tokens,
         adapter: body.adapter,
         workload: Workload::Live,
-        deadline_ms: terms.deadline_ms,
-        on_swap: OnSwap::Keep,
+        deadline_ms: options.deadline_ms,
+        swap_policy: SwapPolicy::Keep,
     };
     if body.stream {
         return stream_tokens(daemon, generation).await;
@@ -68,11 +72,11 @@
             tokens: &collected.tokens,
             versions: &collected.versions,
         })),
-        Err(failure) => respond(failed(failure)),
+        Err(failure) => respond(failure_answer(failure)),
     }
 }
 
-fn failed(failure: GenerationFailure) -> Answer {
+fn failure_answer(failure: GenerationFailure) -> Answer {
     let answer = Answer::fault(&failure.fault, failure.outcome);
     Answer {
         retry_after_ms: failure.retry_after_ms,
@@ -87,7 +91,7 @@
 }
 
 impl TokenSink for CollectedTokens {
-    async fn on_token(&mut self, token: &Token) -> Result<(), Gone> {
+    async fn on_token(&mut self, token: &Token) -> Result<(), SinkClosed> {
         self.tokens.push(token.text.clone());
         self.versions.push(token.version);
         Ok(())
@@ -116,23 +120,23 @@
     },
 }
 
-/// Answers with a stream of JSON lines. The head is sent with the first token, so that a refusal
-/// before it still comes with its own status; the last line says that the answer is whole.
+/// Answers with a stream of JSON lines. The response starts with the first token, so that an
+/// earlier failure still gets its own HTTP status; the last line marks the answer as complete.
 async fn stream_tokens(daemon: &Rc<Daemon>, generation: Generation) -> EdgeResponse {
     let (sender, body) = stream_body();
-    let (first, begun) = oneshot::channel();
+    let (start_sender, start_receiver) = oneshot::channel();
     let mut sink = StreamSink {
         sender,
-        first: Some(first),
+        start_sender: Some(start_sender),
         token_count: 0,
     };
     let daemon = daemon.clone();
     monoio::spawn(async move {
         let _in_flight = InFlight::open(&daemon);
-        let ended = generate(&daemon, &generation, &mut sink).await;
-        sink.finish(ended).await;
+        let result = generate(&daemon, &generation, &mut sink).await;
+        sink.finish(result).await;
     });
-    match begun.await {
+    match start_receiver.await {
         Ok(Ok(())) => {
             let mut response = Response::new(body);
             let headers = response.headers_mut();
@@ -142,10 +146,10 @@
                 "x-result-code",
                 &ResultCode::Done.number().to_string(),
             );
-            set_header(headers, "x-ran", ran(Outcome::Done));
+            set_header(headers, "x-ran", ran_header_value(Outcome::Done));
             response
         }
-        Ok(Err(failure)) => respond(failed(failure)),
+        Ok(Err(failure)) => respond(failure_answer(failure)),
         Err(_) => respond(Answer::fault(
             &Fault::new(ResultCode::EndpointFailed, "stream"),
             Outcome::Unknown,
@@ -155,32 +159,32 @@
 
 struct StreamSink {
     sender: http_body_util::channel::Sender<Bytes, borageshore_net::StreamBodyError>,
-    first: Option<oneshot::Sender<Result<(), GenerationFailure>>>,
+    start_sender: Option<oneshot::Sender<Result<(), GenerationFailure>>>,
     token_count: u64,
 }
 
 impl StreamSink {
-    async fn write(&mut self, line: &StreamLine<'_>) -> Result<(), Gone> {
-        if let Some(first) = self.first.take() {
-            first.send(Ok(())).map_err(|_| Gone)?;
+    async fn write(&mut self, line: &StreamLine<'_>) -> Result<(), SinkClosed> {
+        if let Some(start_sender) = self.start_sender.take() {
+            start_sender.send(Ok(())).map_err(|_| SinkClosed)?;
         }
-        let mut encoded = serde_json::to_vec(line).expect("lines are plain data");
+        let mut encoded = serde_json::to_vec(line).expect("stream lines serialize to JSON");
         encoded.push(b'\n');
         self.sender
             .send_data(encoded.into())
             .await
-            .map_err(|_| Gone)
+            .map_err(|_| SinkClosed)
     }
 
-    async fn finish(mut self, ended: Result<(), GenerationFailure>) {
+    async fn finish(mut self, result: Result<(), GenerationFailure>) {
         let token_count = self.token_count;
-        match ended {
+        match result {
             Ok(()) => {
                 let _ = self.write(&StreamLine::Done { token_count }).await;
             }
-            Err(failure) => match self.first.take() {
-                Some(first) => {
-                    let _ = first.send(Err(failure));
+            Err(failure) => match self.start_sender.take() {
+                Some(start_sender) => {
+                    let _ = start_sender.send(Err(failure));
                 }
                 None => {
                     let code = failure.fault.code.number();
@@ -189,9 +193,10 @@
                         detail: &failure.fault.detail,
                     };
                     let _ = self.write(&line).await;
-                    // Without this the body would end as if it were whole.
-                    self.sender
-                        .abort(std::io::Error::other("the answer was cut"));
+                    // Without this, the body would end as if it were complete.
+                    self.sender.abort(std::io::Error::other(
+                        "generation failed after the response had started",
+                    ));
                 }
             },
         }
@@ -199,7 +204,7 @@
 }
 
 impl TokenSink for StreamSink {
-    async fn on_token(&mut self, token: &Token) -> Result<(), Gone> {
+    async fn on_token(&mut self, token: &Token) -> Result<(), SinkClosed> {
         let index = self.token_count;
         self.token_count += 1;
         self.write(&StreamLine::Token {
--- a/crates/borageshore_daemon/src/gate.rs
+++ b/crates/borageshore_daemon/src/gate.rs
@@ -1,4 +1,4 @@
-//! Waiting for a slot of a service.
+//! Admission of requests to a service: waiting for a free slot.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,7 +15,7 @@
 
 use crate::daemon::Daemon;
 
-/// The admission of one service with the tasks that wait in it.
+/// The admission state of one service and the tasks that wait for its slots.
 #[derive(Debug)]
 pub(crate) struct Gate {
     admission: RefCell<Admission>,
@@ -23,7 +23,7 @@
     next_id: Cell<TicketId>,
 }
 
-/// What a request brings to a gate.
+/// A request for a slot.
 #[derive(Debug, Clone)]
 pub(crate) struct GateRequest {
     pub(crate) node: Arc<str>,
@@ -32,7 +32,7 @@
     pub(crate) deadline_ms: u64,
 }
 
-/// A slot, given back when dropped.
+/// An occupied slot; dropping it frees the slot.
 #[derive(Debug)]
 pub(crate) struct Slot {
     gate: Rc<Gate>,
@@ -52,16 +52,16 @@
     }
 }
 
-/// A refusal by a gate: nothing was run.
+/// A rejected request for a slot; nothing was run.
 #[derive(Debug, Clone)]
 pub(crate) struct GateRefusal {
     pub(crate) fault: Fault,
-    /// When to come back.
+    /// The time after which the caller may retry.
     pub(crate) retry_after_ms: u64,
 }
 
 impl Gate {
-    /// Opens a gate.
+    /// Creates a gate without running or waiting requests.
     pub(crate) fn open(limits: AdmissionLimits) -> Rc<Self> {
         Rc::new(Self {
             admission: RefCell::new(Admission::open(limits)),
@@ -70,13 +70,13 @@
         })
     }
 
-    /// Follows a change of limits.
+    /// Replaces the limits and starts the waiting requests that now fit.
     pub(crate) fn set_limits(&self, limits: AdmissionLimits) {
         self.admission.borrow_mut().set_limits(limits);
         self.start_waiting();
     }
 
-    /// Waits for a slot; a refusal comes as soon as it is certain.
+    /// Waits for a slot until the request's deadline; fails at once if its node's queue is full.
     pub(crate) async fn acquire(
         self: &Rc<Self>,
         daemon: &Rc<Daemon>,
@@ -105,13 +105,13 @@
                 retry_after_ms,
             }),
             AdmissionDecision::Queued => {
-                self.wait_turn(daemon, id, workload, node, deadline_ms)
+                self.wait_in_queue(daemon, id, workload, node, deadline_ms)
                     .await
             }
         }
     }
 
-    async fn wait_turn(
+    async fn wait_in_queue(
         self: &Rc<Self>,
         daemon: &Rc<Daemon>,
         id: TicketId,
@@ -121,16 +121,16 @@
     ) -> Result<Slot, GateRefusal> {
         let (sender, receiver) = oneshot::channel();
         self.waiters.borrow_mut().insert(id, sender);
-        let mut place = QueuePlace {
+        let mut queued = QueuedRequest {
             gate: self.clone(),
             id,
             workload,
             receiver: Some(receiver),
         };
         let remaining_ms = deadline_ms.saturating_sub(daemon.now_ms());
-        let started = within_ms(remaining_ms, place.turn()).await;
-        if started == Some(Turn::Started) {
-            place.receiver = None;
+        let started = within_ms(remaining_ms, queued.wait()).await;
+        if started == Some(QueueWait::Started) {
+            queued.receiver = None;
             return Ok(self.slot(daemon, workload));
         }
         let fault = Fault::new(ResultCode::DeadlineBeforeStart, &*node);
@@ -170,38 +170,38 @@
 }
 
 #[derive(Debug, PartialEq, Eq)]
-enum Turn {
+enum QueueWait {
     Started,
     Closed,
 }
 
-/// A place in the queue, left when dropped.
+/// A request in the queue; dropping it removes the request.
 ///
-/// Guards against a slot that is lost for ever: the caller goes away, or the deadline comes, after
-/// the gate handed out the slot and before this task ran again. The slot then lies in the channel,
-/// and the drop gives it back.
+/// Guards against a leaked slot: if the caller disconnects or the deadline passes after the gate
+/// granted the slot and before this task runs again, the grant is still in the channel, and `drop`
+/// frees the slot.
 #[derive(Debug)]
-struct QueuePlace {
+struct QueuedRequest {
     gate: Rc<Gate>,
     id: TicketId,
     workload: Workload,
     receiver: Option<oneshot::Receiver<()>>,
 }
 
-impl QueuePlace {
-    async fn turn(&mut self) -> Turn {
+impl QueuedRequest {
+    async fn wait(&mut self) -> QueueWait {
         let receiver = self
             .receiver
             .as_mut()
-            .expect("taken only after the turn came");
+            .expect("the receiver is taken only after the wait");
         match receiver.await {
-            Ok(()) => Turn::Started,
-            Err(_) => Turn::Closed,
+            Ok(()) => QueueWait::Started,
+            Err(_) => QueueWait::Closed,
         }
     }
 }
 
-impl Drop for QueuePlace {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
         let Some(mut receiver) = self.receiver.take() else {
             return;
--- a/crates/borageshore_daemon/src/generation.rs
+++ b/crates/borageshore_daemon/src/generation.rs
@@ -1,4 +1,4 @@
-//! Token generation: one request, as many attempts as it takes, one whole answer.
+//! Token generation: runs a request over one or more attempts until its answer is complete.
 
 use std::{future::Future, rc::Rc, sync::Arc};
 
@@ -14,11 +14,11 @@
     platform::engine::{ChunkStream, Engine, EngineChunk, EngineRequest},
 };
 
-const CONNECT_MS: u64 = 1_000;
-/// Bytes of a prompt that decide which engines are likely to have it cached.
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
+/// Length in bytes of the prompt prefix by which engines that likely have it cached are preferred.
 const PREFIX_BYTES: usize = 256;
 
-/// A request for tokens, from a caller or for a sample.
+/// A request for tokens, made by a caller or for a training sample.
 #[derive(Debug, Clone)]
 pub(crate) struct Generation {
     pub(crate) request_id: Arc<str>,
@@ -30,39 +30,39 @@
     pub(crate) adapter: Option<Arc<str>>,
     pub(crate) workload: Workload,
     pub(crate) deadline_ms: u64,
-    pub(crate) on_swap: OnSwap,
+    pub(crate) swap_policy: SwapPolicy,
 }
 
-/// What to do when the engine's weights change in the middle.
+/// What happens to a generation when the engine's weights change during it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum OnSwap {
-    /// Go on; the tokens say which version made them.
+pub(crate) enum SwapPolicy {
+    /// Continue; each token carries the version that produced it.
     Keep,
-    /// Begin again, so that one version makes the whole.
+    /// Start over, so that a single version produces all tokens.
     Restart,
 }
 
-/// One token with the version that made it.
+/// A token and the weight version that produced it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Token {
     pub(crate) text: String,
     pub(crate) version: Option<u64>,
 }
 
-/// Where tokens go.
+/// The receiver of generated tokens.
 pub(crate) trait TokenSink {
-    /// Takes a token; `Gone` when nobody wants any more.
-    fn on_token(&mut self, token: &Token) -> impl Future<Output = Result<(), Gone>>;
+    /// Receives a token; returns [`SinkClosed`] if no more tokens are wanted.
+    fn on_token(&mut self, token: &Token) -> impl Future<Output = Result<(), SinkClosed>>;
 
-    /// Forgets all tokens so far. Only called under [`OnSwap::Restart`].
+    /// Discards all tokens received so far; called only under [`SwapPolicy::Restart`].
     fn on_restart(&mut self);
 }
 
-/// Nobody reads the answer any more.
+/// The reader of the answer is gone.
 #[derive(Debug)]
-pub(crate) struct Gone;
+pub(crate) struct SinkClosed;
 
-/// Why a generation ended without its whole answer.
+/// Why a generation ended without a complete answer.
 #[derive(Debug, Clone)]
 pub(crate) struct GenerationFailure {
     pub(crate) fault: Fault,
@@ -77,7 +77,8 @@
     Failed(CallError),
 }
 
-/// Generates the whole answer, resuming on another engine after the last good token.
+/// Generates the complete answer; after a failed attempt, another engine resumes after the last
+/// valid token.
 pub(crate) async fn generate<Sink>(
     daemon: &Rc<Daemon>,
     generation: &Generation,
@@ -97,7 +98,7 @@
         };
         let mut attempt = Attempt::open();
         daemon.endpoints.borrow_mut().on_start(&endpoint);
-        let mut watch = EndpointWatch::open(daemon, &endpoint);
+        let mut guard = EndpointRequestGuard::open(daemon, &endpoint);
         let end = attempt_once(
             daemon,
             generation,
@@ -112,7 +113,7 @@
         }
         match end {
             AttemptEnd::Finished => {
-                watch.succeeded();
+                guard.succeeded();
                 return Ok(());
             }
             AttemptEnd::CallerGone => {
@@ -127,7 +128,7 @@
                 sink.on_restart();
             }
             AttemptEnd::Failed(error) => {
-                watch.failed();
+                guard.failed();
                 log::debug!(
                     "attempt of {} at {endpoint} failed: {error}",
                     generation.request_id
@@ -173,7 +174,8 @@
         .with_random(|random| choose_endpoint(&daemon.endpoints.borrow(), request, now_ms, random))
 }
 
-/// Generation is idempotent, so only the deadline and the retry budget end the attempts.
+/// Returns an error if no further attempt is allowed. Generation is idempotent, so only the
+/// deadline and the retry budget limit the attempts.
 fn check_retry(
     daemon: &Daemon,
     generation: &Generation,
@@ -230,7 +232,7 @@
     let request = engine_request(daemon, generation, produced);
     let first_byte_ms = daemon.setting(&generation.node, "first_byte_timeout_ms");
     let timeouts = Timeouts {
-        connect_ms: CONNECT_MS,
+        connect_ms: CONNECT_TIMEOUT_MS,
         first_byte_ms,
     };
     attempt.on_event(AttemptEvent::Start);
@@ -287,10 +289,10 @@
     }
 }
 
-/// Takes in one chunk.
+/// Processes one chunk; returns how the attempt ended, or `None` if it continues.
 ///
-/// Guards against late and crossed answers: a chunk of another request, or out of its place, is
-/// dropped and counted; it can never end up in this answer.
+/// Guards against late and misrouted chunks: one of another request, or with an unexpected index,
+/// is dropped and counted, and never becomes part of this answer.
 async fn on_chunk<Sink>(
     daemon: &Daemon,
     generation: &Generation,
@@ -311,7 +313,7 @@
     let swapped = produced
         .last()
         .is_some_and(|last| last.version != chunk.version);
-    if swapped && generation.on_swap == OnSwap::Restart {
+    if swapped && generation.swap_policy == SwapPolicy::Restart {
         return Some(AttemptEnd::Restart);
     }
     let token = Token {
@@ -325,15 +327,15 @@
     None
 }
 
-/// Counts a request at an endpoint until its end is known, also when its task is dropped.
+/// Counts a request as in flight at an endpoint; dropping it without a result counts as cancelled.
 #[derive(Debug)]
-pub(crate) struct EndpointWatch {
+pub(crate) struct EndpointRequestGuard {
     daemon: Rc<Daemon>,
     endpoint: Option<Arc<str>>,
 }
 
-impl EndpointWatch {
-    /// Begins to watch a request that was counted by `on_start`.
+impl EndpointRequestGuard {
+    /// Takes over a request that was already counted by `on_start`.
     pub(crate) fn open(daemon: &Rc<Daemon>, endpoint: &Arc<str>) -> Self {
         Self {
             daemon: daemon.clone(),
@@ -341,14 +343,14 @@
         }
     }
 
-    /// The endpoint answered.
+    /// Reports that the endpoint answered.
     pub(crate) fn succeeded(&mut self) {
         if let Some(endpoint) = self.endpoint.take() {
             self.daemon.endpoints.borrow_mut().on_success(&endpoint);
         }
     }
 
-    /// The endpoint failed.
+    /// Reports that the endpoint failed.
     pub(crate) fn failed(&mut self) {
         if let Some(endpoint) = self.endpoint.take() {
             let now_ms = self.daemon.now_ms();
@@ -360,7 +362,7 @@
     }
 }
 
-impl Drop for EndpointWatch {
+impl Drop for EndpointRequestGuard {
     fn drop(&mut self) {
         if let Some(endpoint) = self.endpoint.take() {
             self.daemon.endpoints.borrow_mut().on_cancelled(&endpoint);
--- a/crates/borageshore_daemon/src/peer_client.rs
+++ b/crates/borageshore_daemon/src/peer_client.rs
@@ -1,4 +1,4 @@
-//! Calls to other daemons.
+//! The client for requests to other daemons (peers).
 
 use std::{cell::RefCell, fmt, net::SocketAddr, rc::Rc, sync::Arc};
 
@@ -12,11 +12,11 @@
     metrics::{Direction, Metrics},
 };
 
-/// The most idle connections kept to one peer.
-const IDLE_PER_PEER: usize = 16;
-const CONNECT_MS: u64 = 1_000;
+/// Maximum number of idle connections per peer.
+const MAX_IDLE_PER_PEER: usize = 16;
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
-/// Why a peer gave no answer.
+/// Why a request to a peer failed.
 #[derive(Debug)]
 pub(crate) struct PeerError(String);
 
@@ -28,7 +28,10 @@
 
 impl std::error::Error for PeerError {}
 
-/// Connections to peers: one request at a time on each, so an answer can only belong to its request.
+/// A connection pool for peers.
+///
+/// Each connection carries one request at a time, so that an answer cannot be matched to another
+/// request.
 #[derive(Debug)]
 pub(crate) struct PeerClient {
     token: Secret,
@@ -37,7 +40,7 @@
 }
 
 impl PeerClient {
-    /// Opens a client without connections.
+    /// Creates a client without connections.
     pub(crate) fn open(token: Secret, metrics: Rc<Metrics>) -> Self {
         Self {
             token,
@@ -46,10 +49,10 @@
         }
     }
 
-    /// Asks a peer and waits for its answer.
+    /// Sends a request to a peer and waits for its answer.
     ///
-    /// Guards against silent connections: a call that fails drops all idle connections to that peer,
-    /// and the connection of a call that timed out is never used again.
+    /// Guards against half-open connections: a failed call closes all idle connections to that
+    /// peer, and the connection of a call that timed out is not reused.
     pub(crate) async fn call(
         &self,
         address: &str,
@@ -65,49 +68,51 @@
     }
 
     async fn exchange(&self, address: &str, request: &PeerRequest) -> Result<PeerReply, PeerError> {
-        let payload = encode(request).map_err(fail)?;
+        let payload = encode(request).map_err(to_peer_error)?;
         let idle = self.idle.borrow_mut().get_mut(address).and_then(Vec::pop);
         let mut stream = match idle {
             Some(stream) => stream,
             None => self.connect(address).await?,
         };
-        write_frame(&mut stream, &payload).await.map_err(fail)?;
+        write_frame(&mut stream, &payload)
+            .await
+            .map_err(to_peer_error)?;
         let reply = read_frame(&mut stream, MAX_FRAME_BYTES)
             .await
-            .map_err(fail)?;
+            .map_err(to_peer_error)?;
         if matches!(request, PeerRequest::Follow(_)) {
             self.metrics
                 .on_control_bytes("peer", Direction::Sent, payload.len());
             self.metrics
                 .on_control_bytes("peer", Direction::Received, reply.len());
         }
-        let reply = decode(&reply).map_err(fail)?;
-        self.keep(address, stream);
+        let reply = decode(&reply).map_err(to_peer_error)?;
+        self.return_to_pool(address, stream);
         Ok(reply)
     }
 
     async fn connect(&self, address: &str) -> Result<TcpStream, PeerError> {
-        let target: SocketAddr = address.parse().map_err(fail)?;
-        let connected = within_ms(CONNECT_MS, TcpStream::connect_addr(target)).await;
+        let target: SocketAddr = address.parse().map_err(to_peer_error)?;
+        let connected = within_ms(CONNECT_TIMEOUT_MS, TcpStream::connect_addr(target)).await;
         let connected = connected.ok_or_else(|| PeerError("connecting took too long".into()))?;
-        let mut stream = connected.map_err(fail)?;
+        let mut stream = connected.map_err(to_peer_error)?;
         let _ = stream.set_nodelay(true);
         write_frame(&mut stream, self.token.as_bytes())
             .await
-            .map_err(fail)?;
+            .map_err(to_peer_error)?;
         Ok(stream)
     }
 
-    fn keep(&self, address: &str, stream: TcpStream) {
+    fn return_to_pool(&self, address: &str, stream: TcpStream) {
         let mut idle = self.idle.borrow_mut();
         let streams = idle.get_or_insert_with(address.into(), Vec::new);
-        if streams.len() < IDLE_PER_PEER {
+        if streams.len() < MAX_IDLE_PER_PEER {
             streams.push(stream);
         }
     }
 }
 
-fn fail<Cause>(cause: Cause) -> PeerError
+fn to_peer_error<Cause>(cause: Cause) -> PeerError
 where
     Cause: fmt::Display,
 {
--- a/crates/borageshore_daemon/src/platform/log_service.rs
+++ b/crates/borageshore_daemon/src/platform/log_service.rs
@@ -1,4 +1,4 @@
-//! The platform's log service over HTTP.
+//! The HTTP client of the platform's log service.
 
 use std::{rc::Rc, sync::Arc};
 
@@ -11,13 +11,13 @@
 
 use crate::metrics::{Direction, Metrics};
 
-/// How long an append may take before its answer counts as lost.
+/// How long to wait for the answer to an append; after that its outcome is unknown.
 const APPEND_TIMEOUT_MS: u64 = 3_000;
-/// How much longer than the asked wait a read may take.
+/// Extra time after a read's own `wait_ms` for its answer to arrive.
 const READ_SLACK_MS: u64 = 2_000;
-const CONNECT_MS: u64 = 1_000;
+const CONNECT_TIMEOUT_MS: u64 = 1_000;
 
-/// The log behind one address.
+/// The log service at one address.
 #[derive(Debug, Clone)]
 pub(crate) struct HttpLog {
     address: Arc<str>,
@@ -26,12 +26,12 @@
 }
 
 #[derive(Debug, Deserialize)]
-struct Appended {
+struct AppendResponse {
     offset: u64,
 }
 
 impl HttpLog {
-    /// Opens the adapter.
+    /// Creates a client for the log service at `address`.
     pub(crate) fn open(address: Arc<str>, http: HttpClient, metrics: Rc<Metrics>) -> Self {
         Self {
             address,
@@ -46,20 +46,20 @@
         first_byte_ms: u64,
     ) -> Result<(StatusCode, Bytes), LogError> {
         let timeouts = Timeouts {
-            connect_ms: CONNECT_MS,
+            connect_ms: CONNECT_TIMEOUT_MS,
             first_byte_ms,
         };
         let answer = self.http.call(&self.address, request, timeouts).await;
         answer.map_err(|error| match error {
-            CallError::NotSent(why) => LogError::Refused(why),
-            CallError::NoAnswer(why) | CallError::Disconnected(why) => LogError::Unknown(why),
+            CallError::NotSent(reason) => LogError::Refused(reason),
+            CallError::NoAnswer(reason) | CallError::Disconnected(reason) => LogError::Unknown(reason),
         })
     }
 }
 
 impl LogService for HttpLog {
     async fn append(&self, stream: &str, records: &[String]) -> Result<u64, LogError> {
-        let body = serde_json::to_vec(records).expect("strings encode");
+        let body = serde_json::to_vec(records).expect("strings serialize to JSON");
         self.metrics
             .on_control_bytes("log", Direction::Sent, body.len());
         let request = Request::post(format!("/streams/{stream}"))
@@ -67,12 +67,14 @@
             .map_err(|error| LogError::Refused(error.to_string()))?;
         let (status, body) = self.call(request, APPEND_TIMEOUT_MS).await?;
         if status == StatusCode::TOO_MANY_REQUESTS {
-            return Err(LogError::Refused("over the append rate".into()));
+            return Err(LogError::Refused("append rate limit exceeded".into()));
         }
         if !status.is_success() {
-            return Err(LogError::Unknown(format!("status {status}")));
+            return Err(LogError::Unknown(format!(
+                "the log service answered with status {status}"
+            )));
         }
-        let appended: Appended =
+        let appended: AppendResponse =
             serde_json::from_slice(&body).map_err(|error| LogError::Unknown(error.to_string()))?;
         Ok(appended.offset)
     }
@@ -91,7 +93,9 @@
         self.metrics
             .on_control_bytes("log", Direction::Received, body.len());
         if !status.is_success() {
-            return Err(LogError::Refused(format!("status {status}")));
+            return Err(LogError::Refused(format!(
+                "the log service answered with status {status}"
+            )));
         }
         serde_json::from_slice(&body).map_err(|error| LogError::Unknown(error.to_string()))
     }
--- a/crates/borageshore_daemon/src/samples.rs
+++ b/crates/borageshore_daemon/src/samples.rs
@@ -11,7 +11,7 @@
 use crate::{
     calls::{ServiceCall, call_service},
     daemon::{Daemon, InFlight, Phase},
-    generation::{Generation, Gone, OnSwap, Token, TokenSink, generate},
+    generation::{Generation, SinkClosed, SwapPolicy, Token, TokenSink, generate},
     peer_server::failed_sample,
 };
 
@@ -51,7 +51,7 @@
 }
 
 impl TokenSink for TokenCollector {
-    async fn on_token(&mut self, token: &Token) -> Result<(), Gone> {
+    async fn on_token(&mut self, token: &Token) -> Result<(), SinkClosed> {
         self.tokens.push(token.clone());
         Ok(())
     }
@@ -70,9 +70,9 @@
     let Some(service) = daemon.setting_text(&task.job, "service") else {
         return Err(Fault::new(ResultCode::UnknownJob, &*task.job));
     };
-    let on_swap = match daemon.setting_text(&task.job, "swap_policy").as_deref() {
-        Some("restart") => OnSwap::Restart,
-        _ => OnSwap::Keep,
+    let swap_policy = match daemon.setting_text(&task.job, "swap_policy").as_deref() {
+        Some("restart") => SwapPolicy::Restart,
+        _ => SwapPolicy::Keep,
     };
     let generation = Generation {
         request_id: task.sample_id.clone(),
@@ -83,7 +83,7 @@
         adapter: Some(task.job.clone()),
         workload: Workload::Training,
         deadline_ms: task.deadline_ms,
-        on_swap,
+        swap_policy,
     };
     let mut collector = TokenCollector::default();
     generate(daemon, &generation, &mut collector)
--- a/crates/borageshore_daemon/src/stream.rs
+++ b/crates/borageshore_daemon/src/stream.rs
@@ -1,4 +1,4 @@
-//! One stream of the log in one daemon: following it, serving it to peers, appending to it.
+//! A log stream shared by the tasks of a daemon: follows it, relays it to peers and appends to it.
 
 use std::{
     cell::{Cell, RefCell},
@@ -18,32 +18,32 @@
 
 use crate::daemon::Daemon;
 
-/// How long a read waits for a first record.
+/// How long a read waits for the first new record.
 const FOLLOW_WAIT_MS: u64 = 1_000;
-/// How long a relay collects records before it answers.
+/// How long a relaying daemon collects records before it answers a peer.
 const RELAY_BATCH_MS: u64 = 100;
-/// The pause after a failed read.
-const RETRY_MS: u64 = 200;
-/// Records kept for peers that follow through this daemon.
+/// The minimum delay after a failed read; up to the same time is added at random.
+const RETRY_DELAY_MS: u64 = 200;
+/// Number of recent records kept for peers that follow the stream through this daemon.
 const RECENT_RECORDS: usize = 4_096;
-/// Records in one append.
-const BATCH_RECORDS: usize = 64;
+/// Maximum number of records in one append.
+const APPEND_BATCH_RECORDS: usize = 64;
 /// A snapshot is due after this many records without one.
 const SNAPSHOT_EVERY_RECORDS: u64 = 1_000;
 
-/// Stands for the end of a log that a peer has not heard of yet.
-pub(crate) const NOTHING_HEARD: i64 = -1;
+/// The `end_offset` in a [`FollowReply`] of a peer that has not read from the log yet.
+pub(crate) const END_OFFSET_UNKNOWN: i64 = -1;
 
-/// Where a stream's records are read from.
+/// The source of a stream's records.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// The log itself.
+    /// The log service.
     Log,
     /// A peer, by its peer address.
     Peer(Arc<str>),
 }
 
-/// A stream with its fold, shared by the tasks of a daemon.
+/// A log stream and the state folded from it, shared by the tasks of a daemon.
 #[derive(Debug)]
 pub(crate) struct SharedStream<State> {
     pub(crate) name: Arc<str>,
@@ -52,8 +52,8 @@
     recent: RefCell<VecDeque<LogRecord>>,
     records_since_snapshot: Cell<u64>,
     is_closed: Cell<bool>,
-    /// When the log was last heard of, by us or by the peer that we follow.
-    heard_at_ms: Cell<u64>,
+    /// When this daemon, or the peer that it follows, last read from the log service.
+    last_contact_at_ms: Cell<u64>,
     progressed: Notify,
     queued: Notify,
 }
@@ -62,30 +62,30 @@
 where
     State: Fold,
 {
-    /// Opens a stream at its beginning.
+    /// Creates a stream that is read from its beginning.
     pub(crate) fn open(name: Arc<str>, writer: Arc<str>, fold: State) -> Self {
         Self {
             name,
             follower: RefCell::new(Follower::open(fold)),
-            proposer: RefCell::new(Proposer::open(writer, BATCH_RECORDS)),
+            proposer: RefCell::new(Proposer::open(writer, APPEND_BATCH_RECORDS)),
             recent: RefCell::default(),
             records_since_snapshot: Cell::new(0),
             is_closed: Cell::new(false),
-            heard_at_ms: Cell::new(0),
+            last_contact_at_ms: Cell::new(0),
             progressed: Notify::new(),
             queued: Notify::new(),
         }
     }
 
-    /// Looks at the folded state.
-    pub(crate) fn with_fold<Look, Seen>(&self, look: Look) -> Seen
+    /// Calls `read` with the folded state.
+    pub(crate) fn with_fold<Read, Output>(&self, read: Read) -> Output
     where
-        Look: FnOnce(&State) -> Seen,
+        Read: FnOnce(&State) -> Output,
     {
-        look(self.follower.borrow().fold())
+        read(self.follower.borrow().fold())
     }
 
-    /// Says whether the state was read up to the end of the log as last heard.
+    /// Returns whether all records up to the last known end of the log are applied.
     pub(crate) fn is_caught_up(&self) -> bool {
         let follower = self.follower.borrow();
         let is_at_end = follower
@@ -94,7 +94,7 @@
         follower.state() == FollowerState::Following && is_at_end
     }
 
-    /// The first offset not folded, and the end of the log as last heard.
+    /// The first offset that is not applied, and the last known end of the log.
     pub(crate) fn offsets(&self) -> (u64, u64) {
         let follower = self.follower.borrow();
         (
@@ -103,12 +103,12 @@
         )
     }
 
-    /// When the log was last heard of.
-    pub(crate) fn heard_at_ms(&self) -> u64 {
-        self.heard_at_ms.get()
+    /// When the log service was last read from, directly or through a peer.
+    pub(crate) fn last_contact_at_ms(&self) -> u64 {
+        self.last_contact_at_ms.get()
     }
 
-    /// Queues a record; returns its sequence.
+    /// Queues a record for appending; returns its sequence number.
     pub(crate) fn propose(&self, body: State::Body) -> u64
     where
         State::Body: Serialize,
@@ -118,27 +118,28 @@
         sequence
     }
 
-    /// Says whether a record of ours has no known place yet.
+    /// Returns whether a record proposed here has no known offset in the log yet.
     pub(crate) fn is_pending(&self, sequence: u64) -> bool {
         self.proposer.borrow().is_pending(sequence)
     }
 
-    /// Waits until something was folded, or for `timeout_ms`.
+    /// Waits until records were applied, but at most `timeout_ms`.
     pub(crate) async fn wait_progress(&self, timeout_ms: u64) {
         within_ms(timeout_ms, self.progressed.notified()).await;
     }
 
-    /// Ends the tasks of this stream.
+    /// Stops the tasks of this stream.
     pub(crate) fn close(&self) {
         self.is_closed.set(true);
         self.queued.notify_one();
         self.progressed.notify_waiters();
     }
 
-    /// Appends a snapshot when the last one lies far back. A second daemon doing the same is harmless.
-    pub(crate) fn propose_snapshot_if_due<Wrap>(&self, wrap: Wrap)
+    /// Proposes a snapshot once enough records were applied since the last one. Duplicate
+    /// snapshots by several daemons are harmless.
+    pub(crate) fn propose_snapshot_if_due<MakeBody>(&self, make_body: MakeBody)
     where
-        Wrap: FnOnce(u64, State::Snapshot) -> State::Body,
+        MakeBody: FnOnce(u64, State::Snapshot) -> State::Body,
     {
         if self.records_since_snapshot.get() < SNAPSHOT_EVERY_RECORDS {
             return;
@@ -148,15 +149,15 @@
             let follower = self.follower.borrow();
             (follower.applied_offset(), follower.fold().snapshot())
         };
-        self.propose(wrap(next_offset, snapshot));
+        self.propose(make_body(next_offset, snapshot));
     }
 
-    /// Folds a page and settles our own records in it.
+    /// Applies a page of records and reports this daemon's own records in it to the proposer.
     fn on_page<Observe>(&self, daemon: &Daemon, page: LogPage, mut observe: Observe)
     where
         Observe: FnMut(&LogRecord, &Envelope<State::Body>),
     {
-        self.remember(&page.records);
+        self.cache_recent(&page.records);
         let mut own_sequence = 0;
         let mut applied = 0;
         self.follower
@@ -170,13 +171,13 @@
             });
         self.records_since_snapshot
             .set(self.records_since_snapshot.get() + applied);
-        self.settle(daemon, own_sequence);
+        self.update_proposer(daemon, own_sequence);
         if applied > 0 {
             self.progressed.notify_waiters();
         }
     }
 
-    fn settle(&self, daemon: &Daemon, own_sequence: u64) {
+    fn update_proposer(&self, daemon: &Daemon, own_sequence: u64) {
         let (applied, end) = self.offsets();
         let jitter_percent = daemon.random_below(100);
         let mut proposer = self.proposer.borrow_mut();
@@ -188,7 +189,7 @@
         self.queued.notify_one();
     }
 
-    fn remember(&self, records: &[LogRecord]) {
+    fn cache_recent(&self, records: &[LogRecord]) {
         let mut recent = self.recent.borrow_mut();
         for record in records {
             let expected = recent.back().map(|last| last.offset + 1);
@@ -205,7 +206,7 @@
         }
     }
 
-    /// Answers a peer that follows through this daemon.
+    /// Answers a peer that follows the stream through this daemon.
     pub(crate) async fn serve_follow(
         &self,
         daemon: &Daemon,
@@ -215,7 +216,7 @@
         if self.offsets().0 <= from_offset {
             self.wait_progress(request.wait_ms.clamp(0, FOLLOW_WAIT_MS as i64) as u64)
                 .await;
-            // Records that come close together travel together.
+            // Batches records that arrive shortly after each other.
             sleep_ms(RELAY_BATCH_MS).await;
         }
         let (applied, _) = self.offsets();
@@ -229,7 +230,7 @@
         let has_state = self.follower.borrow().state() == FollowerState::Following;
         let snapshot = (!is_covered && has_state).then(|| {
             let snapshot = self.follower.borrow().fold().snapshot();
-            serde_json::to_string(&snapshot).expect("snapshots are plain data")
+            serde_json::to_string(&snapshot).expect("snapshots serialize to JSON")
         });
         FollowReply {
             first_offset: first_offset as i64,
@@ -237,11 +238,13 @@
                 .follower
                 .borrow()
                 .end_offset()
-                .map_or(NOTHING_HEARD, |end| end as i64),
+                .map_or(END_OFFSET_UNKNOWN, |end| end as i64),
             records: if is_covered { records } else { Vec::new() },
             snapshot_next_offset: snapshot.as_ref().map(|_| applied as i64),
             snapshot,
-            log_age_ms: daemon.now_ms().saturating_sub(self.heard_at_ms.get()) as i64,
+            log_age_ms: daemon
+                .now_ms()
+                .saturating_sub(self.last_contact_at_ms.get()) as i64,
         }
     }
 
@@ -254,7 +257,7 @@
                     .read(&self.name, from_offset, FOLLOW_WAIT_MS)
                     .await;
                 let page = page.map_err(|error| error.to_string())?;
-                self.heard_at_ms.set(daemon.now_ms());
+                self.last_contact_at_ms.set(daemon.now_ms());
                 Ok(page)
             }
             Source::Peer(address) => self.read_from_peer(daemon, address, from_offset).await,
@@ -278,17 +281,17 @@
             .call(address, &request, 2 * FOLLOW_WAIT_MS)
             .await;
         let PeerReply::Follow(reply) = reply.map_err(|error| error.to_string())? else {
-            return Err("the peer answered something else".into());
+            return Err("the peer sent a reply of another kind".into());
         };
-        // A peer that has heard nothing of the log would make us believe that the log is empty.
-        if reply.end_offset == NOTHING_HEARD {
-            return Err("the peer has no state either".into());
+        // Without this check, a peer that has not read from the log would make it look empty.
+        if reply.end_offset == END_OFFSET_UNKNOWN {
+            return Err("the peer has not read from the log yet".into());
         }
-        let heard_at_ms = daemon
+        let last_contact_at_ms = daemon
             .now_ms()
             .saturating_sub(reply.log_age_ms.max(0) as u64);
-        self.heard_at_ms
-            .set(self.heard_at_ms.get().max(heard_at_ms));
+        self.last_contact_at_ms
+            .set(self.last_contact_at_ms.get().max(last_contact_at_ms));
         if let (Some(snapshot), Some(next_offset)) = (reply.snapshot, reply.snapshot_next_offset) {
             let snapshot = serde_json::from_str(&snapshot).map_err(|error| error.to_string())?;
             self.follower
@@ -305,7 +308,7 @@
     }
 }
 
-/// Follows a stream until it is closed; `observe` sees every applied record.
+/// Reads and applies records until the stream is closed; calls `observe` for each applied record.
 pub(crate) async fn follow<State, Choose, Observe>(
     daemon: Rc<Daemon>,
     stream: Rc<SharedStream<State>>,
@@ -326,16 +329,19 @@
                     observe(&daemon, record, envelope);
                 });
             }
-            Err(why) => {
+            Err(reason) => {
                 failures += 1;
-                log::debug!("stream {} from {source:?}: {why}", stream.name);
-                sleep_ms(RETRY_MS + daemon.random_below(RETRY_MS)).await;
+                log::debug!(
+                    "read of stream {} from {source:?} failed, retrying: {reason}",
+                    stream.name
+                );
+                sleep_ms(RETRY_DELAY_MS + daemon.random_below(RETRY_DELAY_MS)).await;
             }
         }
     }
 }
 
-/// Appends what is proposed until the stream is closed and nothing waits any more.
+/// Appends proposed records until the stream is closed and no record is queued.
 pub(crate) async fn append_proposals<State>(daemon: Rc<Daemon>, stream: Rc<SharedStream<State>>)
 where
     State: Fold,
@@ -363,12 +369,18 @@
     let mut proposer = stream.proposer.borrow_mut();
     match appended {
         Ok(_) => proposer.on_acknowledged(),
-        Err(LogError::Refused(why)) => {
-            log::debug!("append to {} refused: {why}", stream.name);
+        Err(LogError::Refused(reason)) => {
+            log::debug!(
+                "append to stream {} refused, retrying later: {reason}",
+                stream.name
+            );
             proposer.on_refused(daemon.now_ms(), daemon.random_below(100));
         }
-        Err(LogError::Unknown(why)) => {
-            log::info!("append to {} has no answer, reading on: {why}", stream.name);
+        Err(LogError::Unknown(reason)) => {
+            log::info!(
+                "append to stream {} has an unknown outcome, checking in the log: {reason}",
+                stream.name
+            );
             proposer.on_lost_answer();
         }
     }
--- a/crates/borageshore_daemon/src/swaps.rs
+++ b/crates/borageshore_daemon/src/swaps.rs
@@ -236,7 +236,7 @@
         epoch,
     };
     match daemon.engine.order(&replica.address, &order).await {
-        Ok(OrderAnswer::Taken) => {
+        Ok(OrderAnswer::Accepted) => {
             log::info!(
                 "{} is loading weights version {} of job {}",
                 replica.name,
