--- a/crates/borageshore_daemon/src/platform/log_service.rs
+++ b/crates/borageshore_daemon/src/platform/log_service.rs
@@ -52,7 +52,9 @@
         let answer = self.http.call(&self.address, request, timeouts).await;
         answer.map_err(|error| match error {
             CallError::NotSent(reason) => LogError::Refused(reason),
-            CallError::NoAnswer(reason) | CallError::Disconnected(reason) => LogError::Unknown(reason),
+            CallError::NoAnswer(reason) | CallError::Disconnected(reason) => {
+                LogError::Unknown(reason)
+            }
         })
     }
 }
--- a/crates/borageshore_gateway/src/store_transport.rs
+++ b/crates/borageshore_gateway/src/store_transport.rs
@@ -169,7 +169,8 @@
             let failover = self.inner.failover.borrow();
             failover.uses_peers() || failover.may_ask_peers(self.inner.clock.now_ms())
         };
-        let is_connection_broken = call.is_append() && matches!(answer, Err(CallError::Disconnected(_)));
+        let is_connection_broken =
+            call.is_append() && matches!(answer, Err(CallError::Disconnected(_)));
         let may_ask = has_peers && (is_direct_suspect || is_connection_broken);
         if !may_ask || !outcome_of(&answer).may_try_other_route(call.is_idempotent) {
             return answer;
