--- a/crates/borageshore_soak/src/faults.rs
+++ b/crates/borageshore_soak/src/faults.rs
@@ -14,7 +14,7 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use crate::{Moment, daemons::DaemonProcess, keys::Keys, oracle::Oracle};
+use crate::{TimedFault, daemons::DaemonProcess, keys::Keys, oracle::Oracle};
 
 /// How long a fault at a set time lasts; a daemon that was killed starts again after it.
 const MOMENT_MS: u64 = 1_500;
@@ -31,9 +31,9 @@
 const NEARLY_COMPLETE: u64 = 45;
 /// The kinds of fault that [`crate::Script::Random`] draws from; seeds that failed stay what they were.
 pub(crate) const KINDS: u64 = 18;
-/// The kinds that [`crate::Script::Wider`] draws from.
+/// The kinds that [`crate::Script::RandomExtended`] draws from.
 pub(crate) const WIDER_KINDS: u64 = 20;
-/// The kinds that [`crate::Script::Wider`] draws from where callers have keys.
+/// The kinds that [`crate::Script::RandomExtended`] draws from where callers have keys.
 pub(crate) const KEYED_KINDS: u64 = 23;
 
 /// What the soak reads of a heartbeat.
@@ -68,7 +68,7 @@
     ForgetHistory,
     StoreLink(usize, ProxyMode),
     /// The operator takes the callers' key away.
-    Revoke,
+    RevokeKey,
     /// The platform takes calls of duties otherwise.
     Duties(DutyMode),
     /// The daemons from this one on are suspended.
@@ -76,14 +76,14 @@
     /// The store turns the daemons from this one on away.
     TurnAway(usize),
     /// An endpoint leaves the list while nobody sees it.
-    UnlistUnseen,
+    UnlistUnobserved,
     /// All plain services lose all answers.
-    LoseAnswers,
+    LoseResponses,
     /// A heartbeat of an earlier life with a clock far ahead.
-    HeartbeatFromAhead,
-    LongTexts,
+    HeartbeatFromFuture,
+    SlowAllEngines,
     /// An engine starts again under its id, with the first version of the weights.
-    EngineStartsAgain(usize),
+    RestartEngine(usize),
     /// Another writer replaces the entry of an endpoint of the plain service.
     ForeignEntry(usize),
     SilentConnections(usize),
@@ -111,7 +111,7 @@
             | Fault::Store(_)
             | Fault::ForgetHistory
             | Fault::TurnAway(_)
-            | Fault::UnlistUnseen => Some(None),
+            | Fault::UnlistUnobserved => Some(None),
             _ => None,
         }
     }
@@ -140,40 +140,40 @@
     }
 
     /// Plays faults at set times.
-    pub(crate) async fn play(self: Rc<Self>, moments: &[(u64, Moment)]) {
+    pub(crate) async fn play(self: Rc<Self>, timed_faults: &[(u64, TimedFault)]) {
         let began_ms = self.clock.now_ms();
-        for (at_ms, moment) in moments {
+        for (at_ms, timed_fault) in timed_faults {
             sleep_ms((began_ms + at_ms).saturating_sub(self.clock.now_ms())).await;
-            let fault = match moment {
-                Moment::KillHolder => Fault::Kill(self.holder().await),
-                Moment::KillReporter => Fault::Kill(self.reporter().await),
-                Moment::StopOne => Fault::Stop(0),
-                Moment::CutHolderMidText => {
+            let fault = match timed_fault {
+                TimedFault::KillHolder => Fault::Kill(self.holder().await),
+                TimedFault::KillReporter => Fault::Kill(self.reporter().await),
+                TimedFault::StopOne => Fault::Stop(0),
+                TimedFault::PartitionHolderMidGeneration => {
                     self.wait_for_long_run().await;
                     Fault::StoreLink(self.holder().await, ProxyMode::Silent)
                 }
-                Moment::KillAllMidText => {
+                TimedFault::KillAllMidGeneration => {
                     self.wait_for_long_run().await;
                     Fault::KillAll
                 }
-                Moment::TurnAwayAllButOne => Fault::TurnAway(1),
-                Moment::UnlistUnseen => Fault::UnlistUnseen,
-                Moment::HeartbeatFromAhead => Fault::HeartbeatFromAhead,
-                Moment::LoseAnswers => Fault::LoseAnswers,
-                Moment::LongTexts => Fault::LongTexts,
-                Moment::EngineStartsAgain => Fault::EngineStartsAgain(0),
-                Moment::ForeignEntry => Fault::ForeignEntry(0),
-                Moment::StoreSilent | Moment::StoreSilentForLong => Fault::Store(StoreMode::Silent),
-                Moment::Revoke => Fault::Revoke,
-                Moment::DutiesLost => Fault::Duties(DutyMode::LostAnswers),
-                Moment::SuspendOthers => Fault::Suspend(1),
+                TimedFault::RejectAllButOne => Fault::TurnAway(1),
+                TimedFault::UnlistUnobserved => Fault::UnlistUnobserved,
+                TimedFault::HeartbeatFromFuture => Fault::HeartbeatFromFuture,
+                TimedFault::LoseResponses => Fault::LoseResponses,
+                TimedFault::SlowAllEngines => Fault::SlowAllEngines,
+                TimedFault::RestartEngine => Fault::RestartEngine(0),
+                TimedFault::ForeignEntry => Fault::ForeignEntry(0),
+                TimedFault::StoreOutage | TimedFault::LongOutage => Fault::Store(StoreMode::Silent),
+                TimedFault::RevokeKey => Fault::RevokeKey,
+                TimedFault::LoseDutyResponses => Fault::Duties(DutyMode::LostAnswers),
+                TimedFault::SuspendAllButOne => Fault::Suspend(1),
             };
             self.begun
                 .borrow_mut()
                 .push(format!("{at_ms} ms: {fault:?}"));
-            let length_ms = match moment {
-                Moment::CutHolderMidText | Moment::StoreSilent => CUT_MS,
-                Moment::StoreSilentForLong | Moment::SuspendOthers => LONG_CUT_MS,
+            let length_ms = match timed_fault {
+                TimedFault::PartitionHolderMidGeneration | TimedFault::StoreOutage => CUT_MS,
+                TimedFault::LongOutage | TimedFault::SuspendAllButOne => LONG_CUT_MS,
                 _ => MOMENT_MS,
             };
             monoio::spawn(self.clone().carry_out(fault, length_ms));
@@ -269,11 +269,11 @@
                 _ => Fault::ServiceCrosses(service),
             },
             16 => Fault::ServiceLink(service, link),
-            17 => Fault::EngineStartsAgain(engine),
+            17 => Fault::RestartEngine(engine),
             18 => Fault::ForeignEntry(service),
             19 => Fault::TurnAway(daemon),
             20 => Fault::Duties(duties),
-            _ => Fault::Revoke,
+            _ => Fault::RevokeKey,
         }
     }
 
@@ -300,7 +300,7 @@
                 sleep_ms(length_ms).await;
                 self.duties.set_mode(DutyMode::Up);
             }
-            Fault::Revoke => self.keys.revoke(&self.store, self.clock.now_ms()),
+            Fault::RevokeKey => self.keys.revoke(&self.store, self.clock.now_ms()),
             Fault::Suspend(first) => {
                 let numbers = first..self.daemons.len();
                 join_all(numbers.map(|number| self.pause(number, length_ms))).await;
@@ -317,14 +317,14 @@
             Fault::StoreLink(number, mode) => {
                 harm_link(&self.daemons[number].store, mode, length_ms).await;
             }
-            Fault::LoseAnswers => {
+            Fault::LoseResponses => {
                 for number in 0..self.services.len() {
                     let lose = self.clone().lose_answers(number, length_ms);
                     monoio::spawn(lose);
                 }
             }
-            Fault::HeartbeatFromAhead => self.put_heartbeat_from_ahead(),
-            Fault::UnlistUnseen => self.unlist_unseen(length_ms).await,
+            Fault::HeartbeatFromFuture => self.put_heartbeat_from_ahead(),
+            Fault::UnlistUnobserved => self.unlist_unseen(length_ms).await,
             Fault::TurnAway(first) => self.turn_away(first, length_ms).await,
             Fault::SilentConnections(number) => {
                 self.daemons[number].store.stall_open_connections();
@@ -336,9 +336,9 @@
             Fault::EngineSlow(number) => {
                 self.switch(number, length_ms, |s| s.event_ms *= 5).await;
             }
-            Fault::EngineStartsAgain(number) => self.start_engine_again(number),
+            Fault::RestartEngine(number) => self.start_engine_again(number),
             Fault::ForeignEntry(number) => self.put_foreign_entry(number, length_ms).await,
-            Fault::LongTexts => {
+            Fault::SlowAllEngines => {
                 for (engine, _) in &self.engines {
                     engine.set_switches(EngineSwitches {
                         event_ms: LONG_EVENT_MS,
--- a/crates/borageshore_soak/src/lib.rs
+++ b/crates/borageshore_soak/src/lib.rs
@@ -31,49 +31,49 @@
     /// So many, drawn from the seed.
     Random(usize),
     /// So many, drawn from the seed among more kinds.
-    Wider(usize),
+    RandomExtended(usize),
     /// These, each at its time after traffic began.
-    Moments(Vec<(u64, Moment)>),
+    Timed(Vec<(u64, TimedFault)>),
 }
 
 /// A fault at a set time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Moment {
+pub enum TimedFault {
     /// The daemon that runs a submission is killed and starts again a second later.
     KillHolder,
     /// A daemon gets SIGTERM and starts again when it has ended.
     StopOne,
     /// The store turns all daemons but one away for two seconds.
-    TurnAwayAllButOne,
+    RejectAllButOne,
     /// The first endpoint of the plain service leaves the list in a part of the history that no daemon
     /// sees, and goes on serving.
-    UnlistUnseen,
+    UnlistUnobserved,
     /// The store holds a heartbeat of a daemon's earlier life, when its clock was far ahead.
-    HeartbeatFromAhead,
+    HeartbeatFromFuture,
     /// The plain services run every call and answer none.
-    LoseAnswers,
+    LoseResponses,
     /// All daemons are killed once a text is nearly complete, and start again.
-    KillAllMidText,
+    KillAllMidGeneration,
     /// Once a text is nearly complete, the daemon that runs it loses its connections to the store.
-    CutHolderMidText,
+    PartitionHolderMidGeneration,
     /// Engines take their time for each event from then on.
-    LongTexts,
+    SlowAllEngines,
     /// The first engine starts again under its id, with the first version of the weights.
-    EngineStartsAgain,
+    RestartEngine,
     /// Another writer replaces the entry of the first endpoint of the plain service.
     ForeignEntry,
     /// The store answers nobody.
-    StoreSilent,
+    StoreOutage,
     /// The store answers nobody for longer than a key that was taken away may be good.
-    StoreSilentForLong,
+    LongOutage,
     /// The daemon that last reported usage is killed and starts again a second later.
     KillReporter,
     /// The platform answers no call of a duty.
-    DutiesLost,
+    LoseDutyResponses,
     /// The operator takes the callers' key away; they have another one.
-    Revoke,
+    RevokeKey,
     /// All daemons but the first are suspended for longer than a key that was taken away may be good.
-    SuspendOthers,
+    SuspendAllButOne,
 }
 
 /// What to play.
@@ -102,7 +102,7 @@
     /// How long such a call runs before its endpoint crashes.
     pub crash_after_ms: u64,
     /// How long its caller waits before it leaves.
-    pub crashing_wait_ms: u64,
+    pub crashing_call_timeout_ms: u64,
     /// Whether each step has an item that crashes the engines that run it.
     pub has_crashing_item: bool,
     /// Whether the reward call of an item of each step crashes the endpoints that run it.
@@ -112,7 +112,7 @@
     /// Mechanisms of the daemons that are switched off, by their names in the settings.
     pub mechanisms_off: Vec<&'static str>,
     /// Whether all texts are long ones.
-    pub long_texts: bool,
+    pub long_generations: bool,
     /// The faults.
     pub script: Script,
     /// Where the daemons' logs go.
@@ -136,13 +136,13 @@
             objective_ms: 200,
             crashing_calls: 0,
             crash_after_ms: 0,
-            crashing_wait_ms: 2_500,
+            crashing_call_timeout_ms: 2_500,
             has_crashing_item: false,
             has_crashing_reward: false,
             organisations: false,
             mechanisms_off: Vec::new(),
-            long_texts: false,
-            script: Script::Wider(8),
+            long_generations: false,
+            script: Script::RandomExtended(8),
             folder: std::env::temp_dir()
                 .join(format!("borageshore-soak-{}-{seed}", std::process::id())),
             keeps_logs: false,
@@ -168,22 +168,22 @@
     /// Submissions that were answered otherwise than with an acceptance, each time.
     pub not_accepted: usize,
     /// Records of submissions that the store holds at the end.
-    pub kept_records: usize,
+    pub stored_submission_records: usize,
     /// Runs that went on with a text that another engine had begun.
     pub resumed_runs: usize,
     /// From the last stop of all daemons to the first order after it, in ms.
-    pub orders_after_stop_ms: Option<u64>,
+    pub first_order_after_kill_ms: Option<u64>,
     /// The most events of one item that were made more than once.
-    pub most_remade: u64,
+    pub max_regenerated_events: u64,
     /// Runs and orders that the first engine saw after its last start.
-    pub after_restart: (usize, usize),
+    pub runs_and_orders_after_restart: (usize, usize),
     /// Calls that reached the first endpoint of the plain service while another writer's entry stood in
     /// its place and daemons had had time to see it.
     pub calls_by_foreign_entry: usize,
     /// By how much an endpoint was told to work on a call beyond the time that its caller waits, at the most.
-    pub most_overtime_ms: u64,
+    pub max_overtime_ms: u64,
     /// When calls that crash nothing were refused as ones that do, in ms.
-    pub proper_held_at_ms: Vec<u64>,
+    pub harmless_held_at_ms: Vec<u64>,
     /// Windows of usage whose report is missing or wrong, of those that were due.
     pub wrong_windows: Vec<String>,
     /// Calls that were refused as nobody's, each with its time in ms.
--- a/crates/borageshore_soak/src/main.rs
+++ b/crates/borageshore_soak/src/main.rs
@@ -53,7 +53,7 @@
             has_crashing_reward: seed.is_multiple_of(3),
             organisations: !seed.is_multiple_of(2),
             duration_ms: arguments.duration_ms,
-            script: Script::Wider(arguments.faults),
+            script: Script::RandomExtended(arguments.faults),
             keeps_logs: arguments.keep_logs,
             ..SoakOptions::new(arguments.program.clone(), seed)
         };
@@ -76,7 +76,7 @@
         options.seed,
         report.calls_answered,
         report.calls,
-        report.proper_held_at_ms.len(),
+        report.harmless_held_at_ms.len(),
         report.crashed_endpoints,
         report.submissions,
         report.results,
--- a/crates/borageshore_soak/src/traffic.rs
+++ b/crates/borageshore_soak/src/traffic.rs
@@ -56,7 +56,7 @@
     pub(crate) until_ms: u64,
     /// What the names of steps begin with; "long" asks for long texts.
     pub(crate) step_name: &'static str,
-    pub(crate) crashing_wait_ms: u64,
+    pub(crate) crashing_call_timeout_ms: u64,
     pub(crate) has_crashing_item: bool,
     pub(crate) has_crashing_reward: bool,
     pub(crate) calls: Cell<usize>,
@@ -229,7 +229,7 @@
         let headers = [("x-request-id", id), ("x-deadline-ms", &wait)];
         let body = Bytes::from(body.to_owned());
         let asking = self.ask(CALLERS, front, "POST", path, &headers, body);
-        let answer = within_ms(self.crashing_wait_ms, asking).await;
+        let answer = within_ms(self.crashing_call_timeout_ms, asking).await;
         answer.and_then(Result::ok)
     }
 
--- a/crates/borageshore_soak/src/world.rs
+++ b/crates/borageshore_soak/src/world.rs
@@ -69,12 +69,12 @@
         oracle: oracle.clone(),
         keys: targets.keys.clone(),
         until_ms,
-        step_name: if options.long_texts {
+        step_name: if options.long_generations {
             "long-step"
         } else {
             "step"
         },
-        crashing_wait_ms: options.crashing_wait_ms,
+        crashing_call_timeout_ms: options.crashing_call_timeout_ms,
         has_crashing_item: options.has_crashing_item,
         has_crashing_reward: options.has_crashing_reward,
         calls: Cell::new(0),
@@ -119,7 +119,7 @@
             let harm = targets.clone().harm(*count, KINDS, faults_until_ms, fork());
             harm.await;
         }
-        Script::Wider(count) => {
+        Script::RandomExtended(count) => {
             let kinds = match options.organisations {
                 true => KEYED_KINDS,
                 false => WIDER_KINDS,
@@ -127,7 +127,7 @@
             let harm = targets.clone().harm(*count, kinds, faults_until_ms, fork());
             harm.await;
         }
-        Script::Moments(moments) => targets.clone().play(moments).await,
+        Script::Timed(timed_faults) => targets.clone().play(timed_faults).await,
     }
     sleep_ms(until_ms.saturating_sub(clock.now_ms()) + SETTLE_MS).await;
     check_listed(&traffic, &targets).await;
@@ -314,16 +314,16 @@
         calls: traffic.calls.get(),
         submissions: accepted.count(),
         unanswered: traffic.unanswered.borrow().clone(),
-        proper_held_at_ms: traffic.held_at_ms.borrow().clone(),
+        harmless_held_at_ms: traffic.held_at_ms.borrow().clone(),
         unauthorized_at_ms: traffic.unauthorized_at_ms.borrow().clone(),
         not_accepted: oracle.not_accepted.get(),
-        kept_records: targets.store.key_count("keyed.batch-"),
+        stored_submission_records: targets.store.key_count("keyed.batch-"),
         resumed_runs: resumed_runs(targets),
-        orders_after_stop_ms: orders_after_stop_ms(targets, oracle),
-        most_remade: most_remade(targets),
-        after_restart: after_restart(&targets.engines[0].0),
+        first_order_after_kill_ms: first_order_after_kill_ms(targets, oracle),
+        max_regenerated_events: max_regenerated_events(targets),
+        runs_and_orders_after_restart: runs_and_orders_after_restart(&targets.engines[0].0),
         calls_by_foreign_entry: oracle.calls_by_foreign_entry(&targets.services[0].0),
-        most_overtime_ms: most_overtime_ms(targets, oracle),
+        max_overtime_ms: max_overtime_ms(targets, oracle),
         crashed_endpoints: crashed_endpoints(targets),
         crashing_calls_held: traffic.crashing_calls_held.get(),
         results,
@@ -331,7 +331,7 @@
     }
 }
 
-fn orders_after_stop_ms(targets: &Targets, oracle: &Oracle) -> Option<u64> {
+fn first_order_after_kill_ms(targets: &Targets, oracle: &Oracle) -> Option<u64> {
     let stopped_at_ms = oracle.stopped_at_ms.get()?;
     let orders = targets
         .engines
@@ -342,7 +342,7 @@
 }
 
 /// The most events of one item that were made more than once.
-fn most_remade(targets: &Targets) -> u64 {
+fn max_regenerated_events(targets: &Targets) -> u64 {
     let runs = targets.engines.iter().flat_map(|(engine, _)| engine.runs());
     let mut made: BTreeMap<String, u64> = BTreeMap::new();
     for run in runs {
@@ -354,7 +354,7 @@
     remade.max().unwrap_or(0)
 }
 
-fn after_restart(engine: &PlatformEngine) -> (usize, usize) {
+fn runs_and_orders_after_restart(engine: &PlatformEngine) -> (usize, usize) {
     let started_at_ms = engine.started_at_ms();
     let runs = engine.runs();
     let orders = engine.orders();
@@ -363,7 +363,7 @@
     (runs.count(), orders.count())
 }
 
-fn most_overtime_ms(targets: &Targets, oracle: &Oracle) -> u64 {
+fn max_overtime_ms(targets: &Targets, oracle: &Oracle) -> u64 {
     let call_ends_ms = oracle.call_ends_ms.borrow();
     let runs = targets
         .services
