--- a/crates/borageshore_soak/src/calls.rs
+++ b/crates/borageshore_soak/src/calls.rs
@@ -108,14 +108,24 @@
         }
     }
 
-    async fn make_call(&self, id: &str, is_single: bool, target: Target, client: &HttpClient) {
+    async fn make_call(
+        &self,
+        id: &str,
+        is_at_most_once: bool,
+        target: Target,
+        client: &HttpClient,
+    ) {
         let Target { front, is_listed } = target;
-        let path = if is_single { "/once/x" } else { "/safe/x" };
+        let path = if is_at_most_once {
+            "/once/x"
+        } else {
+            "/safe/x"
+        };
         let wait = CALL_WAIT_MS.to_string();
         let headers = [("x-request-id", id), ("x-deadline-ms", &wait)];
         let began_ms = self.clock.now_ms();
         self.oracle
-            .call_ends_ms
+            .call_deadlines_ms
             .borrow_mut()
             .insert(id.into(), began_ms + CALL_WAIT_MS);
         let key = self.keys.header_of(CALLERS);
@@ -143,10 +153,10 @@
         if status == 401 && key == self.keys.header_of(CALLERS) {
             self.unauthorized_at_ms.borrow_mut().push(at_ms);
         }
-        if is_single {
+        if is_at_most_once {
             let said_not_run = matches!(status, 408 | 421 | 429 | 503);
-            let mut single_calls = self.oracle.single_calls.borrow_mut();
-            single_calls.insert(id.into(), said_not_run);
+            let mut at_most_once_calls = self.oracle.at_most_once_calls.borrow_mut();
+            at_most_once_calls.insert(id.into(), said_not_run);
         }
     }
 
@@ -155,7 +165,7 @@
             self.calls_answered.set(self.calls_answered.get() + 1);
             if *body != format!("answer to {id}") {
                 self.oracle
-                    .broken(format!("call {id} got a body that is not whole"));
+                    .record_violation(format!("call {id} got a body that is not whole"));
             }
         }
         if is_held(body) {
@@ -163,7 +173,7 @@
         }
         if matches!(status, StatusCode::NOT_FOUND | StatusCode::BAD_REQUEST) {
             self.oracle
-                .broken(format!("call {id} was denied with {status}"));
+                .record_violation(format!("call {id} was denied with {status}"));
         }
     }
 }
--- a/crates/borageshore_soak/src/crashes.rs
+++ b/crates/borageshore_soak/src/crashes.rs
@@ -48,7 +48,7 @@
             Ok(()) => service.list(&targets.store, &proxy.address().to_string(), "ready"),
             Err(error) => targets
                 .oracle
-                .broken(format!("s-{number} does not start again: {error}")),
+                .record_violation(format!("s-{number} does not start again: {error}")),
         }
     }
 }
@@ -65,7 +65,7 @@
             Ok(()) => engine.list(&targets.store, &proxy.address().to_string(), "ready"),
             Err(error) => targets
                 .oracle
-                .broken(format!("e-{number} does not start again: {error}")),
+                .record_violation(format!("e-{number} does not start again: {error}")),
         }
     }
 }
@@ -83,7 +83,7 @@
             if status == StatusCode::OK {
                 traffic
                     .oracle
-                    .broken(format!("call {id} crashes its endpoints and was answered"));
+                    .record_violation(format!("call {id} crashes its endpoints and was answered"));
             }
             if is_held(&body) && !std::mem::replace(&mut was_held, true) {
                 let held = traffic.crashing_calls_held.get();
@@ -118,7 +118,7 @@
         let retries = sends.iter().filter(counts).count();
         if retries > RETRIES {
             let ended = sends.iter().filter(|send| send.has_crashed).count();
-            oracle.broken(format!(
+            oracle.record_violation(format!(
                 "{body}: sent {retries} times more after three endpoints had crashed; {ended} in all"
             ));
         }
--- a/crates/borageshore_soak/src/faults.rs
+++ b/crates/borageshore_soak/src/faults.rs
@@ -292,7 +292,7 @@
             Fault::Kill(number) => self.kill(&[number], length_ms).await,
             Fault::KillAll => {
                 let all: Vec<usize> = (0..self.daemons.len()).collect();
-                self.oracle.stopped_at_ms.set(Some(self.clock.now_ms()));
+                self.oracle.killed_all_at_ms.set(Some(self.clock.now_ms()));
                 self.kill(&all, 300).await;
             }
             Fault::Duties(mode) => {
@@ -440,7 +440,7 @@
     fn start(&self, number: usize) {
         if let Err(error) = self.daemons[number].start() {
             self.oracle
-                .broken(format!("vm-{number} does not start: {error}"));
+                .record_violation(format!("vm-{number} does not start: {error}"));
         }
     }
 
@@ -462,7 +462,9 @@
         self.store
             .put("keyed.servers", &key, foreign.to_string().as_bytes());
         if number == 0 {
-            self.oracle.foreign_at_ms.set(Some(self.clock.now_ms()));
+            self.oracle
+                .foreign_entry_at_ms
+                .set(Some(self.clock.now_ms()));
         }
         sleep_ms(length_ms).await;
         service.list(&self.store, &address, "ready");
--- a/crates/borageshore_soak/src/keys.rs
+++ b/crates/borageshore_soak/src/keys.rs
@@ -128,7 +128,7 @@
                 && *made_at_ms > revoked_at_ms + REVOCATION_MS
             {
                 let late_ms = made_at_ms - revoked_at_ms;
-                oracle.broken(format!(
+                oracle.record_violation(format!(
                     "{id} ran, made {late_ms} ms after its key was taken away"
                 ));
             }
@@ -161,11 +161,11 @@
 
 fn check_caller(oracle: &Oracle, id: &str, caller: &RecordedCaller, expected: Option<&str>) {
     if caller.has_key {
-        oracle.broken(format!("{id} reached an endpoint with its caller's key"));
+        oracle.record_violation(format!("{id} reached an endpoint with its caller's key"));
     }
     if caller.organisation.as_deref() != expected {
         let named = &caller.organisation;
-        oracle.broken(format!(
+        oracle.record_violation(format!(
             "{id} ran in the name of {named:?} instead of {expected:?}"
         ));
     }
--- a/crates/borageshore_soak/src/oracle.rs
+++ b/crates/borageshore_soak/src/oracle.rs
@@ -16,16 +16,16 @@
 /// Orders of two holders to one engine are at least this far apart.
 const LEASE_MS: u64 = 3_000;
 /// Orders that leave a process within this time after it went on do not count.
-const THAW_SLACK_MS: u64 = 300;
+const RESUME_GRACE_MS: u64 = 300;
 
 /// Entries that lapse around an outage of the store are kept for 2.3 s, and the store's silence is
 /// noticed within 2 s.
-const UNLISTED_MS: u64 = 4_500;
+const UNLIST_GRACE_MS: u64 = 4_500;
 
 /// Daemons that reach the store read a new entry at once; a call under way takes some ms.
-const FOREIGN_SEEN_MS: u64 = 300;
+const FOREIGN_ENTRY_READ_MS: u64 = 300;
 /// An entry of another writer stands for this time at least.
-const FOREIGN_STANDS_MS: u64 = 800;
+const FOREIGN_ENTRY_MIN_MS: u64 = 800;
 
 /// A result as a trainer reads it.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
@@ -55,9 +55,9 @@
 pub(crate) struct Oracle {
     pub(crate) submissions: RefCell<BTreeMap<String, KnownSubmission>>,
     /// Calls that may run once at the most, with whether they were said not to have run.
-    pub(crate) single_calls: RefCell<BTreeMap<String, bool>>,
+    pub(crate) at_most_once_calls: RefCell<BTreeMap<String, bool>>,
     /// Until when each caller waits for its call.
-    pub(crate) call_ends_ms: RefCell<BTreeMap<String, u64>>,
+    pub(crate) call_deadlines_ms: RefCell<BTreeMap<String, u64>>,
     /// When paused processes went on.
     pub(crate) resumed_at_ms: RefCell<Vec<(String, u64)>>,
     /// Submissions answered otherwise than with an acceptance.
@@ -65,18 +65,18 @@
     /// When the first endpoint of the plain service left the list.
     pub(crate) unlisted_at_ms: Cell<Option<u64>>,
     /// When another writer replaced the entry of the first endpoint of the plain service.
-    pub(crate) foreign_at_ms: Cell<Option<u64>>,
+    pub(crate) foreign_entry_at_ms: Cell<Option<u64>>,
     /// When all daemons were last killed at once.
-    pub(crate) stopped_at_ms: Cell<Option<u64>>,
+    pub(crate) killed_all_at_ms: Cell<Option<u64>>,
     /// The daemon that each attempt of a crashing call was made at.
-    pub(crate) asked_at: RefCell<BTreeMap<String, usize>>,
+    pub(crate) daemon_by_attempt: RefCell<BTreeMap<String, usize>>,
     /// When daemons were harmed or lost their way to the store.
     pub(crate) disturbances: RefCell<Vec<Disturbance>>,
     violations: RefCell<BTreeSet<String>>,
 }
 
 impl Oracle {
-    pub(crate) fn broken(&self, what: String) {
+    pub(crate) fn record_violation(&self, what: String) {
         self.violations.borrow_mut().insert(what);
     }
 
@@ -99,8 +99,8 @@
     /// Says whether the daemon that an attempt was made at was disturbed, at a time or shortly before; any daemon,
     /// where it is not known which.
     pub(crate) fn is_disturbed(&self, attempt: &str, at_ms: u64, before_ms: u64) -> bool {
-        let asked_at = self.asked_at.borrow();
-        let daemon = asked_at.get(attempt).copied();
+        let daemon_by_attempt = self.daemon_by_attempt.borrow();
+        let daemon = daemon_by_attempt.get(attempt).copied();
         let is_then = |one: &Disturbance| {
             let is_its = one.daemon.is_none() || daemon.is_none() || one.daemon == daemon;
             is_its && one.from_ms <= at_ms && at_ms < one.until_ms.saturating_add(before_ms)
@@ -113,17 +113,23 @@
     }
 
     /// Takes over a page of results that a daemon gave.
-    pub(crate) fn on_results(&self, id: &str, after: usize, total: usize, page: Vec<ReadResult>) {
+    pub(crate) fn record_results(
+        &self,
+        id: &str,
+        after: usize,
+        total: usize,
+        page: Vec<ReadResult>,
+    ) {
         let mut submissions = self.submissions.borrow_mut();
         let known = submissions.entry(id.into()).or_default();
         if total != known.items.len() {
-            self.broken(format!("{id}: total {total} of {}", known.items.len()));
+            self.record_violation(format!("{id}: total {total} of {}", known.items.len()));
         }
         for (offset, result) in page.into_iter().enumerate() {
             let position = after + offset;
             self.check_result(id, known, &result);
             match known.results.get(&position) {
-                Some(before) if *before != result => self.broken(format!(
+                Some(before) if *before != result => self.record_violation(format!(
                     "{id}: position {position} holds {} and held {}",
                     result.id, before.id
                 )),
@@ -131,7 +137,7 @@
                 None => {
                     let twice = known.results.values().any(|other| other.id == result.id);
                     if twice {
-                        self.broken(format!("{id}: item {} stands twice", result.id));
+                        self.record_violation(format!("{id}: item {} stands twice", result.id));
                     }
                     known.results.insert(position, result);
                 }
@@ -141,7 +147,7 @@
 
     fn check_result(&self, id: &str, known: &KnownSubmission, result: &ReadResult) {
         if !known.items.contains(&result.id) {
-            self.broken(format!(
+            self.record_violation(format!(
                 "{id}: names item {} of another submission",
                 result.id
             ));
@@ -153,21 +159,21 @@
             .map(|event| event_text(&result.id, event))
             .collect();
         if result.output != events.join("\n") {
-            self.broken(format!("{id}: the text of {} is not whole", result.id));
+            self.record_violation(format!("{id}: the text of {} is not whole", result.id));
         }
         if result
             .versions
             .iter()
             .any(|version| *version < known.min_version)
         {
-            self.broken(format!(
+            self.record_violation(format!(
                 "{id}: {} made under {:?}",
                 result.id, result.versions
             ));
         }
         let stamp = PlatformService::stamp(&reward_id(&result.id));
         if result.score.as_deref() != Some(&stamp) {
-            self.broken(format!("{id}: {} has the score of another call", result.id));
+            self.record_violation(format!("{id}: {} has the score of another call", result.id));
         }
     }
 
@@ -176,8 +182,8 @@
         let runs: Vec<RecordedRun> = engines.iter().flat_map(PlatformEngine::runs).collect();
         self.check_refused(&runs);
         self.check_versions(&runs);
-        self.check_single_calls(services);
-        self.check_unlisted(services);
+        self.check_at_most_once_calls(services);
+        self.check_unlisted_endpoint(services);
         for (number, engine) in engines.iter().enumerate() {
             self.check_orders(number, engine);
         }
@@ -187,7 +193,7 @@
         for (id, known) in self.submissions.borrow().iter() {
             let has_run = |item: &String| runs.iter().any(|run| run.item == *item);
             if known.is_refused && !known.is_accepted && known.items.iter().any(has_run) {
-                self.broken(format!("{id}: was refused and ran"));
+                self.record_violation(format!("{id}: was refused and ran"));
             }
         }
     }
@@ -210,41 +216,41 @@
                         "{id}: {} says {:?}, made {made:?}",
                         result.id, result.versions
                     );
-                    self.broken(text);
+                    self.record_violation(text);
                 }
             }
         }
     }
 
-    fn check_single_calls(&self, services: &[PlatformService]) {
+    fn check_at_most_once_calls(&self, services: &[PlatformService]) {
         let mut runs: BTreeMap<String, usize> = BTreeMap::new();
         for service in services {
             for (id, at) in service.runs() {
                 *runs.entry(id).or_default() += at.len();
             }
         }
-        for (id, said_not_run) in self.single_calls.borrow().iter() {
+        for (id, said_not_run) in self.at_most_once_calls.borrow().iter() {
             let count = runs.get(id).copied().unwrap_or(0);
             if count > 1 {
-                self.broken(format!("call {id} may run once and ran {count} times"));
+                self.record_violation(format!("call {id} may run once and ran {count} times"));
             }
             if *said_not_run && count > 0 {
-                self.broken(format!("call {id} was said not to have run, and ran"));
+                self.record_violation(format!("call {id} was said not to have run, and ran"));
             }
         }
     }
 
     /// An endpoint that left the list gets nothing new after a while.
-    fn check_unlisted(&self, services: &[PlatformService]) {
+    fn check_unlisted_endpoint(&self, services: &[PlatformService]) {
         let Some(unlisted_at_ms) = self.unlisted_at_ms.get() else {
             return;
         };
         for (id, runs) in services[0].runs() {
             if runs
                 .iter()
-                .any(|at_ms| *at_ms > unlisted_at_ms + UNLISTED_MS)
+                .any(|at_ms| *at_ms > unlisted_at_ms + UNLIST_GRACE_MS)
             {
-                self.broken(format!(
+                self.record_violation(format!(
                     "call {id} reached an endpoint that had left the list"
                 ));
             }
@@ -254,10 +260,10 @@
     /// Calls at the first endpoint of the plain service while its entry was another writer's; only a run
     /// in which daemons reach the store all the while says anything by them.
     pub(crate) fn calls_by_foreign_entry(&self, service: &PlatformService) -> usize {
-        let Some(at_ms) = self.foreign_at_ms.get() else {
+        let Some(at_ms) = self.foreign_entry_at_ms.get() else {
             return 0;
         };
-        let seen = at_ms + FOREIGN_SEEN_MS..at_ms + FOREIGN_STANDS_MS;
+        let seen = at_ms + FOREIGN_ENTRY_READ_MS..at_ms + FOREIGN_ENTRY_MIN_MS;
         let runs = service.runs();
         let at = runs.values().flatten();
         at.filter(|at_ms| seen.contains(at_ms)).count()
@@ -267,7 +273,7 @@
         let resumed = self.resumed_at_ms.borrow();
         let counts = |at_ms: u64, holder: &str| {
             !resumed.iter().any(|(name, resumed_ms)| {
-                name == holder && (*resumed_ms..resumed_ms + THAW_SLACK_MS).contains(&at_ms)
+                name == holder && (*resumed_ms..resumed_ms + RESUME_GRACE_MS).contains(&at_ms)
             })
         };
         let orders = engine.orders();
@@ -287,7 +293,7 @@
                 let _ = write!(fault, " epoch {} after {}", second.epoch, first.epoch);
             }
             if !fault.is_empty() {
-                self.broken(format!(
+                self.record_violation(format!(
                     "engine {number}: orders of {} and {}: {fault}",
                     first.holder, second.holder
                 ));
--- a/crates/borageshore_soak/src/traffic.rs
+++ b/crates/borageshore_soak/src/traffic.rs
@@ -205,11 +205,11 @@
         let header = |name: &str| answered.get(name).and_then(|value| value.to_str().ok());
         if header("x-request-id") != Some(id) {
             self.oracle
-                .broken(format!("call {id} got the answer to another one"));
+                .record_violation(format!("call {id} got the answer to another one"));
         }
         if header("x-server-stamp") != Some(&PlatformService::stamp(id)) {
             self.oracle
-                .broken(format!("call {id} got a success without its signature"));
+                .record_violation(format!("call {id} got a success without its signature"));
         }
     }
 
@@ -223,7 +223,10 @@
     ) -> Option<(StatusCode, Bytes)> {
         let front = self.address(random).await;
         if let Some(number) = self.fronts.iter().position(|known| *known == front) {
-            self.oracle.asked_at.borrow_mut().insert(id.into(), number);
+            self.oracle
+                .daemon_by_attempt
+                .borrow_mut()
+                .insert(id.into(), number);
         }
         let wait = CALL_WAIT_MS.to_string();
         let headers = [("x-request-id", id), ("x-deadline-ms", &wait)];
@@ -360,7 +363,7 @@
             .map_or(0, |(_, count)| *count);
         let front = self.address(random).await;
         if settled > 0 && self.read(id, settled - 1, front, 0).await == Some(0) {
-            self.oracle.broken(format!(
+            self.oracle.record_violation(format!(
                 "{id}: {front} has nothing at {}, which was read",
                 settled - 1
             ));
@@ -380,7 +383,7 @@
             let asking = self.ask(CALLERS, front, method, &path, &[], Bytes::new());
             let answer = asking.await;
             if answer.is_ok_and(|(status, _)| status == StatusCode::OK) {
-                self.oracle.broken(format!(
+                self.oracle.record_violation(format!(
                     "{id}: {method} by another organisation is answered at {front}"
                 ));
             }
@@ -415,11 +418,12 @@
             .ok()?;
         if status == StatusCode::NOT_FOUND && self.must_be_known(id) {
             self.oracle
-                .broken(format!("{id}: accepted and not found at {front}"));
+                .record_violation(format!("{id}: accepted and not found at {front}"));
         }
         let page: ResultsPage = serde_json::from_slice(&body).ok()?;
         let count = page.results.len();
-        self.oracle.on_results(id, after, page.total, page.results);
+        self.oracle
+            .record_results(id, after, page.total, page.results);
         Some(count)
     }
 
--- a/crates/borageshore_soak/src/usage.rs
+++ b/crates/borageshore_soak/src/usage.rs
@@ -29,7 +29,7 @@
     for report in &reports {
         let known = first.entry(report.window).or_insert(report);
         if known.counts != report.counts {
-            oracle.broken(format!("two reports of window {} differ", report.window));
+            oracle.record_violation(format!("two reports of window {} differ", report.window));
         }
     }
     for pair in reports.windows(2) {
@@ -45,7 +45,7 @@
                     && third.at_ms < one.at_ms + LEASE_MS
             });
         if is_back || is_turn {
-            oracle.broken(format!(
+            oracle.record_violation(format!(
                 "reports of {} and {}: epoch {} after {}",
                 one.holder, next.holder, next.epoch, one.epoch
             ));
--- a/crates/borageshore_soak/src/world.rs
+++ b/crates/borageshore_soak/src/world.rs
@@ -236,7 +236,7 @@
         for daemon in targets.daemons.iter().filter(|daemon| daemon.is_running()) {
             if !listed.contains(&daemon.front) {
                 let text = format!("{} is not given out by {}", daemon.name, asked.name);
-                traffic.oracle.broken(text);
+                traffic.oracle.record_violation(text);
             }
         }
     }
@@ -266,7 +266,7 @@
                 if after < seen {
                     let text =
                         format!("{id}: {front} has {after} of {seen} results that were read");
-                    traffic.oracle.broken(text);
+                    traffic.oracle.record_violation(text);
                 }
                 return;
             }
@@ -276,7 +276,7 @@
     }
     traffic
         .oracle
-        .broken(format!("{id}: cannot be read at {front} at the end"));
+        .record_violation(format!("{id}: cannot be read at {front} at the end"));
 }
 
 fn report(
@@ -332,12 +332,12 @@
 }
 
 fn first_order_after_kill_ms(targets: &Targets, oracle: &Oracle) -> Option<u64> {
-    let stopped_at_ms = oracle.stopped_at_ms.get()?;
+    let killed_all_at_ms = oracle.killed_all_at_ms.get()?;
     let orders = targets
         .engines
         .iter()
         .flat_map(|(engine, _)| engine.orders());
-    let after = orders.filter_map(|order| order.at_ms.checked_sub(stopped_at_ms));
+    let after = orders.filter_map(|order| order.at_ms.checked_sub(killed_all_at_ms));
     after.min()
 }
 
@@ -364,12 +364,12 @@
 }
 
 fn max_overtime_ms(targets: &Targets, oracle: &Oracle) -> u64 {
-    let call_ends_ms = oracle.call_ends_ms.borrow();
+    let call_deadlines_ms = oracle.call_deadlines_ms.borrow();
     let runs = targets
         .services
         .iter()
         .flat_map(|(service, _)| service.deadlines_ms());
-    let overtime = runs.filter_map(|(id, end_ms)| end_ms.checked_sub(*call_ends_ms.get(&id)?));
+    let overtime = runs.filter_map(|(id, end_ms)| end_ms.checked_sub(*call_deadlines_ms.get(&id)?));
     overtime.max().unwrap_or(0)
 }
 
