--- a/crates/borageshore_soak/src/faults.rs
+++ b/crates/borageshore_soak/src/faults.rs
@@ -17,22 +17,22 @@
 use crate::{TimedFault, daemons::DaemonProcess, keys::Keys, oracle::Oracle};
 
 /// How long a fault at a set time lasts; a daemon that was killed starts again after it.
-const MOMENT_MS: u64 = 1_500;
+const TIMED_FAULT_MS: u64 = 1_500;
 /// Texts of up to twelve events then last over a second, several loads of weights.
-const LONG_EVENT_MS: u64 = 120;
+const SLOW_EVENT_MS: u64 = 120;
 /// The pace at which a daemon is looked for that runs a submission.
-const HOLDER_POLL_MS: u64 = 20;
+const POLL_MS: u64 = 20;
 
 /// Longer than others wait before they take over from a silent daemon.
-const CUT_MS: u64 = 4_000;
+const PARTITION_MS: u64 = 4_000;
 /// Longer than a key that was taken away may be good at a daemon that knows nothing of it.
-const LONG_CUT_MS: u64 = 8_000;
+const LONG_PARTITION_MS: u64 = 8_000;
 /// Events of a long text that is nearly complete.
-const NEARLY_COMPLETE: u64 = 45;
+const NEARLY_COMPLETE_EVENTS: u64 = 45;
 /// The kinds of fault that [`crate::Script::Random`] draws from; seeds that failed stay what they were.
-pub(crate) const KINDS: u64 = 18;
+pub(crate) const RANDOM_KINDS: u64 = 18;
 /// The kinds that [`crate::Script::RandomExtended`] draws from.
-pub(crate) const WIDER_KINDS: u64 = 20;
+pub(crate) const EXTENDED_KINDS: u64 = 20;
 /// The kinds that [`crate::Script::RandomExtended`] draws from where callers have keys.
 pub(crate) const KEYED_KINDS: u64 = 23;
 
@@ -53,7 +53,7 @@
     pub(crate) daemons: Vec<DaemonProcess>,
     pub(crate) engines: Vec<(PlatformEngine, Proxy)>,
     pub(crate) services: Vec<(PlatformService, Proxy)>,
-    pub(crate) begun: RefCell<Vec<String>>,
+    pub(crate) started_faults: RefCell<Vec<String>>,
 }
 
 /// One fault; it ends by itself after its time.
@@ -65,7 +65,7 @@
     Stop(usize),
     Reload(usize),
     Store(StoreMode),
-    ForgetHistory,
+    DropHistory,
     StoreLink(usize, ProxyMode),
     /// The operator takes the callers' key away.
     RevokeKey,
@@ -74,7 +74,7 @@
     /// The daemons from this one on are suspended.
     Suspend(usize),
     /// The store turns the daemons from this one on away.
-    TurnAway(usize),
+    Reject(usize),
     /// An endpoint leaves the list while nobody sees it.
     UnlistUnobserved,
     /// All plain services lose all answers.
@@ -88,18 +88,18 @@
     ForeignEntry(usize),
     SilentConnections(usize),
     EngineLink(usize, ProxyMode),
-    EngineGone(usize),
+    EngineDrains(usize),
     EngineSlow(usize),
-    EngineCuts(usize),
+    EngineCutsStreams(usize),
     EngineLateOrders(usize),
-    ServiceLoses(usize),
-    ServiceCrosses(usize),
+    ServiceLosesResponses(usize),
+    ServiceMixesUpIds(usize),
     ServiceLink(usize, ProxyMode),
 }
 
 impl Fault {
     /// Which daemons lose their calm or their way to the store: one, or all (`Some(None)`), or none.
-    fn disturbs(self) -> Option<Option<usize>> {
+    fn disturbs_daemons(self) -> Option<Option<usize>> {
         match self {
             Fault::Kill(number)
             | Fault::Pause(number)
@@ -109,8 +109,8 @@
             Fault::KillAll
             | Fault::Suspend(_)
             | Fault::Store(_)
-            | Fault::ForgetHistory
-            | Fault::TurnAway(_)
+            | Fault::DropHistory
+            | Fault::Reject(_)
             | Fault::UnlistUnobserved => Some(None),
             _ => None,
         }
@@ -119,7 +119,7 @@
 
 impl Targets {
     /// Lets faults come until `until_ms`, each for one to three seconds.
-    pub(crate) async fn harm(
+    pub(crate) async fn inject_random(
         self: Rc<Self>,
         count: usize,
         kinds: u64,
@@ -128,19 +128,19 @@
     ) {
         let pause_ms = until_ms.saturating_sub(self.clock.now_ms()) / count.max(1) as u64;
         for _ in 0..count {
-            let fault = self.draw(&mut random, kinds);
+            let fault = self.draw_fault(&mut random, kinds);
             let length_ms = 800 + random.next_u64() % 2_200;
             let at_ms = self.clock.now_ms();
-            self.begun
+            self.started_faults
                 .borrow_mut()
                 .push(format!("{at_ms} ms: {fault:?} for {length_ms} ms"));
-            monoio::spawn(self.clone().carry_out(fault, length_ms));
+            monoio::spawn(self.clone().inject(fault, length_ms));
             sleep_ms(pause_ms / 2 + random.next_u64() % pause_ms.max(1)).await;
         }
     }
 
     /// Plays faults at set times.
-    pub(crate) async fn play(self: Rc<Self>, timed_faults: &[(u64, TimedFault)]) {
+    pub(crate) async fn inject_timed(self: Rc<Self>, timed_faults: &[(u64, TimedFault)]) {
         let began_ms = self.clock.now_ms();
         for (at_ms, timed_fault) in timed_faults {
             sleep_ms((began_ms + at_ms).saturating_sub(self.clock.now_ms())).await;
@@ -149,14 +149,14 @@
                 TimedFault::KillReporter => Fault::Kill(self.reporter().await),
                 TimedFault::StopOne => Fault::Stop(0),
                 TimedFault::PartitionHolderMidGeneration => {
-                    self.wait_for_long_run().await;
+                    self.wait_for_nearly_complete_run().await;
                     Fault::StoreLink(self.holder().await, ProxyMode::Silent)
                 }
                 TimedFault::KillAllMidGeneration => {
-                    self.wait_for_long_run().await;
+                    self.wait_for_nearly_complete_run().await;
                     Fault::KillAll
                 }
-                TimedFault::RejectAllButOne => Fault::TurnAway(1),
+                TimedFault::RejectAllButOne => Fault::Reject(1),
                 TimedFault::UnlistUnobserved => Fault::UnlistUnobserved,
                 TimedFault::HeartbeatFromFuture => Fault::HeartbeatFromFuture,
                 TimedFault::LoseResponses => Fault::LoseResponses,
@@ -168,15 +168,15 @@
                 TimedFault::LoseDutyResponses => Fault::Duties(DutyMode::LostAnswers),
                 TimedFault::SuspendAllButOne => Fault::Suspend(1),
             };
-            self.begun
+            self.started_faults
                 .borrow_mut()
                 .push(format!("{at_ms} ms: {fault:?}"));
             let length_ms = match timed_fault {
-                TimedFault::PartitionHolderMidGeneration | TimedFault::StoreOutage => CUT_MS,
-                TimedFault::LongOutage | TimedFault::SuspendAllButOne => LONG_CUT_MS,
-                _ => MOMENT_MS,
+                TimedFault::PartitionHolderMidGeneration | TimedFault::StoreOutage => PARTITION_MS,
+                TimedFault::LongOutage | TimedFault::SuspendAllButOne => LONG_PARTITION_MS,
+                _ => TIMED_FAULT_MS,
             };
-            monoio::spawn(self.clone().carry_out(fault, length_ms));
+            monoio::spawn(self.clone().inject(fault, length_ms));
         }
     }
 
@@ -191,7 +191,7 @@
                     _ => {}
                 }
             }
-            sleep_ms(HOLDER_POLL_MS).await;
+            sleep_ms(POLL_MS).await;
         }
     }
 
@@ -206,24 +206,25 @@
                 .position(|daemon| Some(&daemon.name) == last);
             match number {
                 Some(number) => return number,
-                None => sleep_ms(HOLDER_POLL_MS).await,
+                None => sleep_ms(POLL_MS).await,
             }
         }
     }
 
     /// Waits until some run has made so many events that it is worth a lot.
-    async fn wait_for_long_run(&self) {
-        let is_long = |(engine, _): &(PlatformEngine, Proxy)| {
+    async fn wait_for_nearly_complete_run(&self) {
+        let is_nearly_complete = |(engine, _): &(PlatformEngine, Proxy)| {
             let runs = engine.runs();
             let mut lengths = runs.iter().map(|run| run.events.len());
-            lengths.any(|events| (NEARLY_COMPLETE..LONG_EVENT_COUNT).contains(&(events as u64)))
+            lengths
+                .any(|events| (NEARLY_COMPLETE_EVENTS..LONG_EVENT_COUNT).contains(&(events as u64)))
         };
-        while !self.engines.iter().any(is_long) {
-            sleep_ms(HOLDER_POLL_MS).await;
+        while !self.engines.iter().any(is_nearly_complete) {
+            sleep_ms(POLL_MS).await;
         }
     }
 
-    fn draw(&self, random: &mut Pcg64Mcg, kinds: u64) -> Fault {
+    fn draw_fault(&self, random: &mut Pcg64Mcg, kinds: u64) -> Fault {
         let kind = random.next_u64() % kinds;
         let mut below = |count: usize| (random.next_u64() % count.max(1) as u64) as usize;
         let daemon = below(self.daemons.len());
@@ -254,40 +255,40 @@
             4 => Fault::Stop(daemon),
             5 => Fault::Reload(daemon),
             6 | 7 => Fault::Store(store),
-            8 => Fault::ForgetHistory,
+            8 => Fault::DropHistory,
             9 => Fault::StoreLink(daemon, link),
             10 => Fault::SilentConnections(daemon),
             11 => Fault::EngineLink(engine, link),
-            12 => Fault::EngineGone(engine),
+            12 => Fault::EngineDrains(engine),
             13 => Fault::EngineSlow(engine),
             14 => match below(2) {
-                0 => Fault::EngineCuts(engine),
+                0 => Fault::EngineCutsStreams(engine),
                 _ => Fault::EngineLateOrders(engine),
             },
             15 => match below(2) {
-                0 => Fault::ServiceLoses(service),
-                _ => Fault::ServiceCrosses(service),
+                0 => Fault::ServiceLosesResponses(service),
+                _ => Fault::ServiceMixesUpIds(service),
             },
             16 => Fault::ServiceLink(service, link),
             17 => Fault::RestartEngine(engine),
             18 => Fault::ForeignEntry(service),
-            19 => Fault::TurnAway(daemon),
+            19 => Fault::Reject(daemon),
             20 => Fault::Duties(duties),
             _ => Fault::RevokeKey,
         }
     }
 
-    async fn carry_out(self: Rc<Self>, fault: Fault, length_ms: u64) {
-        let disturbed = fault.disturbs();
+    async fn inject(self: Rc<Self>, fault: Fault, length_ms: u64) {
+        let disturbed = fault.disturbs_daemons();
         let number =
             disturbed.map(|daemon| self.oracle.begin_disturbance(daemon, self.clock.now_ms()));
-        self.clone().inflict(fault, length_ms).await;
+        self.clone().apply(fault, length_ms).await;
         if let Some(number) = number {
             self.oracle.end_disturbance(number, self.clock.now_ms());
         }
     }
 
-    async fn inflict(self: Rc<Self>, fault: Fault, length_ms: u64) {
+    async fn apply(self: Rc<Self>, fault: Fault, length_ms: u64) {
         match fault {
             Fault::Kill(number) => self.kill(&[number], length_ms).await,
             Fault::KillAll => {
@@ -313,56 +314,58 @@
                 sleep_ms(length_ms).await;
                 self.store.set_mode(StoreMode::Up);
             }
-            Fault::ForgetHistory => self.store.drop_history(),
+            Fault::DropHistory => self.store.drop_history(),
             Fault::StoreLink(number, mode) => {
-                harm_link(&self.daemons[number].store, mode, length_ms).await;
+                degrade_link(&self.daemons[number].store, mode, length_ms).await;
             }
             Fault::LoseResponses => {
                 for number in 0..self.services.len() {
-                    let lose = self.clone().lose_answers(number, length_ms);
-                    monoio::spawn(lose);
+                    let losing = self.clone().lose_responses(number, length_ms);
+                    monoio::spawn(losing);
                 }
             }
-            Fault::HeartbeatFromFuture => self.put_heartbeat_from_ahead(),
-            Fault::UnlistUnobserved => self.unlist_unseen(length_ms).await,
-            Fault::TurnAway(first) => self.turn_away(first, length_ms).await,
+            Fault::HeartbeatFromFuture => self.put_heartbeat_from_future(),
+            Fault::UnlistUnobserved => self.unlist_unobserved(length_ms).await,
+            Fault::Reject(first) => self.reject(first, length_ms).await,
             Fault::SilentConnections(number) => {
                 self.daemons[number].store.stall_open_connections();
             }
             Fault::EngineLink(number, mode) => {
-                harm_link(&self.engines[number].1, mode, length_ms).await;
+                degrade_link(&self.engines[number].1, mode, length_ms).await;
             }
-            Fault::EngineGone(number) => self.take_away(number, length_ms).await,
+            Fault::EngineDrains(number) => self.drain_engine(number, length_ms).await,
             Fault::EngineSlow(number) => {
-                self.switch(number, length_ms, |s| s.event_ms *= 5).await;
+                self.switch_engine(number, length_ms, |s| s.event_ms *= 5)
+                    .await;
             }
-            Fault::RestartEngine(number) => self.start_engine_again(number),
+            Fault::RestartEngine(number) => self.restart_engine(number),
             Fault::ForeignEntry(number) => self.put_foreign_entry(number, length_ms).await,
             Fault::SlowAllEngines => {
                 for (engine, _) in &self.engines {
                     engine.set_switches(EngineSwitches {
-                        event_ms: LONG_EVENT_MS,
+                        event_ms: SLOW_EVENT_MS,
                         ..engine.switches()
                     });
                 }
             }
-            Fault::EngineCuts(number) => {
-                self.switch(number, length_ms, |s| s.cut_every = 3).await;
+            Fault::EngineCutsStreams(number) => {
+                self.switch_engine(number, length_ms, |s| s.cut_every = 3)
+                    .await;
             }
             Fault::EngineLateOrders(number) => {
-                self.switch(number, length_ms, |s| s.order_delay_ms = 1_500)
+                self.switch_engine(number, length_ms, |s| s.order_delay_ms = 1_500)
                     .await;
             }
-            Fault::ServiceLoses(number) => {
+            Fault::ServiceLosesResponses(number) => {
                 self.switch_service(number, length_ms, |s| s.lose_every = 5)
                     .await;
             }
-            Fault::ServiceCrosses(number) => {
+            Fault::ServiceMixesUpIds(number) => {
                 self.switch_service(number, length_ms, |s| s.wrong_id_every = 5)
                     .await;
             }
             Fault::ServiceLink(number, mode) => {
-                harm_link(&self.services[number].1, mode, length_ms).await;
+                degrade_link(&self.services[number].1, mode, length_ms).await;
             }
         }
     }
@@ -377,12 +380,12 @@
         }
     }
 
-    async fn lose_answers(self: Rc<Self>, number: usize, length_ms: u64) {
+    async fn lose_responses(self: Rc<Self>, number: usize, length_ms: u64) {
         self.switch_service(number, length_ms, |s| s.lose_every = 1)
             .await;
     }
 
-    fn put_heartbeat_from_ahead(&self) {
+    fn put_heartbeat_from_future(&self) {
         let name = &self.daemons[0].name;
         let heartbeat = json!({
             "name": name, "incarnation": u64::MAX / 2, "zone": "z1", "http_address": "127.0.0.1:1",
@@ -392,7 +395,7 @@
             .put("keyed.members", name, heartbeat.to_string().as_bytes());
     }
 
-    async fn unlist_unseen(&self, length_ms: u64) {
+    async fn unlist_unobserved(&self, length_ms: u64) {
         for daemon in &self.daemons {
             daemon.store.set_mode(ProxyMode::Silent);
         }
@@ -406,7 +409,7 @@
         }
     }
 
-    async fn turn_away(&self, first: usize, length_ms: u64) {
+    async fn reject(&self, first: usize, length_ms: u64) {
         for daemon in &self.daemons[first..] {
             daemon.store.set_mode(ProxyMode::Busy);
         }
@@ -445,7 +448,7 @@
     }
 
     /// An engine crashes and starts again under its id; nobody sees it away from the list.
-    fn start_engine_again(&self, number: usize) {
+    fn restart_engine(&self, number: usize) {
         let (engine, proxy) = &self.engines[number];
         engine.restart(1);
         proxy.stall_open_connections();
@@ -471,7 +474,7 @@
     }
 
     /// An engine announces that it leaves, goes, and comes back.
-    async fn take_away(&self, number: usize, length_ms: u64) {
+    async fn drain_engine(&self, number: usize, length_ms: u64) {
         let (engine, proxy) = &self.engines[number];
         let address = proxy.address().to_string();
         engine.list(&self.store, &address, "draining");
@@ -479,7 +482,7 @@
         engine.list(&self.store, &address, "ready");
     }
 
-    async fn switch<Change>(&self, number: usize, length_ms: u64, change: Change)
+    async fn switch_engine<Change>(&self, number: usize, length_ms: u64, change: Change)
     where
         Change: FnOnce(&mut EngineSwitches),
     {
@@ -515,7 +518,7 @@
     }
 }
 
-async fn harm_link(proxy: &Proxy, mode: ProxyMode, length_ms: u64) {
+async fn degrade_link(proxy: &Proxy, mode: ProxyMode, length_ms: u64) {
     proxy.set_mode(mode);
     sleep_ms(length_ms).await;
     proxy.set_mode(ProxyMode::Pass);
--- a/crates/borageshore_soak/src/world.rs
+++ b/crates/borageshore_soak/src/world.rs
@@ -22,7 +22,7 @@
     calls::Habit,
     crashes,
     daemons::DaemonProcess,
-    faults::{KEYED_KINDS, KINDS, Targets, WIDER_KINDS},
+    faults::{EXTENDED_KINDS, KEYED_KINDS, RANDOM_KINDS, Targets},
     keys::Keys,
     oracle::Oracle,
     traffic::{HOST, MODEL, Traffic},
@@ -116,18 +116,23 @@
     let faults_until_ms = until_ms.saturating_sub(CALM_MS);
     match &options.script {
         Script::Random(count) => {
-            let harm = targets.clone().harm(*count, KINDS, faults_until_ms, fork());
-            harm.await;
+            let injecting =
+                targets
+                    .clone()
+                    .inject_random(*count, RANDOM_KINDS, faults_until_ms, fork());
+            injecting.await;
         }
         Script::RandomExtended(count) => {
             let kinds = match options.organisations {
                 true => KEYED_KINDS,
-                false => WIDER_KINDS,
+                false => EXTENDED_KINDS,
             };
-            let harm = targets.clone().harm(*count, kinds, faults_until_ms, fork());
-            harm.await;
+            let injecting = targets
+                .clone()
+                .inject_random(*count, kinds, faults_until_ms, fork());
+            injecting.await;
         }
-        Script::Timed(timed_faults) => targets.clone().play(timed_faults).await,
+        Script::Timed(timed_faults) => targets.clone().inject_timed(timed_faults).await,
     }
     sleep_ms(until_ms.saturating_sub(clock.now_ms()) + SETTLE_MS).await;
     check_listed(&traffic, &targets).await;
@@ -207,7 +212,7 @@
         daemons,
         engines,
         services,
-        begun: Vec::new().into(),
+        started_faults: Vec::new().into(),
     })
 }
 
@@ -309,7 +314,7 @@
             options.keeps_logs || !violations.is_empty(),
         ),
         wrong_windows,
-        faults: targets.begun.borrow().clone(),
+        faults: targets.started_faults.borrow().clone(),
         calls_answered: traffic.calls_answered.get(),
         calls: traffic.calls.get(),
         submissions: accepted.count(),
