--- a/crates/borageshore_soak/src/calls.rs
+++ b/crates/borageshore_soak/src/calls.rs
@@ -18,22 +18,22 @@
 /// The pause between two calls of a caller.
 const CALL_PAUSE_MS: u64 = 40;
 /// Some callers keep a list of addresses for as many times its time to live.
-const LIST_KEPT_TTLS: u64 = 3;
+const CACHED_TTLS: u64 = 3;
 
 /// How a caller comes to a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Habit {
+pub(crate) enum Discovery {
     /// Asks for addresses before each call and opens a connection for it.
-    AsksEachTime,
+    PerCall,
     /// Keeps a list of addresses as long as callers may, and opens a connection for each call.
-    KeepsList,
+    CachedList,
     /// Uses a connection until the daemon closes it or answers that it will.
-    KeepsConnection,
+    KeptConnection,
 }
 
 /// What a caller keeps between two calls.
 #[derive(Debug, Default)]
-struct Kept {
+struct CallerState {
     addresses: Vec<SocketAddr>,
     listed_at_ms: u64,
     client: HttpClient,
@@ -49,46 +49,51 @@
 
 impl Traffic {
     /// Makes calls, every other one of a kind that may run once at the most.
-    pub(crate) async fn call(self: Rc<Self>, name: String, habit: Habit, mut random: Pcg64Mcg) {
-        let mut kept = Kept::default();
+    pub(crate) async fn call(self: Rc<Self>, name: String, mode: Discovery, mut random: Pcg64Mcg) {
+        let mut state = CallerState::default();
         let mut number = 0;
         while !self.is_over() {
             number += 1;
             let id = format!("{name}-{number}");
-            let target = self.choose(habit, &mut kept, &mut random).await;
-            self.make_call(&id, number % 2 == 0, target, &kept.client)
+            let target = self.choose_target(mode, &mut state, &mut random).await;
+            self.make_call(&id, number % 2 == 0, target, &state.client)
                 .await;
             sleep_ms(CALL_PAUSE_MS).await;
         }
     }
 
-    async fn choose(&self, habit: Habit, kept: &mut Kept, random: &mut Pcg64Mcg) -> Target {
-        match habit {
-            Habit::AsksEachTime => {
-                kept.client = HttpClient::open();
+    async fn choose_target(
+        &self,
+        mode: Discovery,
+        state: &mut CallerState,
+        random: &mut Pcg64Mcg,
+    ) -> Target {
+        match mode {
+            Discovery::PerCall => {
+                state.client = HttpClient::open();
                 let (front, is_listed) = self.resolve(random).await;
                 Target { front, is_listed }
             }
-            Habit::KeepsList => {
-                kept.client = HttpClient::open();
-                let age_ms = self.clock.now_ms() - kept.listed_at_ms;
-                if kept.addresses.is_empty() || age_ms >= LIST_KEPT_TTLS * ADDRESS_TTL_S * 1_000 {
-                    self.list_again(kept, random).await;
+            Discovery::CachedList => {
+                state.client = HttpClient::open();
+                let age_ms = self.clock.now_ms() - state.listed_at_ms;
+                if state.addresses.is_empty() || age_ms >= CACHED_TTLS * ADDRESS_TTL_S * 1_000 {
+                    self.refresh_addresses(state, random).await;
                 }
                 Target {
-                    front: pick(&kept.addresses, random),
+                    front: pick(&state.addresses, random),
                     is_listed: true,
                 }
             }
-            Habit::KeepsConnection => {
-                let open = kept.addresses.first().copied();
-                let open = open.filter(|front| kept.client.has_idle(&front.to_string()));
+            Discovery::KeptConnection => {
+                let open = state.addresses.first().copied();
+                let open = open.filter(|front| state.client.has_idle(&front.to_string()));
                 if open.is_none() {
                     let (front, _) = self.resolve(random).await;
-                    kept.addresses = vec![front];
+                    state.addresses = vec![front];
                 }
                 Target {
-                    front: kept.addresses[0],
+                    front: state.addresses[0],
                     is_listed: true,
                 }
             }
@@ -96,12 +101,12 @@
     }
 
     /// Asks for addresses until a daemon gives some out.
-    async fn list_again(&self, kept: &mut Kept, random: &mut Pcg64Mcg) {
+    async fn refresh_addresses(&self, state: &mut CallerState, random: &mut Pcg64Mcg) {
         loop {
             let asked_at_ms = self.clock.now_ms();
             if let Some(addresses) = self.resolve_all(random).await {
-                kept.addresses = addresses;
-                kept.listed_at_ms = asked_at_ms;
+                state.addresses = addresses;
+                state.listed_at_ms = asked_at_ms;
                 return;
             }
             sleep_ms(CALL_PAUSE_MS).await;
@@ -131,7 +136,7 @@
         let key = self.keys.header_of(CALLERS);
         let body = Bytes::from("body");
         let answer = self
-            .ask_on(client, CALLERS, front, ("POST", path), &headers, body)
+            .request_as_on(client, CALLERS, front, ("POST", path), &headers, body)
             .await;
         let at_ms = self.clock.now_ms();
         self.calls.set(self.calls.get() + 1);
--- a/crates/borageshore_soak/src/crashes.rs
+++ b/crates/borageshore_soak/src/crashes.rs
@@ -14,15 +14,15 @@
 use crate::{calls::is_held, faults::Targets, oracle::Oracle, traffic::Traffic};
 
 /// An endpoint is back this long after a crash; the users' are after some seconds.
-const DOWN_MS: u64 = 1_000;
+const RESTART_DELAY_MS: u64 = 1_000;
 /// The mean pause between two repeats of a call.
-const REPEAT_MS: u64 = 500;
+const MEAN_REPEAT_PAUSE_MS: u64 = 500;
 /// The crashes of one request after which it counts as known.
-const KNOWN_AFTER: usize = 3;
+const CRASHES_UNTIL_KNOWN: usize = 3;
 /// All daemons that were undisturbed for this long know what one of them learned.
-const KNOWN_BY_ALL_MS: u64 = 3_000;
+const PROPAGATION_MS: u64 = 3_000;
 /// The sends of one request that may reach endpoints after that.
-const RETRIES: usize = 3;
+const MAX_LATER_SENDS: usize = 3;
 
 /// A time in which a daemon, or all of them, were harmed or lost their way to the store.
 #[derive(Debug, Clone, Copy)]
@@ -34,13 +34,13 @@
 }
 
 /// Lets an endpoint of the plain service start again after each crash, as a new instance.
-pub(crate) async fn restart_after_crashes(targets: Rc<Targets>, number: usize) {
+pub(crate) async fn restart_service_after_crashes(targets: Rc<Targets>, number: usize) {
     let (service, proxy) = &targets.services[number];
     let mut starts = 1;
     loop {
         service.wait_for_crash().await;
         proxy.close();
-        sleep_ms(DOWN_MS).await;
+        sleep_ms(RESTART_DELAY_MS).await;
         service.unlist(&targets.store);
         starts += 1;
         service.restart_after_crash(&format!("s-{number}-{starts}"));
@@ -59,7 +59,7 @@
     loop {
         engine.wait_for_crash().await;
         proxy.close();
-        sleep_ms(DOWN_MS).await;
+        sleep_ms(RESTART_DELAY_MS).await;
         engine.restart_after_crash();
         match proxy.reopen() {
             Ok(()) => engine.list(&targets.store, &proxy.address().to_string(), "ready"),
@@ -71,7 +71,7 @@
 }
 
 /// Makes one crashing call again and again, at any daemon, as a caller who was never told why it failed.
-pub(crate) async fn repeat(traffic: Rc<Traffic>, number: usize, mut random: Pcg64Mcg) {
+pub(crate) async fn run_crashing_caller(traffic: Rc<Traffic>, number: usize, mut random: Pcg64Mcg) {
     let body = format!("{CRASH_MARK}-{number}");
     let mut repeats = 0;
     let mut was_held = false;
@@ -90,12 +90,12 @@
                 traffic.crashing_calls_held.set(held + 1);
             }
         }
-        sleep_ms(REPEAT_MS / 2 + random.next_u64() % REPEAT_MS).await;
+        sleep_ms(MEAN_REPEAT_PAUSE_MS / 2 + random.next_u64() % MEAN_REPEAT_PAUSE_MS).await;
     }
 }
 
 /// All requests that reached endpoints which they crash.
-pub(crate) fn sends(
+pub(crate) fn crashing_requests(
     services: &[PlatformService],
     engines: &[PlatformEngine],
 ) -> Vec<CrashingRequest> {
@@ -105,27 +105,27 @@
 }
 
 /// Checks that a request which has crashed three endpoints reaches no more than some further ones.
-pub(crate) fn check(oracle: &Oracle, sends: Vec<CrashingRequest>, crash_after_ms: u64) {
-    for (body, sends) in by_body(sends) {
+pub(crate) fn check_crash_bound(oracle: &Oracle, sends: Vec<CrashingRequest>, crash_after_ms: u64) {
+    for (body, sends) in group_by_body(sends) {
         let mut crashes = sends.iter().filter(|send| send.has_crashed);
-        let Some(third) = crashes.nth(KNOWN_AFTER - 1) else {
+        let Some(third) = crashes.nth(CRASHES_UNTIL_KNOWN - 1) else {
             continue;
         };
-        let known_at_ms = third.at_ms + crash_after_ms + KNOWN_BY_ALL_MS;
+        let known_at_ms = third.at_ms + crash_after_ms + PROPAGATION_MS;
         let counts = |send: &&CrashingRequest| {
-            send.at_ms > known_at_ms && !oracle.is_disturbed(&send.id, send.at_ms, KNOWN_BY_ALL_MS)
+            send.at_ms > known_at_ms && !oracle.is_disturbed(&send.id, send.at_ms, PROPAGATION_MS)
         };
-        let retries = sends.iter().filter(counts).count();
-        if retries > RETRIES {
+        let later = sends.iter().filter(counts).count();
+        if later > MAX_LATER_SENDS {
             let ended = sends.iter().filter(|send| send.has_crashed).count();
             oracle.record_violation(format!(
-                "{body}: sent {retries} times more after three endpoints had crashed; {ended} in all"
+                "{body}: sent {later} times more after three endpoints had crashed; {ended} in all"
             ));
         }
     }
 }
 
-fn by_body(all: Vec<CrashingRequest>) -> BTreeMap<String, Vec<CrashingRequest>> {
+fn group_by_body(all: Vec<CrashingRequest>) -> BTreeMap<String, Vec<CrashingRequest>> {
     let mut sends: BTreeMap<String, Vec<CrashingRequest>> = BTreeMap::new();
     for send in all {
         sends.entry(send.body.clone()).or_default().push(send);
--- a/crates/borageshore_soak/src/daemons.rs
+++ b/crates/borageshore_soak/src/daemons.rs
@@ -18,18 +18,18 @@
 use crate::{
     SoakOptions,
     keys::REVOCATION_MS,
-    usage::{LATE_S, WINDOW_S},
+    usage::{REPORT_DUE_S, WINDOW_S},
 };
 
 const FIRST_PORT: u16 = 11_000;
-const PORTS_PER_PROCESS: u16 = 1_000;
-const PORT_SLOTS: u32 = 21;
+const PORTS_PER_RANGE: u16 = 1_000;
+const PORT_RANGES: u32 = 21;
 
-static OWN_SLOT: Mutex<Option<(u16, TcpListener)>> = Mutex::new(None);
+static PORT_RANGE: Mutex<Option<(u16, TcpListener)>> = Mutex::new(None);
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
 /// How long the daemons have from SIGTERM to SIGKILL.
-pub(crate) const GRACE_S: u64 = 4;
+pub(crate) const STOP_GRACE_S: u64 = 4;
 /// How long a list of addresses holds.
 pub(crate) const ADDRESS_TTL_S: u64 = 1;
 
@@ -65,9 +65,9 @@
         let text = format!(
             "name: {name}\nzone: z1\nhttp_address: {front}\nready_address: {ready}\n\
              directory_address: {directory}\npeer_address: {peers}\nmetrics_address: {metrics}\nprocessor_share: 0.5\nstore_address: {}\n\
-             store_partitions: 2\naddress_ttl_s: {ADDRESS_TTL_S}\nstop_grace_s: {GRACE_S}\nresults_kept_s: {}\norder_lease_ms: 3000\n\
+             store_partitions: 2\naddress_ttl_s: {ADDRESS_TTL_S}\nstop_grace_s: {STOP_GRACE_S}\nresults_kept_s: {}\norder_lease_ms: 3000\n\
              parallel_loads_percent: 50\nload_share_percent: 50\nkey_revocation_ms: {REVOCATION_MS}\n\
-             duties:\n  address: {duties}\n  usage_window_s: {WINDOW_S}\n  usage_late_s: {LATE_S}\n\
+             duties:\n  address: {duties}\n  usage_window_s: {WINDOW_S}\n  usage_late_s: {REPORT_DUE_S}\n\
              mechanisms_off: [{}]\n",
             store.address(),
             options.results_kept_s,
@@ -142,9 +142,9 @@
 
 /// A loopback address that is free now, of the ports that this process has to itself.
 fn free_address() -> io::Result<SocketAddr> {
-    let slot = own_slot()?;
-    let offset = 1 + NEXT_PORT.fetch_add(1, Ordering::Relaxed) % (PORTS_PER_PROCESS - 1);
-    match TcpListener::bind(("127.0.0.1", slot + offset)) {
+    let start = port_range_start()?;
+    let offset = 1 + NEXT_PORT.fetch_add(1, Ordering::Relaxed) % (PORTS_PER_RANGE - 1);
+    match TcpListener::bind(("127.0.0.1", start + offset)) {
         Ok(listener) => listener.local_addr(),
         Err(_) => free_address(),
     }
@@ -155,17 +155,17 @@
 /// It is listened on for as long as the process lives, so that two runs side by side have different ones:
 /// chosen by the process id alone, two had the same, a daemon of one listened where a daemon of the other was
 /// to, and callers of both were told broken promises.
-fn own_slot() -> io::Result<u16> {
-    let mut own = OWN_SLOT.lock().expect("nobody panics with it");
-    if let Some((slot, _)) = &*own {
-        return Ok(*slot);
+fn port_range_start() -> io::Result<u16> {
+    let mut own = PORT_RANGE.lock().expect("nobody panics with it");
+    if let Some((start, _)) = &*own {
+        return Ok(*start);
     }
-    for turn in 0..PORT_SLOTS {
-        let number = (std::process::id() + turn) % PORT_SLOTS;
-        let slot = FIRST_PORT + number as u16 * PORTS_PER_PROCESS;
-        if let Ok(guard) = TcpListener::bind(("127.0.0.1", slot)) {
-            *own = Some((slot, guard));
-            return Ok(slot);
+    for attempt in 0..PORT_RANGES {
+        let number = (std::process::id() + attempt) % PORT_RANGES;
+        let start = FIRST_PORT + number as u16 * PORTS_PER_RANGE;
+        if let Ok(guard) = TcpListener::bind(("127.0.0.1", start)) {
+            *own = Some((start, guard));
+            return Ok(start);
         }
     }
     Err(io::Error::other("all ranges of ports are taken"))
--- a/crates/borageshore_soak/src/faults.rs
+++ b/crates/borageshore_soak/src/faults.rs
@@ -431,7 +431,7 @@
     async fn stop(&self, number: usize) {
         let daemon = &self.daemons[number];
         daemon.signal(Signal::TERM);
-        let kill_at_ms = self.clock.now_ms() + crate::daemons::GRACE_S * 1_000;
+        let kill_at_ms = self.clock.now_ms() + crate::daemons::STOP_GRACE_S * 1_000;
         while daemon.is_running() && self.clock.now_ms() < kill_at_ms {
             sleep_ms(50).await;
         }
--- a/crates/borageshore_soak/src/keys.rs
+++ b/crates/borageshore_soak/src/keys.rs
@@ -19,7 +19,7 @@
 /// Who trains.
 pub(crate) const TRAINERS: &str = "farm";
 /// The pause between two calls with a key that was taken away.
-const PROBE_MS: u64 = 60;
+const PROBE_PAUSE_MS: u64 = 60;
 /// What the ids of these calls begin with.
 const PROBE: &str = "revoked";
 
@@ -33,7 +33,7 @@
 /// The keys in force; none where callers need none.
 #[derive(Debug)]
 pub(crate) struct Keys {
-    is_on: bool,
+    are_required: bool,
     config: Value,
     number: RefCell<u64>,
     revoked: RefCell<Vec<Revoked>>,
@@ -43,9 +43,9 @@
 
 impl Keys {
     /// Writes the routes, with organisations if callers are to have keys.
-    pub(crate) fn open(store: &PlatformStore, is_on: bool, config: Value) -> Rc<Self> {
+    pub(crate) fn open(store: &PlatformStore, are_required: bool, config: Value) -> Rc<Self> {
         let keys = Rc::new(Self {
-            is_on,
+            are_required,
             config,
             number: RefCell::new(1),
             revoked: RefCell::default(),
@@ -59,7 +59,7 @@
         let mut config = self.config.clone();
         let number = *self.number.borrow();
         config["version"] = number.into();
-        if self.is_on {
+        if self.are_required {
             // A key is added one version before it is used.
             let keys = [self.caller_key(number), self.caller_key(number + 1)];
             config["tenants"] = json!([
@@ -79,7 +79,7 @@
             CALLERS => self.caller_key(*self.number.borrow()),
             _ => "farm-key".into(),
         };
-        self.is_on.then(|| format!("Bearer {key}"))
+        self.are_required.then(|| format!("Bearer {key}"))
     }
 
     /// Takes the callers' key away; they go on with the next one.
@@ -96,7 +96,7 @@
     pub(crate) async fn probe(self: Rc<Self>, traffic: Rc<Traffic>, mut random: Pcg64Mcg) {
         let mut number = 0;
         while !traffic.is_over() {
-            sleep_ms(PROBE_MS).await;
+            sleep_ms(PROBE_PAUSE_MS).await;
             let revoked = self.revoked.borrow().last().cloned();
             let Some(revoked) = revoked else { continue };
             number += 1;
@@ -119,7 +119,7 @@
         let calls = services.iter().flat_map(PlatformService::callers);
         for (id, callers) in calls {
             let is_reward = id.starts_with("reward");
-            let expected = Some(CALLERS).filter(|_| self.is_on && !is_reward);
+            let expected = Some(CALLERS).filter(|_| self.are_required && !is_reward);
             callers
                 .iter()
                 .for_each(|caller| check_caller(oracle, &id, caller, expected));
@@ -134,7 +134,7 @@
             }
         }
         for run in engines.iter().flat_map(PlatformEngine::runs) {
-            let expected = Some(TRAINERS).filter(|_| self.is_on);
+            let expected = Some(TRAINERS).filter(|_| self.are_required);
             check_caller(oracle, &run.item, &run.caller, expected);
         }
     }
@@ -148,7 +148,7 @@
         ("authorization", key.as_str()),
     ];
     let _ = traffic
-        .ask_with(
+        .request_on(
             &HttpClient::open(),
             traffic.fronts[front],
             "POST",
--- a/crates/borageshore_soak/src/traffic.rs
+++ b/crates/borageshore_soak/src/traffic.rs
@@ -29,15 +29,15 @@
 /// The model that is trained.
 pub(crate) const MODEL: &str = "m0";
 /// How many daemons a caller asks for addresses before it takes any.
-const DIRECTORIES_ASKED: usize = 3;
+const MAX_DIRECTORIES_ASKED: usize = 3;
 /// How long a caller waits for a call.
 pub(crate) const CALL_WAIT_MS: u64 = 2_000;
 /// Groups of a step, the items of each, and how many groups the trainer waits for.
-const STEP: (usize, usize, usize) = (6, 3, 5);
+const STEP_SHAPE: (usize, usize, usize) = (6, 3, 5);
 /// What one daemon has shown all daemons show after this time; the platform says so.
-const SHOWN_BY_ALL_MS: u64 = 1_000;
+const PROPAGATION_MS: u64 = 1_000;
 /// The trainer gives a step up after this time.
-const STEP_MS: u64 = 8_000;
+const STEP_TIMEOUT_MS: u64 = 8_000;
 const TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 1_000,
     first_byte_ms: 2_500,
@@ -89,11 +89,11 @@
 
     /// One of the addresses that a daemon gives out, after asking three of them at the most; any where
     /// none answers.
-    async fn address(&self, random: &mut Pcg64Mcg) -> SocketAddr {
+    async fn pick_address(&self, random: &mut Pcg64Mcg) -> SocketAddr {
         self.resolve(random).await.0
     }
 
-    /// As [`Traffic::address`], and whether a daemon gave the address out.
+    /// As [`Traffic::pick_address`], and whether a daemon gave the address out.
     pub(crate) async fn resolve(&self, random: &mut Pcg64Mcg) -> (SocketAddr, bool) {
         match self.resolve_all(random).await {
             Some(listed) => (pick(&listed, random), true),
@@ -105,7 +105,7 @@
     pub(crate) async fn resolve_all(&self, random: &mut Pcg64Mcg) -> Option<Vec<SocketAddr>> {
         let first = (random.next_u64() % self.directories.len() as u64) as usize;
         let others = self.directories.iter().cycle().skip(first);
-        let asked = DIRECTORIES_ASKED.min(self.directories.len());
+        let asked = MAX_DIRECTORIES_ASKED.min(self.directories.len());
         for directory in others.take(asked).copied() {
             match self.listed(directory).await {
                 Some(listed) if !listed.is_empty() => return Some(listed),
@@ -127,7 +127,7 @@
     }
 
     /// Makes a request in the name of an organisation.
-    async fn ask(
+    async fn request_as(
         &self,
         organisation: &str,
         front: SocketAddr,
@@ -137,12 +137,12 @@
         body: Bytes,
     ) -> Result<(StatusCode, Bytes), CallError> {
         let client = HttpClient::open();
-        self.ask_on(&client, organisation, front, (method, path), headers, body)
+        self.request_as_on(&client, organisation, front, (method, path), headers, body)
             .await
     }
 
-    /// As [`Traffic::ask`], on a connection of a client.
-    pub(crate) async fn ask_on(
+    /// As [`Traffic::request_as`], on a connection of a client.
+    pub(crate) async fn request_as_on(
         &self,
         client: &HttpClient,
         organisation: &str,
@@ -158,12 +158,12 @@
         if let Some(key) = &key {
             headers.push(("authorization", key));
         }
-        self.ask_with(client, front, method, path, &headers, body)
+        self.request_on(client, front, method, path, &headers, body)
             .await
     }
 
     /// Makes a request on a connection of a client, which keeps it unless the daemon closes it.
-    pub(crate) async fn ask_with(
+    pub(crate) async fn request_on(
         &self,
         client: &HttpClient,
         front: SocketAddr,
@@ -187,7 +187,7 @@
         let collecting = http_body_util::BodyExt::collect(body);
         let body = within_ms(TIMEOUTS.first_byte_ms, collecting).await;
         if body.is_some() && method == "POST" && head.status == StatusCode::OK {
-            self.check_answer(headers, &head.headers);
+            self.check_response_headers(headers, &head.headers);
         }
         match body {
             Some(Ok(body)) => {
@@ -199,7 +199,7 @@
         }
     }
 
-    fn check_answer(&self, asked: &[(&str, &str)], answered: &hyper::HeaderMap) {
+    fn check_response_headers(&self, asked: &[(&str, &str)], answered: &hyper::HeaderMap) {
         let id = asked.iter().find(|(name, _)| *name == "x-request-id");
         let id = id.map_or("", |(_, id)| *id);
         let header = |name: &str| answered.get(name).and_then(|value| value.to_str().ok());
@@ -221,7 +221,7 @@
         body: &str,
         random: &mut Pcg64Mcg,
     ) -> Option<(StatusCode, Bytes)> {
-        let front = self.address(random).await;
+        let front = self.pick_address(random).await;
         if let Some(number) = self.fronts.iter().position(|known| *known == front) {
             self.oracle
                 .daemon_by_attempt
@@ -231,19 +231,19 @@
         let wait = CALL_WAIT_MS.to_string();
         let headers = [("x-request-id", id), ("x-deadline-ms", &wait)];
         let body = Bytes::from(body.to_owned());
-        let asking = self.ask(CALLERS, front, "POST", path, &headers, body);
+        let asking = self.request_as(CALLERS, front, "POST", path, &headers, body);
         let answer = within_ms(self.crashing_call_timeout_ms, asking).await;
         answer.and_then(Result::ok)
     }
 
     /// Trains: submits a step, reads it, ends it, names the next version.
-    pub(crate) async fn train(self: Rc<Self>, mut random: Pcg64Mcg) {
+    pub(crate) async fn run_trainer(self: Rc<Self>, mut random: Pcg64Mcg) {
         let mut step = 1;
         while !self.is_over() {
             let id = format!("{}-{step}", self.step_name);
             if self.submit(&id, step, &mut random).await {
-                self.read_step(&id, &mut random).await;
-                self.end(&id, &mut random).await;
+                self.read_step_results(&id, &mut random).await;
+                self.end_submission(&id, &mut random).await;
             }
             step += 1;
             let version = json!({ "model": MODEL, "version": step });
@@ -254,7 +254,7 @@
     }
 
     async fn submit(&self, id: &str, step: u64, random: &mut Pcg64Mcg) -> bool {
-        let (groups, size, wanted) = STEP;
+        let (groups, size, wanted) = STEP_SHAPE;
         let mut items = Vec::new();
         for number in 0..groups * size {
             let item = format!("{id}-item-{number}");
@@ -297,14 +297,14 @@
         while !self.is_over() {
             let front = match self.submit_at {
                 Some(front) => front,
-                None => self.address(random).await,
+                None => self.pick_address(random).await,
             };
             let headers = [("x-request-id", id)];
             let answer = self
-                .ask(TRAINERS, front, "POST", "/batch/x", &headers, body.clone())
+                .request_as(TRAINERS, front, "POST", "/batch/x", &headers, body.clone())
                 .await;
             let status = answer.map_or(0, |(status, _)| status.as_u16());
-            if self.note_submitted(id, status) {
+            if self.record_submit_status(id, status) {
                 return true;
             }
             sleep_ms(100).await;
@@ -313,7 +313,7 @@
     }
 
     /// Takes over the answer to a submission; says whether it was accepted.
-    fn note_submitted(&self, id: &str, status: u16) -> bool {
+    fn record_submit_status(&self, id: &str, status: u16) -> bool {
         let mut submissions = self.oracle.submissions.borrow_mut();
         let known = submissions.get_mut(id).expect("entered before it was sent");
         let is_refusal = matches!(status, 429 | 503);
@@ -327,13 +327,13 @@
         known.is_accepted
     }
 
-    async fn read_step(&self, id: &str, random: &mut Pcg64Mcg) {
-        let give_up_ms = self.clock.now_ms() + STEP_MS;
-        let (groups, size, wanted) = STEP;
+    async fn read_step_results(&self, id: &str, random: &mut Pcg64Mcg) {
+        let deadline_ms = self.clock.now_ms() + STEP_TIMEOUT_MS;
+        let (groups, size, wanted) = STEP_SHAPE;
         let mut after = 0;
         let mut read = Vec::new();
-        while self.clock.now_ms() < give_up_ms && !self.is_over() {
-            let front = self.address(random).await;
+        while self.clock.now_ms() < deadline_ms && !self.is_over() {
+            let front = self.pick_address(random).await;
             match self.read(id, after, front, 500).await {
                 Some(count) => {
                     after += count;
@@ -341,10 +341,10 @@
                 }
                 None => sleep_ms(100).await,
             }
-            self.read_as_another(id, front).await;
+            self.read_as_other_organisation(id, front).await;
             // A reader goes back now and then, and must find what it has read.
             if random.next_u64().is_multiple_of(4) {
-                self.read_again(id, &read, random).await;
+                self.reread(id, &read, random).await;
             }
             if after >= groups * size || self.complete_groups(id) >= wanted {
                 return;
@@ -353,15 +353,15 @@
     }
 
     /// Asks some daemon for a position that was read over a second ago: none may be without it by then.
-    async fn read_again(&self, id: &str, read: &[(u64, usize)], random: &mut Pcg64Mcg) {
+    async fn reread(&self, id: &str, read: &[(u64, usize)], random: &mut Pcg64Mcg) {
         let now_ms = self.clock.now_ms();
-        let is_settled = |(at_ms, _): &&(u64, usize)| now_ms > at_ms + SHOWN_BY_ALL_MS;
+        let is_settled = |(at_ms, _): &&(u64, usize)| now_ms > at_ms + PROPAGATION_MS;
         let settled = read
             .iter()
             .rev()
             .find(is_settled)
             .map_or(0, |(_, count)| *count);
-        let front = self.address(random).await;
+        let front = self.pick_address(random).await;
         if settled > 0 && self.read(id, settled - 1, front, 0).await == Some(0) {
             self.oracle.record_violation(format!(
                 "{id}: {front} has nothing at {}, which was read",
@@ -371,7 +371,7 @@
     }
 
     /// Asks for a submission with another organisation's key: there is no such thing.
-    async fn read_as_another(&self, id: &str, front: SocketAddr) {
+    async fn read_as_other_organisation(&self, id: &str, front: SocketAddr) {
         if self.keys.header_of(CALLERS).is_none() {
             return;
         }
@@ -380,7 +380,7 @@
             ("DELETE", format!("/api/lots/{id}")),
         ];
         for (method, path) in asked {
-            let asking = self.ask(CALLERS, front, method, &path, &[], Bytes::new());
+            let asking = self.request_as(CALLERS, front, method, &path, &[], Bytes::new());
             let answer = asking.await;
             if answer.is_ok_and(|(status, _)| status == StatusCode::OK) {
                 self.oracle.record_violation(format!(
@@ -391,7 +391,7 @@
     }
 
     fn complete_groups(&self, id: &str) -> usize {
-        let (groups, size, _) = STEP;
+        let (groups, size, _) = STEP_SHAPE;
         let submissions = self.oracle.submissions.borrow();
         let listed: Vec<&String> = submissions[id].results.values().map(|r| &r.id).collect();
         let is_complete = |group: &usize| {
@@ -413,7 +413,7 @@
         let wait = wait_ms.to_string();
         let headers = [("x-wait-ms", wait.as_str())];
         let (status, body) = self
-            .ask(TRAINERS, front, "GET", &path, &headers, Bytes::new())
+            .request_as(TRAINERS, front, "GET", &path, &headers, Bytes::new())
             .await
             .ok()?;
         if status == StatusCode::NOT_FOUND && self.must_be_known(id) {
@@ -430,14 +430,14 @@
     /// Says whether every daemon must know a submission by now.
     fn must_be_known(&self, id: &str) -> bool {
         let submissions = self.oracle.submissions.borrow();
-        self.clock.now_ms() > submissions[id].accepted_at_ms + SHOWN_BY_ALL_MS
+        self.clock.now_ms() > submissions[id].accepted_at_ms + PROPAGATION_MS
     }
 
-    async fn end(&self, id: &str, random: &mut Pcg64Mcg) {
+    async fn end_submission(&self, id: &str, random: &mut Pcg64Mcg) {
         while !self.is_over() {
-            let front = self.address(random).await;
+            let front = self.pick_address(random).await;
             let path = format!("/api/lots/{id}");
-            let ending = self.ask(TRAINERS, front, "DELETE", &path, &[], Bytes::new());
+            let ending = self.request_as(TRAINERS, front, "DELETE", &path, &[], Bytes::new());
             let answer = ending.await;
             if answer.is_ok_and(|(status, _)| status == StatusCode::OK) {
                 return;
--- a/crates/borageshore_soak/src/usage.rs
+++ b/crates/borageshore_soak/src/usage.rs
@@ -10,7 +10,7 @@
 /// The length of a window.
 pub(crate) const WINDOW_S: u64 = 1;
 /// A window's report is due so long after its end.
-pub(crate) const LATE_S: u64 = 8;
+pub(crate) const REPORT_DUE_S: u64 = 8;
 /// Acts of two holders are at least this far apart.
 const LEASE_MS: u64 = 3_000;
 /// A report may be off by so many in a hundred, and one request that began as its window ended.
@@ -36,15 +36,15 @@
         let [one, next] = pair else { continue };
         let is_same = one.holder == next.holder;
         let is_early = !is_same && next.at_ms < one.at_ms + LEASE_MS;
-        let is_back = next.epoch < one.epoch || (!is_same && next.epoch == one.epoch);
+        let is_epoch_regression = next.epoch < one.epoch || (!is_same && next.epoch == one.epoch);
         // Taking turns needs a third act; a successor alone may come at once.
-        let is_turn = is_early
+        let is_alternating = is_early
             && reports.iter().any(|third| {
                 third.holder == one.holder
                     && third.at_ms > next.at_ms
                     && third.at_ms < one.at_ms + LEASE_MS
             });
-        if is_back || is_turn {
+        if is_epoch_regression || is_alternating {
             oracle.record_violation(format!(
                 "reports of {} and {}: epoch {} after {}",
                 one.holder, next.holder, next.epoch, one.epoch
--- a/crates/borageshore_soak/src/world.rs
+++ b/crates/borageshore_soak/src/world.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     Logs, Script, SoakOptions, SoakReport,
-    calls::Habit,
+    calls::Discovery,
     crashes,
     daemons::DaemonProcess,
     faults::{EXTENDED_KINDS, KEYED_KINDS, RANDOM_KINDS, Targets},
@@ -30,18 +30,18 @@
 };
 
 /// Daemons are up by then.
-const START_MS: u64 = 1_500;
+const STARTUP_MS: u64 = 1_500;
 /// Faults end this long before traffic does, so that the end shows what recovered.
-const CALM_MS: u64 = 4_000;
+const RECOVERY_MS: u64 = 4_000;
 /// After traffic and faults, before the last reads.
 const SETTLE_MS: u64 = 2_500;
 /// A daemon that cannot be sure is asked again this often.
-const READ_AGAIN: usize = 20;
+const MAX_READS: usize = 20;
 const CALLERS: usize = 3;
 /// Callers that keep what they know between two calls.
-const KEEPING_CALLERS: &[(&str, Habit)] = &[
-    ("list-keeper", Habit::KeepsList),
-    ("connection-keeper", Habit::KeepsConnection),
+const CACHING_CALLERS: &[(&str, Discovery)] = &[
+    ("list-keeper", Discovery::CachedList),
+    ("connection-keeper", Discovery::KeptConnection),
 ];
 
 pub(crate) async fn play(options: &SoakOptions) -> io::Result<SoakReport> {
@@ -52,7 +52,7 @@
     for daemon in &targets.daemons {
         daemon.start()?;
     }
-    sleep_ms(START_MS).await;
+    sleep_ms(STARTUP_MS).await;
     let until_ms = clock.now_ms() + options.duration_ms;
     let traffic = Rc::new(Traffic {
         clock,
@@ -86,22 +86,25 @@
     });
     let mut fork = || Pcg64Mcg::seed_from_u64(random.next_u64());
     for number in 0..CALLERS {
-        let habit = Habit::AsksEachTime;
+        let mode = Discovery::PerCall;
         monoio::spawn(
             traffic
                 .clone()
-                .call(format!("caller-{number}"), habit, fork()),
+                .call(format!("caller-{number}"), mode, fork()),
         );
     }
     // Drawn apart, so that the faults of a seed stay what they were.
-    let mut own_random = Pcg64Mcg::seed_from_u64(!options.seed);
-    for (name, habit) in KEEPING_CALLERS {
-        let own = Pcg64Mcg::seed_from_u64(own_random.next_u64());
-        monoio::spawn(traffic.clone().call((*name).into(), *habit, own));
+    let mut caching_random = Pcg64Mcg::seed_from_u64(!options.seed);
+    for (name, mode) in CACHING_CALLERS {
+        let caller_random = Pcg64Mcg::seed_from_u64(caching_random.next_u64());
+        monoio::spawn(traffic.clone().call((*name).into(), *mode, caller_random));
     }
-    monoio::spawn(traffic.clone().train(fork()));
+    monoio::spawn(traffic.clone().run_trainer(fork()));
     for number in 0..options.services {
-        monoio::spawn(crashes::restart_after_crashes(targets.clone(), number));
+        monoio::spawn(crashes::restart_service_after_crashes(
+            targets.clone(),
+            number,
+        ));
     }
     for number in 0..options.engines {
         monoio::spawn(crashes::restart_engine_after_crashes(
@@ -110,10 +113,14 @@
         ));
     }
     for number in 0..options.crashing_calls {
-        monoio::spawn(crashes::repeat(traffic.clone(), number, fork()));
+        monoio::spawn(crashes::run_crashing_caller(
+            traffic.clone(),
+            number,
+            fork(),
+        ));
     }
     monoio::spawn(targets.keys.clone().probe(traffic.clone(), fork()));
-    let faults_until_ms = until_ms.saturating_sub(CALM_MS);
+    let faults_until_ms = until_ms.saturating_sub(RECOVERY_MS);
     match &options.script {
         Script::Random(count) => {
             let injecting =
@@ -135,17 +142,17 @@
         Script::Timed(timed_faults) => targets.clone().inject_timed(timed_faults).await,
     }
     sleep_ms(until_ms.saturating_sub(clock.now_ms()) + SETTLE_MS).await;
-    check_listed(&traffic, &targets).await;
+    check_running_daemons_are_listed(&traffic, &targets).await;
     if options.results_kept_s * 1_000 > options.duration_ms {
-        read_everything(&traffic).await;
+        reread_all_submissions(&traffic).await;
     }
     let engines = engines_of(&targets);
     let services = services_of(&targets);
     oracle.check_endpoints(&engines, &services);
     targets.keys.check(&oracle, &engines, &services);
     usage::check_holders(&oracle, &targets.duties);
-    let sends = crashes::sends(&services, &engines);
-    crashes::check(&oracle, sends, options.crash_after_ms);
+    let sends = crashes::crashing_requests(&services, &engines);
+    crashes::check_crash_bound(&oracle, sends, options.crash_after_ms);
     for daemon in &targets.daemons {
         daemon.signal(Signal::KILL);
     }
@@ -153,7 +160,7 @@
 }
 
 fn crashed_endpoints(targets: &Targets) -> usize {
-    let sends = crashes::sends(&services_of(targets), &engines_of(targets));
+    let sends = crashes::crashing_requests(&services_of(targets), &engines_of(targets));
     sends.iter().filter(|send| send.has_crashed).count()
 }
 
@@ -235,7 +242,7 @@
 }
 
 /// Every daemon that runs is given out by every other one once all is calm.
-async fn check_listed(traffic: &Traffic, targets: &Targets) {
+async fn check_running_daemons_are_listed(traffic: &Traffic, targets: &Targets) {
     for asked in targets.daemons.iter().filter(|daemon| daemon.is_running()) {
         let listed = traffic.listed(asked.directory).await.unwrap_or_default();
         for daemon in targets.daemons.iter().filter(|daemon| daemon.is_running()) {
@@ -249,7 +256,7 @@
 
 /// Reads every accepted submission from its start at every daemon: whatever was read must come
 /// again, and no daemon may have forgotten it.
-async fn read_everything(traffic: &Traffic) {
+async fn reread_all_submissions(traffic: &Traffic) {
     let accepted: Vec<String> = {
         let submissions = traffic.oracle.submissions.borrow();
         let accepted = submissions.iter().filter(|(_, known)| known.is_accepted);
@@ -264,7 +271,7 @@
 
 async fn read_from_start(traffic: &Traffic, id: &str, front: SocketAddr) {
     let mut after = 0;
-    for _ in 0..READ_AGAIN {
+    for _ in 0..MAX_READS {
         match traffic.read(id, after, front, 0).await {
             Some(0) => {
                 let seen = traffic.oracle.submissions.borrow()[id].results.len();
@@ -300,12 +307,15 @@
     if traffic.calls_answered.get() * 2 < traffic.calls.get() {
         violations.push("less than half of the calls were answered".into());
     }
-    let due_ms = traffic.clock.now_ms().saturating_sub(usage::LATE_S * 1_000);
+    let due_ms = traffic
+        .clock
+        .now_ms()
+        .saturating_sub(usage::REPORT_DUE_S * 1_000);
     let wrong_windows = usage::wrong_windows(
         traffic.clock,
         &targets.duties,
         &services_of(targets),
-        START_MS,
+        STARTUP_MS,
         due_ms,
     );
     SoakReport {
