--- a/crates/borageshore_soak/src/lib.rs
+++ b/crates/borageshore_soak/src/lib.rs
@@ -1,8 +1,8 @@
-//! A fault soak: real daemons as processes of their own, stand-ins for the platform, faults from the
-//! outside, and the promises checked from what callers, trainers and endpoints see.
+//! A fault-injection soak test: runs real daemon processes against stand-ins for the platform, injects faults
+//! from outside, and checks the service's guarantees from what callers, trainers and endpoints observe.
 //!
-//! A run follows from its seed, as far as processes on a machine do: the same faults come at the same
-//! moments. [`run_seed`] plays one; the program `soak` plays many.
+//! The seed determines the faults and their times; scheduling of the processes is not deterministic.
+//! [`run_seed`] runs one seed; the program `soak` runs many.
 //!
 //! ```
 //! use borageshore_soak::SoakOptions;
@@ -25,104 +25,104 @@
 
 use borageshore_net::run_event_loop;
 
-/// The faults of a run.
+/// The faults injected during a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Script {
-    /// So many, drawn from the seed.
+    /// This many faults, drawn from the seed.
     Random(usize),
-    /// So many, drawn from the seed among more kinds.
+    /// This many faults, drawn from the seed among more kinds than [`Script::Random`].
     RandomExtended(usize),
-    /// These, each at its time after traffic began.
+    /// These faults, each with its time in ms after traffic began.
     Timed(Vec<(u64, TimedFault)>),
 }
 
-/// A fault at a set time.
+/// A fault of [`Script::Timed`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TimedFault {
-    /// The daemon that runs a submission is killed and starts again a second later.
+    /// A daemon that runs a submission is killed and restarted.
     KillHolder,
-    /// A daemon gets SIGTERM and starts again when it has ended.
+    /// A daemon receives SIGTERM and is restarted after it has exited.
     StopOne,
-    /// The store turns all daemons but one away for two seconds.
+    /// The store rejects requests of all daemons but the first.
     RejectAllButOne,
-    /// The first endpoint of the plain service leaves the list in a part of the history that no daemon
-    /// sees, and goes on serving.
+    /// The first endpoint of the plain service is unlisted in a part of the store's history that is dropped
+    /// before any daemon reads it; the endpoint keeps serving.
     UnlistUnobserved,
-    /// The store holds a heartbeat of a daemon's earlier life, when its clock was far ahead.
+    /// The store holds a heartbeat of a daemon's earlier incarnation, whose clock was far ahead.
     HeartbeatFromFuture,
-    /// The plain services run every call and answer none.
+    /// The endpoints of the plain service run every call but drop the responses.
     LoseResponses,
-    /// All daemons are killed once a text is nearly complete, and start again.
+    /// All daemons are killed and restarted once a generation is nearly complete.
     KillAllMidGeneration,
-    /// Once a text is nearly complete, the daemon that runs it loses its connections to the store.
+    /// Once a generation is nearly complete, a daemon that runs a submission is partitioned from the store.
     PartitionHolderMidGeneration,
-    /// Engines take their time for each event from then on.
+    /// Engines generate each event slowly for the rest of the run.
     SlowAllEngines,
-    /// The first engine starts again under its id, with the first version of the weights.
+    /// The first engine restarts under the same id with the first version of the weights.
     RestartEngine,
-    /// Another writer replaces the entry of the first endpoint of the plain service.
+    /// Another writer overwrites the entry of the first endpoint of the plain service.
     ForeignEntry,
-    /// The store answers nobody.
+    /// The store answers no request.
     StoreOutage,
-    /// The store answers nobody for longer than a key that was taken away may be good.
+    /// The store answers no request for longer than a revoked key may be accepted.
     LongOutage,
-    /// The daemon that last reported usage is killed and starts again a second later.
+    /// The daemon that last reported usage is killed and restarted.
     KillReporter,
-    /// The platform answers no call of a duty.
+    /// The platform drops the responses to calls of duties.
     LoseDutyResponses,
-    /// The operator takes the callers' key away; they have another one.
+    /// The operator revokes the callers' key; they switch to the next one.
     RevokeKey,
-    /// All daemons but the first are suspended for longer than a key that was taken away may be good.
+    /// All daemons but the first are suspended for longer than a revoked key may be accepted.
     SuspendAllButOne,
 }
 
-/// What to play.
+/// Options of a run.
 #[derive(Debug, Clone)]
 pub struct SoakOptions {
-    /// The program of the daemons.
+    /// Path of the daemon executable.
     pub program: PathBuf,
-    /// Decides everything that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Endpoints of the plain service.
+    /// Number of endpoints of the plain service.
     pub services: usize,
-    /// How long traffic and faults go on.
+    /// Duration of traffic.
     pub duration_ms: u64,
-    /// How long results can be read; they are not read at the end if it is shorter than the run.
+    /// Retention of results in seconds; results are not reread at the end if it is shorter than the run.
     pub results_kept_s: u64,
-    /// The daemon that gets all submissions; any if there is none.
+    /// Index of the daemon that receives all submissions; any daemon if `None`.
     pub submit_at: Option<usize>,
-    /// Within which time callers want their answers; daemons go by it.
+    /// Target latency of all routes.
     pub objective_ms: u64,
-    /// Calls that crash the endpoints of the plain service, each repeated all the while.
+    /// Number of calls that crash the endpoints of the plain service, each repeated throughout the run.
     pub crashing_calls: usize,
-    /// How long such a call runs before its endpoint crashes.
+    /// How long a crashing call runs before its endpoint crashes.
     pub crash_after_ms: u64,
-    /// How long its caller waits before it leaves.
+    /// How long the caller of a crashing call waits before it disconnects.
     pub crashing_call_timeout_ms: u64,
-    /// Whether each step has an item that crashes the engines that run it.
+    /// Whether each step contains an item that crashes the engines that run it.
     pub has_crashing_item: bool,
-    /// Whether the reward call of an item of each step crashes the endpoints that run it.
+    /// Whether each step contains an item whose reward call crashes the endpoints that run it.
     pub has_crashing_reward: bool,
-    /// Whether callers belong to organisations and have keys.
+    /// Whether callers belong to organisations and authenticate with keys.
     pub organisations: bool,
-    /// Mechanisms of the daemons that are switched off, by their names in the settings.
+    /// Disabled mechanisms of the daemons, by their names in the settings.
     pub mechanisms_off: Vec<&'static str>,
-    /// Whether all texts are long ones.
+    /// Whether all items generate many events.
     pub long_generations: bool,
-    /// The faults.
+    /// The faults to inject.
     pub script: Script,
-    /// Where the daemons' logs go.
+    /// Folder of the daemons' settings and logs.
     pub folder: PathBuf,
-    /// Whether the logs stay, however the run goes.
+    /// Whether the logs are kept when the run succeeds.
     pub keeps_logs: bool,
 }
 
 impl SoakOptions {
-    /// The usual size: four daemons for fifteen seconds.
+    /// Default options: four daemons for fifteen seconds.
     pub fn new(program: PathBuf, seed: u64) -> Self {
         Self {
             program,
@@ -150,56 +150,56 @@
     }
 }
 
-/// What came of a run.
+/// Outcome of a run.
 #[derive(Debug)]
 pub struct SoakReport {
-    /// The daemons' logs.
+    /// Handle of the daemons' logs.
     pub logs: Logs,
-    /// The faults, with when they began.
+    /// The injected faults with their start times.
     pub faults: Vec<String>,
-    /// Calls that were answered with success.
+    /// Calls answered with success.
     pub calls_answered: usize,
-    /// Calls made.
+    /// Calls made, without crashing calls and those with revoked keys.
     pub calls: usize,
-    /// The calls that were not, with the daemon, the status (0 for no answer) and the time.
+    /// Calls without success, each with its daemon, status (0 for no response) and times.
     pub unanswered: Vec<String>,
-    /// Submissions accepted.
+    /// Accepted submissions.
     pub submissions: usize,
-    /// Submissions that were answered otherwise than with an acceptance, each time.
+    /// Submission attempts that were not answered with an acceptance.
     pub not_accepted: usize,
-    /// Records of submissions that the store holds at the end.
+    /// Records of submissions in the store at the end.
     pub stored_submission_records: usize,
-    /// Runs that went on with a text that another engine had begun.
+    /// Runs that resumed a generation from a previous run's events.
     pub resumed_runs: usize,
-    /// From the last stop of all daemons to the first order after it, in ms.
+    /// Time from the last kill of all daemons to the first order after it.
     pub first_order_after_kill_ms: Option<u64>,
-    /// The most events of one item that were made more than once.
+    /// Largest number of events of one item that were generated more than once.
     pub max_regenerated_events: u64,
-    /// Runs and orders that the first engine saw after its last start.
+    /// Runs and orders that the first engine received after its last start.
     pub runs_and_orders_after_restart: (usize, usize),
-    /// Calls that reached the first endpoint of the plain service while another writer's entry stood in
-    /// its place and daemons had had time to see it.
+    /// Calls that reached the first endpoint of the plain service while its entry was overwritten by another
+    /// writer and daemons had had time to read that.
     pub calls_by_foreign_entry: usize,
-    /// By how much an endpoint was told to work on a call beyond the time that its caller waits, at the most.
+    /// Largest time by which the deadline passed to an endpoint exceeded that of the caller.
     pub max_overtime_ms: u64,
-    /// When calls that crash nothing were refused as ones that do, in ms.
+    /// Times at which harmless calls were refused because they were held back.
     pub harmless_held_at_ms: Vec<u64>,
-    /// Windows of usage whose report is missing or wrong, of those that were due.
+    /// Due usage windows whose report is missing or wrong.
     pub wrong_windows: Vec<String>,
-    /// Calls that were refused as nobody's, each with its time in ms.
+    /// Times at which calls with a valid key were refused as unauthorized.
     pub unauthorized_at_ms: Vec<u64>,
-    /// Endpoints that crashed under a request.
+    /// Crashes of endpoints caused by requests.
     pub crashed_endpoints: usize,
-    /// Calls that crash endpoints and were refused for it.
+    /// Crashing calls that were held back.
     pub crashing_calls_held: usize,
-    /// Results read, each once.
+    /// Distinct results read.
     pub results: usize,
-    /// Broken promises.
+    /// Violated guarantees.
     pub violations: Vec<String>,
 }
 
-/// The folder of a run's logs, removed with this handle unless they are wanted: a promise was broken, a check of
-/// the report panics, or the options say so.
+/// The folder of a run's logs. Dropping it removes the folder, unless a guarantee was violated, the thread is
+/// panicking, or [`SoakOptions::keeps_logs`] is set.
 #[derive(Debug)]
 pub struct Logs {
     folder: PathBuf,
@@ -217,12 +217,12 @@
         if self.are_wanted || std::thread::panicking() {
             eprintln!("logs in {}", self.folder.display());
         } else if let Err(error) = std::fs::remove_dir_all(&self.folder) {
-            eprintln!("{} is left: {error}", self.folder.display());
+            eprintln!("cannot remove {}: {error}", self.folder.display());
         }
     }
 }
 
-/// Plays one seed. The daemons' logs stay in the folder if the run fails, see [`Logs`].
+/// Runs one seed. The daemons' logs are kept if the run fails, see [`Logs`].
 pub fn run_seed(options: &SoakOptions) -> std::io::Result<SoakReport> {
     std::fs::create_dir_all(&options.folder)?;
     run_event_loop(world::play(options))
--- a/crates/borageshore_soak/src/main.rs
+++ b/crates/borageshore_soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The fault soak as a program: plays seeds one after the other and fails on a broken promise.
+//! The soak test as a program: runs seeds one after the other and fails if any of them violates a guarantee.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -67,7 +67,7 @@
     let report = match run_seed(options) {
         Ok(report) => report,
         Err(error) => {
-            println!("seed {}: cannot be played: {error}", options.seed);
+            println!("seed {}: cannot run: {error}", options.seed);
             return false;
         }
     };
