--- a/crates/borageshore_soak/src/faults.rs
+++ b/crates/borageshore_soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults from the outside, drawn from the seed, in overlapping series.
+//! Faults injected from outside the daemons, at random or set times; they may overlap.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -16,33 +16,33 @@
 
 use crate::{TimedFault, daemons::DaemonProcess, keys::Keys, oracle::Oracle};
 
-/// How long a fault at a set time lasts; a daemon that was killed starts again after it.
+/// Duration of a timed fault; a killed daemon is restarted after it.
 const TIMED_FAULT_MS: u64 = 1_500;
-/// Texts of up to twelve events then last over a second, several loads of weights.
+/// At this pace a generation of twelve events spans several loads of weights.
 const SLOW_EVENT_MS: u64 = 120;
-/// The pace at which a daemon is looked for that runs a submission.
+/// Interval between two checks for a condition to become true.
 const POLL_MS: u64 = 20;
 
-/// Longer than others wait before they take over from a silent daemon.
+/// Longer than the timeout after which other daemons take over from a silent one.
 const PARTITION_MS: u64 = 4_000;
-/// Longer than a key that was taken away may be good at a daemon that knows nothing of it.
+/// Longer than a daemon may accept a revoked key while it cannot learn of the revocation.
 const LONG_PARTITION_MS: u64 = 8_000;
-/// Events of a long text that is nearly complete.
+/// Number of events from which a long generation counts as nearly complete.
 const NEARLY_COMPLETE_EVENTS: u64 = 45;
-/// The kinds of fault that [`crate::Script::Random`] draws from; seeds that failed stay what they were.
+/// Number of fault kinds that [`crate::Script::Random`] draws from. Changing it changes the faults of every seed.
 pub(crate) const RANDOM_KINDS: u64 = 18;
-/// The kinds that [`crate::Script::RandomExtended`] draws from.
+/// Number of fault kinds that [`crate::Script::RandomExtended`] draws from.
 pub(crate) const EXTENDED_KINDS: u64 = 20;
-/// The kinds that [`crate::Script::RandomExtended`] draws from where callers have keys.
+/// Number of fault kinds that [`crate::Script::RandomExtended`] draws from if callers have keys.
 pub(crate) const KEYED_KINDS: u64 = 23;
 
-/// What the soak reads of a heartbeat.
+/// The fields of a heartbeat that the soak reads.
 #[derive(Debug, Default, Deserialize)]
 struct Heartbeat {
     holds: Vec<String>,
 }
 
-/// Everything that can be harmed.
+/// The system under test and its stand-ins, into which faults are injected.
 #[derive(Debug)]
 pub(crate) struct Targets {
     pub(crate) clock: Clock,
@@ -56,7 +56,7 @@
     pub(crate) started_faults: RefCell<Vec<String>>,
 }
 
-/// One fault; it ends by itself after its time.
+/// One fault; a number is the index of a daemon, engine or endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     Kill(usize),
@@ -67,24 +67,24 @@
     Store(StoreMode),
     DropHistory,
     StoreLink(usize, ProxyMode),
-    /// The operator takes the callers' key away.
+    /// The operator revokes the callers' key.
     RevokeKey,
-    /// The platform takes calls of duties otherwise.
+    /// The platform handles calls of duties in this mode.
     Duties(DutyMode),
-    /// The daemons from this one on are suspended.
+    /// This daemon and all after it are suspended.
     Suspend(usize),
-    /// The store turns the daemons from this one on away.
+    /// The store rejects requests of this daemon and all after it.
     Reject(usize),
-    /// An endpoint leaves the list while nobody sees it.
+    /// An endpoint is unlisted in a part of the history that no daemon reads.
     UnlistUnobserved,
-    /// All plain services lose all answers.
+    /// All endpoints of the plain service drop all responses.
     LoseResponses,
-    /// A heartbeat of an earlier life with a clock far ahead.
+    /// The store holds a heartbeat of an earlier incarnation whose clock was far ahead.
     HeartbeatFromFuture,
     SlowAllEngines,
-    /// An engine starts again under its id, with the first version of the weights.
+    /// An engine restarts under the same id with the first version of the weights.
     RestartEngine(usize),
-    /// Another writer replaces the entry of an endpoint of the plain service.
+    /// Another writer overwrites the entry of an endpoint of the plain service.
     ForeignEntry(usize),
     SilentConnections(usize),
     EngineLink(usize, ProxyMode),
@@ -98,7 +98,7 @@
 }
 
 impl Fault {
-    /// Which daemons lose their calm or their way to the store: one, or all (`Some(None)`), or none.
+    /// The daemons that are faulty or lose access to the store: one (`Some(Some(_))`), all (`Some(None)`) or none.
     fn disturbs_daemons(self) -> Option<Option<usize>> {
         match self {
             Fault::Kill(number)
@@ -118,7 +118,7 @@
 }
 
 impl Targets {
-    /// Lets faults come until `until_ms`, each for one to three seconds.
+    /// Injects random faults, spread until `until_ms`, each for 0.8 to 3 s.
     pub(crate) async fn inject_random(
         self: Rc<Self>,
         count: usize,
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Plays faults at set times.
+    /// Injects faults at set times in ms from now.
     pub(crate) async fn inject_timed(self: Rc<Self>, timed_faults: &[(u64, TimedFault)]) {
         let began_ms = self.clock.now_ms();
         for (at_ms, timed_fault) in timed_faults {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// The daemon that says in its heartbeat that it runs a submission.
+    /// Waits for a daemon whose heartbeat says that it runs a submission; returns its index.
     async fn holder(&self) -> usize {
         loop {
             for (name, value) in self.store.newest("keyed.members") {
@@ -195,7 +195,7 @@
         }
     }
 
-    /// The daemon that reported usage last.
+    /// Waits for the first usage report if needed; returns the index of the daemon that reported last.
     async fn reporter(&self) -> usize {
         loop {
             let reports = self.duties.reports();
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Waits until some run has made so many events that it is worth a lot.
+    /// Waits until some run is nearly complete, so that losing it would be expensive.
     async fn wait_for_nearly_complete_run(&self) {
         let is_nearly_complete = |(engine, _): &(PlatformEngine, Proxy)| {
             let runs = engine.runs();
@@ -443,11 +443,11 @@
     fn start(&self, number: usize) {
         if let Err(error) = self.daemons[number].start() {
             self.oracle
-                .record_violation(format!("vm-{number} does not start: {error}"));
+                .record_violation(format!("vm-{number} cannot be started: {error}"));
         }
     }
 
-    /// An engine crashes and starts again under its id; nobody sees it away from the list.
+    /// Restarts an engine under the same id without a moment in which it is unlisted.
     fn restart_engine(&self, number: usize) {
         let (engine, proxy) = &self.engines[number];
         engine.restart(1);
@@ -455,7 +455,7 @@
         engine.list(&self.store, &proxy.address().to_string(), "ready");
     }
 
-    /// Another writer's entry stands in the place of an endpoint's for a while.
+    /// Overwrites an endpoint's entry as another writer would, and restores it after `length_ms`.
     async fn put_foreign_entry(&self, number: usize, length_ms: u64) {
         let (service, proxy) = &self.services[number];
         let address = proxy.address().to_string();
@@ -473,7 +473,7 @@
         service.list(&self.store, &address, "ready");
     }
 
-    /// An engine announces that it leaves, goes, and comes back.
+    /// Lists an engine as draining for `length_ms`.
     async fn drain_engine(&self, number: usize, length_ms: u64) {
         let (engine, proxy) = &self.engines[number];
         let address = proxy.address().to_string();
