--- a/crates/borageshore_soak/src/oracle.rs
+++ b/crates/borageshore_soak/src/oracle.rs
@@ -1,4 +1,4 @@
-//! What was seen from the outside, and which promises it breaks.
+//! Collects observations from outside the daemons and checks them against the service's guarantees.
 
 use std::{
     cell::{Cell, RefCell},
@@ -13,21 +13,21 @@
 
 use crate::crashes::Disturbance;
 
-/// Orders of two holders to one engine are at least this far apart.
+/// Minimum time between orders of two holders to one engine: the lease of an order.
 const LEASE_MS: u64 = 3_000;
-/// Orders that leave a process within this time after it went on do not count.
+/// Orders are ignored for this long after their holder resumed from a pause: they may have been sent before it.
 const RESUME_GRACE_MS: u64 = 300;
 
-/// Entries that lapse around an outage of the store are kept for 2.3 s, and the store's silence is
-/// noticed within 2 s.
+/// Time after which an unlisted endpoint must get no calls: daemons notice an outage of the store within 2 s and
+/// keep entries that expire around it for 2.3 s.
 const UNLIST_GRACE_MS: u64 = 4_500;
 
-/// Daemons that reach the store read a new entry at once; a call under way takes some ms.
+/// Time for daemons to read the entry of another writer and to finish calls in flight.
 const FOREIGN_ENTRY_READ_MS: u64 = 300;
-/// An entry of another writer stands for this time at least.
+/// Minimum time for which the entry of another writer stays.
 const FOREIGN_ENTRY_MIN_MS: u64 = 800;
 
-/// A result as a trainer reads it.
+/// A result as read by a trainer.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub(crate) struct ReadResult {
     pub(crate) id: String,
@@ -37,40 +37,40 @@
     pub(crate) score: Option<String>,
 }
 
-/// A submission as its trainer knows it.
+/// What a trainer knows of its submission.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct KnownSubmission {
     pub(crate) items: Vec<String>,
     pub(crate) min_version: u64,
     pub(crate) is_accepted: bool,
-    /// When its acceptance was seen.
+    /// When the first acceptance was received.
     pub(crate) accepted_at_ms: u64,
-    /// Whether every answer so far said that nothing of it runs.
+    /// Whether every response so far was a refusal, which promises that no item runs.
     pub(crate) is_refused: bool,
     pub(crate) results: BTreeMap<usize, ReadResult>,
 }
 
-/// Collects what is seen and checks what must hold.
+/// Records observations and violations.
 #[derive(Debug, Default)]
 pub(crate) struct Oracle {
     pub(crate) submissions: RefCell<BTreeMap<String, KnownSubmission>>,
-    /// Calls that may run once at the most, with whether they were said not to have run.
+    /// Calls that must run at most once, with whether the response said that they did not run.
     pub(crate) at_most_once_calls: RefCell<BTreeMap<String, bool>>,
-    /// Until when each caller waits for its call.
+    /// When the caller of each call stops waiting.
     pub(crate) call_deadlines_ms: RefCell<BTreeMap<String, u64>>,
-    /// When paused processes went on.
+    /// Names of paused daemons with the times at which they resumed.
     pub(crate) resumed_at_ms: RefCell<Vec<(String, u64)>>,
-    /// Submissions answered otherwise than with an acceptance.
+    /// Submission attempts that were not answered with an acceptance.
     pub(crate) not_accepted: Cell<usize>,
-    /// When the first endpoint of the plain service left the list.
+    /// When the first endpoint of the plain service was unlisted.
     pub(crate) unlisted_at_ms: Cell<Option<u64>>,
-    /// When another writer replaced the entry of the first endpoint of the plain service.
+    /// When another writer overwrote the entry of the first endpoint of the plain service.
     pub(crate) foreign_entry_at_ms: Cell<Option<u64>>,
     /// When all daemons were last killed at once.
     pub(crate) killed_all_at_ms: Cell<Option<u64>>,
-    /// The daemon that each attempt of a crashing call was made at.
+    /// Index of the daemon that each attempt of a crashing call was sent to.
     pub(crate) daemon_by_attempt: RefCell<BTreeMap<String, usize>>,
-    /// When daemons were harmed or lost their way to the store.
+    /// When daemons were faulty or had no access to the store.
     pub(crate) disturbances: RefCell<Vec<Disturbance>>,
     violations: RefCell<BTreeSet<String>>,
 }
@@ -80,7 +80,7 @@
         self.violations.borrow_mut().insert(what);
     }
 
-    /// Notes that a daemon, or all, are disturbed from now on; returns the number of the disturbance.
+    /// Records that a daemon, or all if `None`, are disturbed from `at_ms` on; returns the index of the disturbance.
     pub(crate) fn begin_disturbance(&self, daemon: Option<usize>, at_ms: u64) -> usize {
         let mut disturbances = self.disturbances.borrow_mut();
         disturbances.push(Disturbance {
@@ -91,13 +91,13 @@
         disturbances.len() - 1
     }
 
-    /// Notes the end of a disturbance.
+    /// Records the end of a disturbance.
     pub(crate) fn end_disturbance(&self, number: usize, at_ms: u64) {
         self.disturbances.borrow_mut()[number].until_ms = at_ms;
     }
 
-    /// Says whether the daemon that an attempt was made at was disturbed, at a time or shortly before; any daemon,
-    /// where it is not known which.
+    /// Returns whether the daemon of an attempt was disturbed at `at_ms` or up to `before_ms` earlier. If its daemon
+    /// is unknown, a disturbance of any daemon counts.
     pub(crate) fn is_disturbed(&self, attempt: &str, at_ms: u64, before_ms: u64) -> bool {
         let daemon_by_attempt = self.daemon_by_attempt.borrow();
         let daemon = daemon_by_attempt.get(attempt).copied();
@@ -112,7 +112,7 @@
         self.violations.borrow().iter().cloned().collect()
     }
 
-    /// Takes over a page of results that a daemon gave.
+    /// Checks and records a page of results that a daemon returned.
     pub(crate) fn record_results(
         &self,
         id: &str,
@@ -123,21 +123,27 @@
         let mut submissions = self.submissions.borrow_mut();
         let known = submissions.entry(id.into()).or_default();
         if total != known.items.len() {
-            self.record_violation(format!("{id}: total {total} of {}", known.items.len()));
+            self.record_violation(format!(
+                "{id}: total is {total} instead of {}",
+                known.items.len()
+            ));
         }
         for (offset, result) in page.into_iter().enumerate() {
             let position = after + offset;
             self.check_result(id, known, &result);
             match known.results.get(&position) {
                 Some(before) if *before != result => self.record_violation(format!(
-                    "{id}: position {position} holds {} and held {}",
+                    "{id}: position {position} holds item {} and held item {} before",
                     result.id, before.id
                 )),
                 Some(_) => {}
                 None => {
                     let twice = known.results.values().any(|other| other.id == result.id);
                     if twice {
-                        self.record_violation(format!("{id}: item {} stands twice", result.id));
+                        self.record_violation(format!(
+                            "{id}: item {} has two positions",
+                            result.id
+                        ));
                     }
                     known.results.insert(position, result);
                 }
@@ -148,7 +154,7 @@
     fn check_result(&self, id: &str, known: &KnownSubmission, result: &ReadResult) {
         if !known.items.contains(&result.id) {
             self.record_violation(format!(
-                "{id}: names item {} of another submission",
+                "{id}: contains item {} of another submission",
                 result.id
             ));
         }
@@ -159,7 +165,10 @@
             .map(|event| event_text(&result.id, event))
             .collect();
         if result.output != events.join("\n") {
-            self.record_violation(format!("{id}: the text of {} is not whole", result.id));
+            self.record_violation(format!(
+                "{id}: the output of {} is incomplete or wrong",
+                result.id
+            ));
         }
         if result
             .versions
@@ -167,7 +176,7 @@
             .any(|version| *version < known.min_version)
         {
             self.record_violation(format!(
-                "{id}: {} made under {:?}",
+                "{id}: {} was generated under versions {:?}, older than the minimum",
                 result.id, result.versions
             ));
         }
@@ -177,7 +186,7 @@
         }
     }
 
-    /// Checks what the endpoints saw over the whole run.
+    /// Checks what the endpoints received during the run.
     pub(crate) fn check_endpoints(&self, engines: &[PlatformEngine], services: &[PlatformService]) {
         let runs: Vec<RecordedRun> = engines.iter().flat_map(PlatformEngine::runs).collect();
         self.check_refused(&runs);
@@ -193,13 +202,13 @@
         for (id, known) in self.submissions.borrow().iter() {
             let has_run = |item: &String| runs.iter().any(|run| run.item == *item);
             if known.is_refused && !known.is_accepted && known.items.iter().any(has_run) {
-                self.record_violation(format!("{id}: was refused and ran"));
+                self.record_violation(format!("{id}: was refused but ran"));
             }
         }
     }
 
-    /// The versions of a result are those of events that were made; nothing else can be told from
-    /// outside where several runs made the same event.
+    /// Checks that each version of a result is one under which some event of its item was generated. Which run an
+    /// event was taken from can't be observed from outside.
     fn check_versions(&self, runs: &[RecordedRun]) {
         for (id, known) in self.submissions.borrow().iter() {
             for result in known
@@ -213,7 +222,7 @@
                     .collect();
                 if result.versions.is_empty() || result.versions.iter().any(|v| !made.contains(v)) {
                     let text = format!(
-                        "{id}: {} says {:?}, made {made:?}",
+                        "{id}: {} names versions {:?}, but was generated under {made:?}",
                         result.id, result.versions
                     );
                     self.record_violation(text);
@@ -232,15 +241,17 @@
         for (id, said_not_run) in self.at_most_once_calls.borrow().iter() {
             let count = runs.get(id).copied().unwrap_or(0);
             if count > 1 {
-                self.record_violation(format!("call {id} may run once and ran {count} times"));
+                self.record_violation(format!(
+                    "call {id} must run at most once but ran {count} times"
+                ));
             }
             if *said_not_run && count > 0 {
-                self.record_violation(format!("call {id} was said not to have run, and ran"));
+                self.record_violation(format!("call {id} was said not to have run, but ran"));
             }
         }
     }
 
-    /// An endpoint that left the list gets nothing new after a while.
+    /// Checks that an unlisted endpoint gets no calls after [`UNLIST_GRACE_MS`].
     fn check_unlisted_endpoint(&self, services: &[PlatformService]) {
         let Some(unlisted_at_ms) = self.unlisted_at_ms.get() else {
             return;
@@ -251,14 +262,14 @@
                 .any(|at_ms| *at_ms > unlisted_at_ms + UNLIST_GRACE_MS)
             {
                 self.record_violation(format!(
-                    "call {id} reached an endpoint that had left the list"
+                    "call {id} reached an endpoint after it was unlisted"
                 ));
             }
         }
     }
 
-    /// Calls at the first endpoint of the plain service while its entry was another writer's; only a run
-    /// in which daemons reach the store all the while says anything by them.
+    /// Counts calls to the first endpoint of the plain service while its entry was another writer's. Only meaningful
+    /// if the daemons have access to the store throughout the run.
     pub(crate) fn calls_by_foreign_entry(&self, service: &PlatformService) -> usize {
         let Some(at_ms) = self.foreign_entry_at_ms.get() else {
             return 0;
@@ -302,7 +313,7 @@
     }
 }
 
-/// The id of an item's reward call.
+/// Returns the id of an item's reward call.
 pub(crate) fn reward_id(item: &str) -> String {
     format!("reward-{item}")
 }
