--- a/crates/borageshore_soak/src/world.rs
+++ b/crates/borageshore_soak/src/world.rs
@@ -1,4 +1,4 @@
-//! One run: stand-ins, daemons, traffic, faults, and the checks at the end.
+//! One run: starts stand-ins and daemons, makes traffic, injects faults, and checks the guarantees at the end.
 
 use std::{
     cell::{Cell, RefCell},
@@ -29,16 +29,16 @@
     usage,
 };
 
-/// Daemons are up by then.
+/// Time for the daemons to start.
 const STARTUP_MS: u64 = 1_500;
-/// Faults end this long before traffic does, so that the end shows what recovered.
+/// Faults end this long before traffic does, so that the final checks see a recovered system.
 const RECOVERY_MS: u64 = 4_000;
-/// After traffic and faults, before the last reads.
+/// Wait between the end of traffic and the final checks.
 const SETTLE_MS: u64 = 2_500;
-/// A daemon that cannot be sure is asked again this often.
+/// Limit on reads of one submission at one daemon, which may answer that its view is out of date.
 const MAX_READS: usize = 20;
 const CALLERS: usize = 3;
-/// Callers that keep what they know between two calls.
+/// Callers that reuse addresses or connections for several calls.
 const CACHING_CALLERS: &[(&str, Discovery)] = &[
     ("list-keeper", Discovery::CachedList),
     ("connection-keeper", Discovery::KeptConnection),
@@ -93,7 +93,7 @@
                 .call(format!("caller-{number}"), mode, fork()),
         );
     }
-    // Drawn apart, so that the faults of a seed stay what they were.
+    // A separate generator, so that these callers don't change the faults of a seed.
     let mut caching_random = Pcg64Mcg::seed_from_u64(!options.seed);
     for (name, mode) in CACHING_CALLERS {
         let caller_random = Pcg64Mcg::seed_from_u64(caching_random.next_u64());
@@ -241,21 +241,24 @@
     })
 }
 
-/// Every daemon that runs is given out by every other one once all is calm.
+/// Checks that every running daemon is listed by all running daemons after recovery.
 async fn check_running_daemons_are_listed(traffic: &Traffic, targets: &Targets) {
     for asked in targets.daemons.iter().filter(|daemon| daemon.is_running()) {
         let listed = traffic.listed(asked.directory).await.unwrap_or_default();
         for daemon in targets.daemons.iter().filter(|daemon| daemon.is_running()) {
             if !listed.contains(&daemon.front) {
-                let text = format!("{} is not given out by {}", daemon.name, asked.name);
+                let text = format!(
+                    "{} is not listed by {} after recovery",
+                    daemon.name, asked.name
+                );
                 traffic.oracle.record_violation(text);
             }
         }
     }
 }
 
-/// Reads every accepted submission from its start at every daemon: whatever was read must come
-/// again, and no daemon may have forgotten it.
+/// Reads every accepted submission from its start at every daemon. Checks that each daemon knows it and returns
+/// all results that were read before.
 async fn reread_all_submissions(traffic: &Traffic) {
     let accepted: Vec<String> = {
         let submissions = traffic.oracle.submissions.borrow();
@@ -276,8 +279,9 @@
             Some(0) => {
                 let seen = traffic.oracle.submissions.borrow()[id].results.len();
                 if after < seen {
-                    let text =
-                        format!("{id}: {front} has {after} of {seen} results that were read");
+                    let text = format!(
+                        "{id}: {front} returns {after} of {seen} results that were read before"
+                    );
                     traffic.oracle.record_violation(text);
                 }
                 return;
@@ -288,7 +292,7 @@
     }
     traffic
         .oracle
-        .record_violation(format!("{id}: cannot be read at {front} at the end"));
+        .record_violation(format!("{id}: cannot be read at {front} after recovery"));
 }
 
 fn report(
@@ -356,7 +360,7 @@
     after.min()
 }
 
-/// The most events of one item that were made more than once.
+/// Returns the largest number of events of one item that were generated more than once.
 fn max_regenerated_events(targets: &Targets) -> u64 {
     let runs = targets.engines.iter().flat_map(|(engine, _)| engine.runs());
     let mut made: BTreeMap<String, u64> = BTreeMap::new();
