--- a/crates/borageshore_soak/src/calls.rs
+++ b/crates/borageshore_soak/src/calls.rs
@@ -1,4 +1,4 @@
-//! Callers of the plain service: how they come to a daemon, and what they check of each answer.
+//! Callers of the plain service: how they choose a daemon, and what they check of each response.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -17,21 +17,21 @@
 
 /// The pause between two calls of a caller.
 const CALL_PAUSE_MS: u64 = 40;
-/// Some callers keep a list of addresses for as many times its time to live.
+/// [`Discovery::CachedList`] refreshes a list of addresses after this many times its time to live.
 const CACHED_TTLS: u64 = 3;
 
-/// How a caller comes to a daemon.
+/// How a caller chooses the daemon of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Discovery {
-    /// Asks for addresses before each call and opens a connection for it.
+    /// Resolves addresses before each call and opens a connection for it.
     PerCall,
-    /// Keeps a list of addresses as long as callers may, and opens a connection for each call.
+    /// Caches a list of addresses for as long as callers may, and opens a connection for each call.
     CachedList,
-    /// Uses a connection until the daemon closes it or answers that it will.
+    /// Reuses a connection until the daemon closes it or announces that it will.
     KeptConnection,
 }
 
-/// What a caller keeps between two calls.
+/// What a caller reuses for its next call.
 #[derive(Debug, Default)]
 struct CallerState {
     addresses: Vec<SocketAddr>,
@@ -39,16 +39,16 @@
     client: HttpClient,
 }
 
-/// Where a call goes.
+/// The daemon that a call is sent to.
 #[derive(Debug, Clone, Copy)]
 struct Target {
     front: SocketAddr,
-    /// Whether a daemon gave the address out.
+    /// Whether the address came from a daemon's list.
     is_listed: bool,
 }
 
 impl Traffic {
-    /// Makes calls, every other one of a kind that may run once at the most.
+    /// Makes calls until traffic ends, every other one of a kind that must run at most once.
     pub(crate) async fn call(self: Rc<Self>, name: String, mode: Discovery, mut random: Pcg64Mcg) {
         let mut state = CallerState::default();
         let mut number = 0;
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Asks for addresses until a daemon gives some out.
+    /// Asks for addresses until a daemon returns some.
     async fn refresh_addresses(&self, state: &mut CallerState, random: &mut Pcg64Mcg) {
         loop {
             let asked_at_ms = self.clock.now_ms();
@@ -151,10 +151,10 @@
             let why = answer.as_ref().err().map(CallError::to_string);
             let why = why.unwrap_or_default();
             self.unanswered.borrow_mut().push(format!(
-                "{id} at {front} (listed: {is_listed}): status {status} by {at_ms} ms, begun at {began_ms} ms, {why}"
+                "{id} at {front} (listed: {is_listed}): status {status} at {at_ms} ms, sent at {began_ms} ms, {why}"
             ));
         }
-        // One whose key was taken away meanwhile may be refused.
+        // A call whose key was revoked while it was in flight may be refused.
         if status == 401 && key == self.keys.header_of(CALLERS) {
             self.unauthorized_at_ms.borrow_mut().push(at_ms);
         }
@@ -170,7 +170,7 @@
             self.calls_answered.set(self.calls_answered.get() + 1);
             if *body != format!("answer to {id}") {
                 self.oracle
-                    .record_violation(format!("call {id} got a body that is not whole"));
+                    .record_violation(format!("call {id} got a truncated or wrong body"));
             }
         }
         if is_held(body) {
@@ -178,12 +178,12 @@
         }
         if matches!(status, StatusCode::NOT_FOUND | StatusCode::BAD_REQUEST) {
             self.oracle
-                .record_violation(format!("call {id} was denied with {status}"));
+                .record_violation(format!("call {id} was rejected with {status}"));
         }
     }
 }
 
-/// Says whether a refusal is of a call that crashes endpoints.
+/// Returns whether a response says that the call is held back because it crashes endpoints.
 pub(crate) fn is_held(body: &Bytes) -> bool {
     let code = ResultCode::HeldBack.to_string();
     serde_json::from_slice::<Value>(body).is_ok_and(|body| body["code"] == *code)
