--- a/crates/borageshore_soak/src/crashes.rs
+++ b/crates/borageshore_soak/src/crashes.rs
@@ -1,5 +1,5 @@
-//! Requests that crash the endpoints that run them: who makes them, how endpoints come back, and the bound on
-//! the endpoints that one such request may take down.
+//! Requests that crash the endpoints that run them: repeats such requests, restarts the endpoints, and checks the
+//! bound on the endpoints that one request may crash.
 
 use std::{collections::BTreeMap, rc::Rc};
 
@@ -13,27 +13,27 @@
 
 use crate::{calls::is_held, faults::Targets, oracle::Oracle, traffic::Traffic};
 
-/// An endpoint is back this long after a crash; the users' are after some seconds.
+/// Time from an endpoint's crash to its restart.
 const RESTART_DELAY_MS: u64 = 1_000;
-/// The mean pause between two repeats of a call.
+/// Mean pause between two repeats of a crashing call.
 const MEAN_REPEAT_PAUSE_MS: u64 = 500;
-/// The crashes of one request after which it counts as known.
+/// Number of crashes after which daemons must hold a request back.
 const CRASHES_UNTIL_KNOWN: usize = 3;
-/// All daemons that were undisturbed for this long know what one of them learned.
+/// Time for a crash to become known to all daemons that are not disturbed.
 const PROPAGATION_MS: u64 = 3_000;
-/// The sends of one request that may reach endpoints after that.
+/// Maximum number of times that a request may reach endpoints after that, as trials.
 const MAX_LATER_SENDS: usize = 3;
 
-/// A time in which a daemon, or all of them, were harmed or lost their way to the store.
+/// A period in which a daemon, or all of them, were faulty or had no access to the store.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Disturbance {
-    /// The daemon; all if there is none.
+    /// Index of the daemon; all if `None`.
     pub(crate) daemon: Option<usize>,
     pub(crate) from_ms: u64,
     pub(crate) until_ms: u64,
 }
 
-/// Lets an endpoint of the plain service start again after each crash, as a new instance.
+/// Restarts an endpoint of the plain service after each crash, as a new instance.
 pub(crate) async fn restart_service_after_crashes(targets: Rc<Targets>, number: usize) {
     let (service, proxy) = &targets.services[number];
     let mut starts = 1;
@@ -48,12 +48,12 @@
             Ok(()) => service.list(&targets.store, &proxy.address().to_string(), "ready"),
             Err(error) => targets
                 .oracle
-                .record_violation(format!("s-{number} does not start again: {error}")),
+                .record_violation(format!("s-{number} cannot be restarted: {error}")),
         }
     }
 }
 
-/// Lets an engine start again after each crash, under its id.
+/// Restarts an engine after each crash, under the same id.
 pub(crate) async fn restart_engine_after_crashes(targets: Rc<Targets>, number: usize) {
     let (engine, proxy) = &targets.engines[number];
     loop {
@@ -65,12 +65,12 @@
             Ok(()) => engine.list(&targets.store, &proxy.address().to_string(), "ready"),
             Err(error) => targets
                 .oracle
-                .record_violation(format!("e-{number} does not start again: {error}")),
+                .record_violation(format!("e-{number} cannot be restarted: {error}")),
         }
     }
 }
 
-/// Makes one crashing call again and again, at any daemon, as a caller who was never told why it failed.
+/// Repeats one crashing call at random daemons, as a caller would that does not know why it fails.
 pub(crate) async fn run_crashing_caller(traffic: Rc<Traffic>, number: usize, mut random: Pcg64Mcg) {
     let body = format!("{CRASH_MARK}-{number}");
     let mut repeats = 0;
@@ -81,9 +81,9 @@
         let asking = traffic.call_once(&id, "/safe/crash", &body, &mut random);
         if let Some((status, body)) = asking.await {
             if status == StatusCode::OK {
-                traffic
-                    .oracle
-                    .record_violation(format!("call {id} crashes its endpoints and was answered"));
+                traffic.oracle.record_violation(format!(
+                    "call {id} crashes its endpoints but was answered with success"
+                ));
             }
             if is_held(&body) && !std::mem::replace(&mut was_held, true) {
                 let held = traffic.crashing_calls_held.get();
@@ -94,7 +94,7 @@
     }
 }
 
-/// All requests that reached endpoints which they crash.
+/// Returns all crashing requests that reached endpoints.
 pub(crate) fn crashing_requests(
     services: &[PlatformService],
     engines: &[PlatformEngine],
@@ -104,7 +104,7 @@
     at_services.chain(at_engines).collect()
 }
 
-/// Checks that a request which has crashed three endpoints reaches no more than some further ones.
+/// Checks that a request that crashed [`CRASHES_UNTIL_KNOWN`] endpoints reaches at most [`MAX_LATER_SENDS`] more.
 pub(crate) fn check_crash_bound(oracle: &Oracle, sends: Vec<CrashingRequest>, crash_after_ms: u64) {
     for (body, sends) in group_by_body(sends) {
         let mut crashes = sends.iter().filter(|send| send.has_crashed);
@@ -119,7 +119,7 @@
         if later > MAX_LATER_SENDS {
             let ended = sends.iter().filter(|send| send.has_crashed).count();
             oracle.record_violation(format!(
-                "{body}: sent {later} times more after three endpoints had crashed; {ended} in all"
+                "{body}: sent {later} more times after it had crashed three endpoints; it crashed {ended} in total"
             ));
         }
     }
