--- a/crates/borageshore_soak/src/traffic.rs
+++ b/crates/borageshore_soak/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Callers and a trainer, who check every answer.
+//! Requests of callers and of a trainer, and the checks of each response.
 
 use std::{
     cell::{Cell, RefCell},
@@ -24,26 +24,26 @@
     oracle::{KnownSubmission, Oracle, ReadResult, reward_id},
 };
 
-/// The host of all routes.
+/// Host name of all routes.
 pub(crate) const HOST: &str = "soak.example";
-/// The model that is trained.
+/// Name of the trained model.
 pub(crate) const MODEL: &str = "m0";
-/// How many daemons a caller asks for addresses before it takes any.
+/// Number of daemons that a caller asks for addresses before it picks any daemon.
 const MAX_DIRECTORIES_ASKED: usize = 3;
-/// How long a caller waits for a call.
+/// Timeout of a call.
 pub(crate) const CALL_WAIT_MS: u64 = 2_000;
-/// Groups of a step, the items of each, and how many groups the trainer waits for.
+/// Groups of a step, items of each group, and number of groups that the trainer waits for.
 const STEP_SHAPE: (usize, usize, usize) = (6, 3, 5);
-/// What one daemon has shown all daemons show after this time; the platform says so.
+/// Time after which every daemon must return what one daemon has returned, as the platform requires.
 const PROPAGATION_MS: u64 = 1_000;
-/// The trainer gives a step up after this time.
+/// Time after which the trainer abandons a step.
 const STEP_TIMEOUT_MS: u64 = 8_000;
 const TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 1_000,
     first_byte_ms: 2_500,
 };
 
-/// What traffic needs of the rest.
+/// Shared state of all callers and the trainer.
 #[derive(Debug)]
 pub(crate) struct Traffic {
     pub(crate) clock: Clock,
@@ -54,20 +54,20 @@
     pub(crate) oracle: Rc<Oracle>,
     pub(crate) keys: Rc<Keys>,
     pub(crate) until_ms: u64,
-    /// What the names of steps begin with; "long" asks for long texts.
+    /// Prefix of the ids of steps; one with "long" makes engines generate many events.
     pub(crate) step_name: &'static str,
     pub(crate) crashing_call_timeout_ms: u64,
     pub(crate) has_crashing_item: bool,
     pub(crate) has_crashing_reward: bool,
     pub(crate) calls: Cell<usize>,
     pub(crate) calls_answered: Cell<usize>,
-    /// When proper calls were told that they are held back as ones that crash endpoints.
+    /// When harmless calls were refused because they were held back.
     pub(crate) held_at_ms: RefCell<Vec<u64>>,
-    /// Calls that crash endpoints and were refused for it.
+    /// Crashing calls that were held back.
     pub(crate) crashing_calls_held: Cell<usize>,
-    /// When calls with a key in force were refused as nobody's.
+    /// When calls with a valid key were refused as unauthorized.
     pub(crate) unauthorized_at_ms: RefCell<Vec<u64>>,
-    /// Calls without success; status 0 stands for no answer.
+    /// Calls without success; status 0 stands for no response.
     pub(crate) unanswered: RefCell<Vec<String>>,
 }
 
@@ -87,13 +87,12 @@
         self.clock.now_ms() >= self.until_ms
     }
 
-    /// One of the addresses that a daemon gives out, after asking three of them at the most; any where
-    /// none answers.
+    /// Picks one of the addresses that a daemon lists, or any daemon if none of those asked returns addresses.
     async fn pick_address(&self, random: &mut Pcg64Mcg) -> SocketAddr {
         self.resolve(random).await.0
     }
 
-    /// As [`Traffic::pick_address`], and whether a daemon gave the address out.
+    /// As [`Traffic::pick_address`], and whether the address came from a daemon's list.
     pub(crate) async fn resolve(&self, random: &mut Pcg64Mcg) -> (SocketAddr, bool) {
         match self.resolve_all(random).await {
             Some(listed) => (pick(&listed, random), true),
@@ -101,7 +100,7 @@
         }
     }
 
-    /// The addresses that one of three different daemons gives out.
+    /// Returns the addresses listed by the first of up to [`MAX_DIRECTORIES_ASKED`] daemons that lists any.
     pub(crate) async fn resolve_all(&self, random: &mut Pcg64Mcg) -> Option<Vec<SocketAddr>> {
         let first = (random.next_u64() % self.directories.len() as u64) as usize;
         let others = self.directories.iter().cycle().skip(first);
@@ -115,7 +114,7 @@
         None
     }
 
-    /// The addresses that a daemon gives out.
+    /// Returns the addresses that a daemon lists.
     pub(crate) async fn listed(&self, directory: SocketAddr) -> Option<Vec<SocketAddr>> {
         let request = Request::get("/api/resolve?name=soak.example&region=r&zone=z1");
         let request = request.body(Full::<Bytes>::default()).expect("plain text");
@@ -126,7 +125,7 @@
         (status == StatusCode::OK).then_some(listed.addresses)
     }
 
-    /// Makes a request in the name of an organisation.
+    /// Sends a request with the key of an organisation.
     async fn request_as(
         &self,
         organisation: &str,
@@ -153,7 +152,7 @@
     ) -> Result<(StatusCode, Bytes), CallError> {
         let key = self.keys.header_of(organisation);
         let mut headers = headers.to_vec();
-        // What a caller says of itself counts for nothing.
+        // Daemons must ignore an organisation that the caller claims in a header.
         headers.push(("x-tenant", "another"));
         if let Some(key) = &key {
             headers.push(("authorization", key));
@@ -162,7 +161,7 @@
             .await
     }
 
-    /// Makes a request on a connection of a client, which keeps it unless the daemon closes it.
+    /// Sends a request on a connection of the client's pool, which keeps it unless the daemon closes it.
     pub(crate) async fn request_on(
         &self,
         client: &HttpClient,
@@ -195,7 +194,7 @@
                 Ok((head.status, body.to_bytes()))
             }
             Some(Err(error)) => Err(response_body_error(&error)),
-            None => Err(CallError::NoAnswer("the body took too long".into())),
+            None => Err(CallError::NoAnswer("the response body timed out".into())),
         }
     }
 
@@ -205,15 +204,16 @@
         let header = |name: &str| answered.get(name).and_then(|value| value.to_str().ok());
         if header("x-request-id") != Some(id) {
             self.oracle
-                .record_violation(format!("call {id} got the answer to another one"));
+                .record_violation(format!("call {id} got the response of another call"));
         }
         if header("x-server-stamp") != Some(&PlatformService::stamp(id)) {
-            self.oracle
-                .record_violation(format!("call {id} got a success without its signature"));
+            self.oracle.record_violation(format!(
+                "call {id} got a success without the signature of its service"
+            ));
         }
     }
 
-    /// Makes an idempotent call once, at any daemon, and leaves when it has waited for long enough.
+    /// Makes an idempotent call once, at any daemon; disconnects after the timeout of crashing calls.
     pub(crate) async fn call_once(
         &self,
         id: &str,
@@ -236,7 +236,7 @@
         answer.and_then(Result::ok)
     }
 
-    /// Trains: submits a step, reads it, ends it, names the next version.
+    /// Repeats until traffic ends: submits a step, reads its results, ends it, and publishes the next version.
     pub(crate) async fn run_trainer(self: Rc<Self>, mut random: Pcg64Mcg) {
         let mut step = 1;
         while !self.is_over() {
@@ -258,7 +258,7 @@
         let mut items = Vec::new();
         for number in 0..groups * size {
             let item = format!("{id}-item-{number}");
-            // Two items of the first group, which the trainer does not wait for.
+            // Both are in the first group: the trainer does not need that one to finish a step.
             let is_crashing_reward = self.has_crashing_reward && number == 0;
             let is_crashing_item = self.has_crashing_item && number == 1;
             let reward_body = match is_crashing_reward {
@@ -312,7 +312,7 @@
         false
     }
 
-    /// Takes over the answer to a submission; says whether it was accepted.
+    /// Records the status of a submission attempt; returns whether the submission is accepted.
     fn record_submit_status(&self, id: &str, status: u16) -> bool {
         let mut submissions = self.oracle.submissions.borrow_mut();
         let known = submissions.get_mut(id).expect("entered before it was sent");
@@ -342,7 +342,7 @@
                 None => sleep_ms(100).await,
             }
             self.read_as_other_organisation(id, front).await;
-            // A reader goes back now and then, and must find what it has read.
+            // Results that were read must stay readable.
             if random.next_u64().is_multiple_of(4) {
                 self.reread(id, &read, random).await;
             }
@@ -352,7 +352,7 @@
         }
     }
 
-    /// Asks some daemon for a position that was read over a second ago: none may be without it by then.
+    /// Reads a position again that was read more than [`PROPAGATION_MS`] ago: every daemon must have it.
     async fn reread(&self, id: &str, read: &[(u64, usize)], random: &mut Pcg64Mcg) {
         let now_ms = self.clock.now_ms();
         let is_settled = |(at_ms, _): &&(u64, usize)| now_ms > at_ms + PROPAGATION_MS;
@@ -364,13 +364,13 @@
         let front = self.pick_address(random).await;
         if settled > 0 && self.read(id, settled - 1, front, 0).await == Some(0) {
             self.oracle.record_violation(format!(
-                "{id}: {front} has nothing at {}, which was read",
+                "{id}: {front} has no result at position {}, which was read before",
                 settled - 1
             ));
         }
     }
 
-    /// Asks for a submission with another organisation's key: there is no such thing.
+    /// Requests a submission with another organisation's key, which must not succeed.
     async fn read_as_other_organisation(&self, id: &str, front: SocketAddr) {
         if self.keys.header_of(CALLERS).is_none() {
             return;
@@ -384,7 +384,7 @@
             let answer = asking.await;
             if answer.is_ok_and(|(status, _)| status == StatusCode::OK) {
                 self.oracle.record_violation(format!(
-                    "{id}: {method} by another organisation is answered at {front}"
+                    "{id}: {method} by another organisation succeeded at {front}"
                 ));
             }
         }
@@ -401,7 +401,7 @@
         (0..groups).filter(is_complete).count()
     }
 
-    /// Reads results from a position on; returns how many came.
+    /// Reads results from a position on; returns their number, or `None` if there was no valid response.
     pub(crate) async fn read(
         &self,
         id: &str,
@@ -418,7 +418,7 @@
             .ok()?;
         if status == StatusCode::NOT_FOUND && self.must_be_known(id) {
             self.oracle
-                .record_violation(format!("{id}: accepted and not found at {front}"));
+                .record_violation(format!("{id}: was accepted but is not found at {front}"));
         }
         let page: ResultsPage = serde_json::from_slice(&body).ok()?;
         let count = page.results.len();
@@ -427,7 +427,7 @@
         Some(count)
     }
 
-    /// Says whether every daemon must know a submission by now.
+    /// Returns whether every daemon must know a submission by now.
     fn must_be_known(&self, id: &str) -> bool {
         let submissions = self.oracle.submissions.borrow();
         self.clock.now_ms() > submissions[id].accepted_at_ms + PROPAGATION_MS
@@ -447,7 +447,7 @@
     }
 }
 
-/// Draws one of some addresses.
+/// Picks a random address.
 pub(crate) fn pick(addresses: &[SocketAddr], random: &mut Pcg64Mcg) -> SocketAddr {
     addresses[(random.next_u64() % addresses.len() as u64) as usize]
 }
