--- a/crates/borageshore_soak/src/keys.rs
+++ b/crates/borageshore_soak/src/keys.rs
@@ -1,4 +1,4 @@
-//! Organisations and keys of the callers: who has which, what is taken away, and what must never run.
+//! Organisations and keys of the callers: issues and revokes keys, and checks that revoked keys are refused.
 
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc};
 
@@ -12,37 +12,37 @@
 
 use crate::{oracle::Oracle, traffic::Traffic};
 
-/// A call that is made this long after its key was taken away does not run, at any daemon.
+/// A call made longer than this after its key was revoked must not run, at any daemon.
 pub(crate) const REVOCATION_MS: u64 = 5_000;
-/// Whose calls are made.
+/// Organisation of the callers.
 pub(crate) const CALLERS: &str = "mill";
-/// Who trains.
+/// Organisation of the trainer.
 pub(crate) const TRAINERS: &str = "farm";
-/// The pause between two calls with a key that was taken away.
+/// Pause between two calls with a revoked key.
 const PROBE_PAUSE_MS: u64 = 60;
-/// What the ids of these calls begin with.
+/// Prefix of the ids of these calls.
 const PROBE: &str = "revoked";
 
-/// A key that was taken away.
+/// A revoked key.
 #[derive(Debug, Clone)]
 struct Revoked {
     key: String,
     at_ms: u64,
 }
 
-/// The keys in force; none where callers need none.
+/// The callers' keys, and the calls made with revoked ones.
 #[derive(Debug)]
 pub(crate) struct Keys {
     are_required: bool,
     config: Value,
     number: RefCell<u64>,
     revoked: RefCell<Vec<Revoked>>,
-    /// When each call with a key that was taken away was made, and when the key was taken away.
+    /// When each call with a revoked key was made, and when the key was revoked, by the call's id.
     probes: RefCell<BTreeMap<String, (u64, u64)>>,
 }
 
 impl Keys {
-    /// Writes the routes, with organisations if callers are to have keys.
+    /// Writes the routes to the store, with organisations and keys if `are_required`.
     pub(crate) fn open(store: &PlatformStore, are_required: bool, config: Value) -> Rc<Self> {
         let keys = Rc::new(Self {
             are_required,
@@ -60,7 +60,7 @@
         let number = *self.number.borrow();
         config["version"] = number.into();
         if self.are_required {
-            // A key is added one version before it is used.
+            // The next key is published before it is used, so that every daemon knows it by then.
             let keys = [self.caller_key(number), self.caller_key(number + 1)];
             config["tenants"] = json!([
                 { "name": CALLERS, "api_keys": keys }, { "name": TRAINERS, "api_keys": ["farm-key"] },
@@ -73,7 +73,7 @@
         format!("mill-key-{number}")
     }
 
-    /// The header of an organisation's calls; a key that was added before the last change.
+    /// Returns the value of the `authorization` header for an organisation, if keys are required.
     pub(crate) fn header_of(&self, organisation: &str) -> Option<String> {
         let key = match organisation {
             CALLERS => self.caller_key(*self.number.borrow()),
@@ -82,7 +82,7 @@
         self.are_required.then(|| format!("Bearer {key}"))
     }
 
-    /// Takes the callers' key away; they go on with the next one.
+    /// Revokes the callers' key; callers switch to the next one.
     pub(crate) fn revoke(&self, store: &PlatformStore, now_ms: u64) {
         let key = self.caller_key(*self.number.borrow());
         *self.number.borrow_mut() += 1;
@@ -92,7 +92,7 @@
             .push(Revoked { key, at_ms: now_ms });
     }
 
-    /// Makes calls with keys that were taken away, at any daemon.
+    /// Makes calls with the last revoked key at random daemons until traffic ends.
     pub(crate) async fn probe(self: Rc<Self>, traffic: Rc<Traffic>, mut random: Pcg64Mcg) {
         let mut number = 0;
         while !traffic.is_over() {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Checks what endpoints saw: in whose name requests ran, and that no key reached them.
+    /// Checks what endpoints received: the right organisation, no key, and no call whose key was revoked.
     pub(crate) fn check(
         &self,
         oracle: &Oracle,
@@ -129,7 +129,7 @@
             {
                 let late_ms = made_at_ms - revoked_at_ms;
                 oracle.record_violation(format!(
-                    "{id} ran, made {late_ms} ms after its key was taken away"
+                    "call {id} ran although it was made {late_ms} ms after its key was revoked"
                 ));
             }
         }
@@ -141,7 +141,7 @@
 }
 
 async fn probe_once(traffic: Rc<Traffic>, id: String, front: usize, key: String) {
-    // Whatever it is answered, what counts is whether it runs.
+    // The response doesn't matter: the endpoints record whether the call runs.
     let headers = [
         ("x-request-id", id.as_str()),
         ("x-deadline-ms", "2000"),
@@ -161,12 +161,14 @@
 
 fn check_caller(oracle: &Oracle, id: &str, caller: &RecordedCaller, expected: Option<&str>) {
     if caller.has_key {
-        oracle.record_violation(format!("{id} reached an endpoint with its caller's key"));
+        oracle.record_violation(format!(
+            "call {id} reached an endpoint with its caller's key"
+        ));
     }
     if caller.organisation.as_deref() != expected {
         let named = &caller.organisation;
         oracle.record_violation(format!(
-            "{id} ran in the name of {named:?} instead of {expected:?}"
+            "call {id} ran in the name of {named:?} instead of {expected:?}"
         ));
     }
 }
