--- a/crates/borageshore_soak/src/usage.rs
+++ b/crates/borageshore_soak/src/usage.rs
@@ -1,4 +1,4 @@
-//! Reports of usage, judged from outside: one holder at a time, one report a window, counts that are true.
+//! Checks of usage reports: one holder at a time, one report for each window, correct counts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,22 +7,22 @@
 
 use crate::{keys::CALLERS, oracle::Oracle};
 
-/// The length of a window.
+/// Length of a usage window.
 pub(crate) const WINDOW_S: u64 = 1;
-/// A window's report is due so long after its end.
+/// Time after the end of a window at which its report is due.
 pub(crate) const REPORT_DUE_S: u64 = 8;
-/// Acts of two holders are at least this far apart.
+/// Minimum time between reports of two alternating holders: the lease of a holder.
 const LEASE_MS: u64 = 3_000;
-/// A report may be off by so many in a hundred, and one request that began as its window ended.
+/// Tolerated error of a count, plus [`ERROR_REQUESTS`] for a request that started at the edge of its window.
 const ERROR_PERCENT: u64 = 5;
 const ERROR_REQUESTS: u64 = 1;
 
-/// Says when the soak's clock began, in Unix milliseconds.
+/// Returns the Unix time in ms at which the soak's clock started.
 pub(crate) fn began_unix_ms(clock: Clock) -> u64 {
     jiff::Timestamp::now().as_millisecond() as u64 - clock.now_ms()
 }
 
-/// Checks who sent reports, and that no two of one window differ.
+/// Checks that reports come from one holder at a time and that no two reports of a window differ.
 pub(crate) fn check_holders(oracle: &Oracle, duties: &PlatformDuties) {
     let reports = duties.reports();
     let mut first: BTreeMap<u64, &ReceivedReport> = BTreeMap::new();
@@ -36,15 +36,15 @@
         let [one, next] = pair else { continue };
         let is_same = one.holder == next.holder;
         let is_early = !is_same && next.at_ms < one.at_ms + LEASE_MS;
-        let is_epoch_regression = next.epoch < one.epoch || (!is_same && next.epoch == one.epoch);
-        // Taking turns needs a third act; a successor alone may come at once.
+        let is_epoch_wrong = next.epoch < one.epoch || (!is_same && next.epoch == one.epoch);
+        // A successor may report at once after a holder has ended; the old holder reporting again is a violation.
         let is_alternating = is_early
             && reports.iter().any(|third| {
                 third.holder == one.holder
                     && third.at_ms > next.at_ms
                     && third.at_ms < one.at_ms + LEASE_MS
             });
-        if is_epoch_regression || is_alternating {
+        if is_epoch_wrong || is_alternating {
             oracle.record_violation(format!(
                 "reports of {} and {}: epoch {} after {}",
                 one.holder, next.holder, next.epoch, one.epoch
@@ -53,7 +53,7 @@
     }
 }
 
-/// The windows between two times whose report is missing or wrong.
+/// Returns the windows between two times whose report is missing or wrong.
 pub(crate) fn wrong_windows(
     clock: Clock,
     duties: &PlatformDuties,
@@ -90,7 +90,7 @@
             && counted.unwrap_or(0).abs_diff(made) <= ERROR_REQUESTS + made * ERROR_PERCENT / 100;
         if !is_right {
             wrong.push(format!(
-                "window {}: {made} began, reported {counted:?}",
+                "window {}: {made} calls started, reported {counted:?}",
                 window - first
             ));
         }
