--- a/crates/borageshore_soak/src/daemons.rs
+++ b/crates/borageshore_soak/src/daemons.rs
@@ -1,4 +1,4 @@
-//! The daemons: processes that are started, signalled and started again.
+//! Daemon processes: settings, start, signals and restart.
 
 use std::{
     cell::RefCell,
@@ -28,21 +28,20 @@
 static PORT_RANGE: Mutex<Option<(u16, TcpListener)>> = Mutex::new(None);
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-/// How long the daemons have from SIGTERM to SIGKILL.
+/// Time between SIGTERM and SIGKILL of a daemon.
 pub(crate) const STOP_GRACE_S: u64 = 4;
-/// How long a list of addresses holds.
+/// Time for which callers may use a list of addresses.
 pub(crate) const ADDRESS_TTL_S: u64 = 1;
 
-/// One daemon with its addresses, which stay the same over its lives.
+/// One daemon with its addresses, which stay the same across restarts.
 #[derive(Debug)]
 pub(crate) struct DaemonProcess {
-    /// Its name.
     pub(crate) name: String,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub(crate) front: SocketAddr,
-    /// Where callers ask for addresses.
+    /// Address at which callers ask for addresses of daemons.
     pub(crate) directory: SocketAddr,
-    /// Its way to the store.
+    /// Proxy between the daemon and the store.
     pub(crate) store: Proxy,
     config: std::path::PathBuf,
     log: std::path::PathBuf,
@@ -51,7 +50,7 @@
 }
 
 impl DaemonProcess {
-    /// Writes its settings; it is not started yet.
+    /// Writes the daemon's settings without starting it.
     pub(crate) fn open(
         options: &SoakOptions,
         number: usize,
@@ -86,7 +85,7 @@
         })
     }
 
-    /// Starts the process unless it runs.
+    /// Starts the process unless it is running.
     pub(crate) fn start(&self) -> io::Result<()> {
         if self.is_running() {
             return Ok(());
@@ -103,7 +102,7 @@
         Ok(())
     }
 
-    /// Says whether the process runs.
+    /// Returns whether the process is running; reaps it if it has exited.
     pub(crate) fn is_running(&self) -> bool {
         let mut child = self.child.borrow_mut();
         let Some(running) = child.as_mut() else {
@@ -118,14 +117,14 @@
         }
     }
 
-    /// Sends the process a signal; only a process that was started here gets one.
+    /// Sends a signal to the process if it is running.
     pub(crate) fn signal(&self, signal: Signal) {
         if !self.is_running() {
             return;
         }
         let pid = self.child.borrow().as_ref().map(Child::id);
         if let Some(pid) = pid.and_then(|id| Pid::from_raw(id as i32)) {
-            // It may have ended just now.
+            // Fails if the process has just exited.
             let _ = kill_process(pid, signal);
         }
     }
@@ -140,7 +139,7 @@
     }
 }
 
-/// A loopback address that is free now, of the ports that this process has to itself.
+/// Returns a free loopback address from the port range that this process has reserved.
 fn free_address() -> io::Result<SocketAddr> {
     let start = port_range_start()?;
     let offset = 1 + NEXT_PORT.fetch_add(1, Ordering::Relaxed) % (PORTS_PER_RANGE - 1);
@@ -150,13 +149,14 @@
     }
 }
 
-/// The first of the ports of this process, below those that the system gives out by itself.
+/// Reserves a port range for this process, below the ephemeral ports, and returns its first port.
 ///
-/// It is listened on for as long as the process lives, so that two runs side by side have different ones:
-/// chosen by the process id alone, two had the same, a daemon of one listened where a daemon of the other was
-/// to, and callers of both were told broken promises.
+/// Listening on the first port keeps the range reserved until the process exits, so that daemons of concurrent
+/// runs never share an address.
 fn port_range_start() -> io::Result<u16> {
-    let mut own = PORT_RANGE.lock().expect("nobody panics with it");
+    let mut own = PORT_RANGE
+        .lock()
+        .expect("no thread panics while holding the lock");
     if let Some((start, _)) = &*own {
         return Ok(*start);
     }
@@ -168,5 +168,5 @@
             return Ok(start);
         }
     }
-    Err(io::Error::other("all ranges of ports are taken"))
+    Err(io::Error::other("all port ranges are in use"))
 }
