--- a/tests/tidy.rs
+++ b/tests/tidy.rs
@@ -8,20 +8,20 @@
 use borageshore::base::ResultCode;
 
 /// Longer files are split.
-const MOST_LINES: usize = 560;
+const MAX_LINES: usize = 560;
 const GENERATED: &str = "generated.rs";
 
 fn root() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
 }
 
-fn files_below(folder: &Path, ending: &str) -> Vec<PathBuf> {
+fn files_below(folder: &Path, suffix: &str) -> Vec<PathBuf> {
     let mut found = Vec::new();
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            found.extend(files_below(&path, ending));
-        } else if path.to_string_lossy().ends_with(ending) {
+            found.extend(files_below(&path, suffix));
+        } else if path.to_string_lossy().ends_with(suffix) {
             found.push(path);
         }
     }
@@ -44,7 +44,7 @@
 
 fn is_shipped(path: &Path) -> bool {
     let path = path.to_string_lossy();
-    let is_beside = [
+    let is_test_support = [
         "/tests/",
         "/benches/",
         "borageshore_standins",
@@ -52,7 +52,7 @@
         "borageshore_soak",
         "borageshore_bench",
     ];
-    !is_beside.iter().any(|part| path.contains(part))
+    !is_test_support.iter().any(|part| path.contains(part))
 }
 
 macro_rules! rules {
@@ -70,7 +70,7 @@
 
 rules! {
     files_open_with_their_purpose: |path, text| text.starts_with("//! ");
-    files_are_small: |path, text| text.lines().count() <= MOST_LINES;
+    files_are_small: |path, text| text.lines().count() <= MAX_LINES;
     debug_is_derived_first: |path, text| {
         // A type that hides a secret writes its own `Debug`.
         let own = text.matches("impl fmt::Debug for").count();
