--- a/tests/tidy.rs
+++ b/tests/tidy.rs
@@ -1,4 +1,4 @@
-//! House rules that no other tool checks.
+//! Source rules that rustfmt and clippy don't check.
 
 use std::{
     fs,
@@ -7,7 +7,7 @@
 
 use borageshore::base::ResultCode;
 
-/// Longer files are split.
+/// Maximum number of lines of a source file.
 const MAX_LINES: usize = 560;
 const GENERATED: &str = "generated.rs";
 
@@ -29,7 +29,7 @@
     found
 }
 
-/// Our sources: path and text.
+/// Returns path and text of each source file, without generated ones.
 fn sources() -> Vec<(PathBuf, String)> {
     let mut files = files_below(&root().join("crates"), ".rs");
     files.extend(files_below(&root().join("src"), ".rs"));
@@ -72,7 +72,7 @@
     files_open_with_their_purpose: |path, text| text.starts_with("//! ");
     files_are_small: |path, text| text.lines().count() <= MAX_LINES;
     debug_is_derived_first: |path, text| {
-        // A type that hides a secret writes its own `Debug`.
+        // A type that hides a secret implements `Debug` by hand.
         let own = text.matches("impl fmt::Debug for").count();
         let derives = text.lines().map(str::trim).filter(|line| line.starts_with("#[derive("));
         derives.filter(|line| !line.starts_with("#[derive(Debug")).count() <= own
@@ -103,7 +103,7 @@
     no_banner: |path, text| !text.to_lowercase().contains("copyright");
 }
 
-/// Names that the platform's protocol uses; only `platform/` knows them.
+/// Names of the platform's protocol, which only `platform/` may use.
 const PLATFORM_NAMES: [&str; 14] = [
     "/api/",
     "x-request-id",
@@ -120,9 +120,9 @@
     "keyed.",
     "dead_lettered",
 ];
-/// Names that the product's own interface, which is older, has as well.
+/// Names that the service's own interface uses as well.
 const OWN_NAMES: [&str; 2] = ["x-request-id", "x-deadline-ms"];
-/// The largest that the adapter may become.
+/// Maximum number of lines of the adapter in `platform/`.
 const ADAPTER_LINES: usize = 4_000;
 
 #[test]
