--- a/examples/explain_settings.rs
+++ b/examples/explain_settings.rs
@@ -1,4 +1,4 @@
-//! Loads Navua's settings into a tree and shows where each value in force for the clerks comes from.
+//! Loads Navua's settings into a tree and prints each effective value of the node `clerks` with its origin.
 //!
 //! `cargo run --example explain_settings`
 
--- a/examples/reference_tables.rs
+++ b/examples/reference_tables.rs
@@ -1,4 +1,4 @@
-//! Prints the tables of result codes and settings keys as the docs have them.
+//! Prints the tables of result codes and settings keys that the documentation contains.
 //!
 //! `cargo run --example reference_tables codes` or `... settings`.
 
@@ -11,7 +11,7 @@
     match std::env::args().nth(1).as_deref() {
         Some("codes") => codes(),
         Some("settings") => settings(),
-        _ => eprintln!("say codes or settings"),
+        _ => eprintln!("expected one argument: codes or settings"),
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
-//! A rollout service for reinforcement learning beside live inference traffic.
+//! A rollout service for reinforcement learning that shares engines with live inference traffic.
 //!
-//! This package re-exports the workspace: each crate has one subject.
+//! This package re-exports the crates of the workspace.
 //!
 //! ```
 //! use borageshore::settings::SettingsFold;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The binary: daemon and operators' commands.
+//! The `borageshore` binary: the daemon and the operators' commands.
 
 use std::process::ExitCode;
 
