--- a/crates/borageshore_gateway/src/store_path.rs
+++ b/crates/borageshore_gateway/src/store_path.rs
@@ -213,9 +213,7 @@
             StoreCallOutcome::Refused
         }
         Err(CallError::NotSent(_)) => StoreCallOutcome::Refused,
-        Ok(_) | Err(CallError::NoAnswer(_) | CallError::Disconnected(_)) => {
-            StoreCallOutcome::Unknown
-        }
+        Ok(_) | Err(CallError::NoAnswer(_) | CallError::Disconnected(_)) => StoreCallOutcome::Unknown,
     }
 }
 
