--- a/tools/cluster.sh
+++ b/tools/cluster.sh
@@ -1,5 +1,5 @@
 # Shell functions that start stand-ins and daemons on loopback, for the scripts of this folder.
-# Everything started is remembered by process id, and only that is ended.
+# The process ids of all started programs are recorded, and only these processes are killed on exit.
 
 root=$(cd "$(dirname "${BASH_SOURCE[0]}")/.." && pwd)
 bin=${BORAGESHORE_BIN:-$root/target/release}
