--- a/crates/borageshore_soak/src/calls.rs
+++ b/crates/borageshore_soak/src/calls.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     daemons::ADDRESS_TTL_S,
-    keys::CALLERS,
+    keys::CALLER_ORG,
     traffic::{CALL_WAIT_MS, Traffic, pick},
 };
 
@@ -133,10 +133,10 @@
             .call_deadlines_ms
             .borrow_mut()
             .insert(id.into(), began_ms + CALL_WAIT_MS);
-        let key = self.keys.header_of(CALLERS);
+        let key = self.keys.header_of(CALLER_ORG);
         let body = Bytes::from("body");
         let answer = self
-            .request_as_on(client, CALLERS, front, ("POST", path), &headers, body)
+            .request_as_on(client, CALLER_ORG, front, ("POST", path), &headers, body)
             .await;
         let at_ms = self.clock.now_ms();
         self.calls.set(self.calls.get() + 1);
@@ -155,7 +155,7 @@
             ));
         }
         // A call whose key was revoked while it was in flight may be refused.
-        if status == 401 && key == self.keys.header_of(CALLERS) {
+        if status == 401 && key == self.keys.header_of(CALLER_ORG) {
             self.unauthorized_at_ms.borrow_mut().push(at_ms);
         }
         if is_at_most_once {
@@ -174,7 +174,7 @@
             }
         }
         if is_held(body) {
-            self.held_at_ms.borrow_mut().push(at_ms);
+            self.harmless_held_at_ms.borrow_mut().push(at_ms);
         }
         if matches!(status, StatusCode::NOT_FOUND | StatusCode::BAD_REQUEST) {
             self.oracle
--- a/crates/borageshore_soak/src/crashes.rs
+++ b/crates/borageshore_soak/src/crashes.rs
@@ -22,7 +22,7 @@
 /// Time for a crash to become known to all daemons that are not disturbed.
 const PROPAGATION_MS: u64 = 3_000;
 /// Maximum number of times that a request may reach endpoints after that, as trials.
-const MAX_LATER_SENDS: usize = 3;
+const MAX_LATER_REQUESTS: usize = 3;
 
 /// A period in which a daemon, or all of them, were faulty or had no access to the store.
 #[derive(Debug, Clone, Copy)]
@@ -104,20 +104,28 @@
     at_services.chain(at_engines).collect()
 }
 
-/// Checks that a request that crashed [`CRASHES_UNTIL_KNOWN`] endpoints reaches at most [`MAX_LATER_SENDS`] more.
-pub(crate) fn check_crash_bound(oracle: &Oracle, sends: Vec<CrashingRequest>, crash_after_ms: u64) {
-    for (body, sends) in group_by_body(sends) {
-        let mut crashes = sends.iter().filter(|send| send.has_crashed);
+/// Checks that a request that crashed [`CRASHES_UNTIL_KNOWN`] endpoints reaches at most [`MAX_LATER_REQUESTS`] more.
+pub(crate) fn check_crash_bound(
+    oracle: &Oracle,
+    requests: Vec<CrashingRequest>,
+    crash_after_ms: u64,
+) {
+    for (body, requests) in group_by_body(requests) {
+        let mut crashes = requests.iter().filter(|request| request.has_crashed);
         let Some(third) = crashes.nth(CRASHES_UNTIL_KNOWN - 1) else {
             continue;
         };
         let known_at_ms = third.at_ms + crash_after_ms + PROPAGATION_MS;
-        let counts = |send: &&CrashingRequest| {
-            send.at_ms > known_at_ms && !oracle.is_disturbed(&send.id, send.at_ms, PROPAGATION_MS)
+        let counts = |request: &&CrashingRequest| {
+            request.at_ms > known_at_ms
+                && !oracle.is_disturbed(&request.id, request.at_ms, PROPAGATION_MS)
         };
-        let later = sends.iter().filter(counts).count();
-        if later > MAX_LATER_SENDS {
-            let ended = sends.iter().filter(|send| send.has_crashed).count();
+        let later = requests.iter().filter(counts).count();
+        if later > MAX_LATER_REQUESTS {
+            let ended = requests
+                .iter()
+                .filter(|request| request.has_crashed)
+                .count();
             oracle.record_violation(format!(
                 "{body}: sent {later} more times after it had crashed three endpoints; it crashed {ended} in total"
             ));
@@ -126,12 +134,15 @@
 }
 
 fn group_by_body(all: Vec<CrashingRequest>) -> BTreeMap<String, Vec<CrashingRequest>> {
-    let mut sends: BTreeMap<String, Vec<CrashingRequest>> = BTreeMap::new();
-    for send in all {
-        sends.entry(send.body.clone()).or_default().push(send);
+    let mut requests: BTreeMap<String, Vec<CrashingRequest>> = BTreeMap::new();
+    for request in all {
+        requests
+            .entry(request.body.clone())
+            .or_default()
+            .push(request);
     }
-    for sends in sends.values_mut() {
-        sends.sort_by_key(|send| send.at_ms);
+    for requests in requests.values_mut() {
+        requests.sort_by_key(|request| request.at_ms);
     }
-    sends
+    requests
 }
--- a/crates/borageshore_soak/src/keys.rs
+++ b/crates/borageshore_soak/src/keys.rs
@@ -15,9 +15,9 @@
 /// A call made longer than this after its key was revoked must not run, at any daemon.
 pub(crate) const REVOCATION_MS: u64 = 5_000;
 /// Organisation of the callers.
-pub(crate) const CALLERS: &str = "mill";
+pub(crate) const CALLER_ORG: &str = "mill";
 /// Organisation of the trainer.
-pub(crate) const TRAINERS: &str = "farm";
+pub(crate) const TRAINER_ORG: &str = "farm";
 /// Pause between two calls with a revoked key.
 const PROBE_PAUSE_MS: u64 = 60;
 /// Prefix of the ids of these calls.
@@ -63,7 +63,7 @@
             // The next key is published before it is used, so that every daemon knows it by then.
             let keys = [self.caller_key(number), self.caller_key(number + 1)];
             config["tenants"] = json!([
-                { "name": CALLERS, "api_keys": keys }, { "name": TRAINERS, "api_keys": ["farm-key"] },
+                { "name": CALLER_ORG, "api_keys": keys }, { "name": TRAINER_ORG, "api_keys": ["farm-key"] },
             ]);
         }
         store.put("keyed.op", "config", config.to_string().as_bytes());
@@ -76,7 +76,7 @@
     /// Returns the value of the `authorization` header for an organisation, if keys are required.
     pub(crate) fn header_of(&self, organisation: &str) -> Option<String> {
         let key = match organisation {
-            CALLERS => self.caller_key(*self.number.borrow()),
+            CALLER_ORG => self.caller_key(*self.number.borrow()),
             _ => "farm-key".into(),
         };
         self.are_required.then(|| format!("Bearer {key}"))
@@ -119,7 +119,7 @@
         let calls = services.iter().flat_map(PlatformService::callers);
         for (id, callers) in calls {
             let is_reward = id.starts_with("reward");
-            let expected = Some(CALLERS).filter(|_| self.are_required && !is_reward);
+            let expected = Some(CALLER_ORG).filter(|_| self.are_required && !is_reward);
             callers
                 .iter()
                 .for_each(|caller| check_caller(oracle, &id, caller, expected));
@@ -134,7 +134,7 @@
             }
         }
         for run in engines.iter().flat_map(PlatformEngine::runs) {
-            let expected = Some(TRAINERS).filter(|_| self.are_required);
+            let expected = Some(TRAINER_ORG).filter(|_| self.are_required);
             check_caller(oracle, &run.item, &run.caller, expected);
         }
     }
--- a/crates/borageshore_soak/src/lib.rs
+++ b/crates/borageshore_soak/src/lib.rs
@@ -94,7 +94,7 @@
     /// Retention of results in seconds; results are not reread at the end if it is shorter than the run.
     pub results_kept_s: u64,
     /// Index of the daemon that receives all submissions; any daemon if `None`.
-    pub submit_at: Option<usize>,
+    pub submit_to: Option<usize>,
     /// Target latency of all routes.
     pub objective_ms: u64,
     /// Number of calls that crash the endpoints of the plain service, each repeated throughout the run.
@@ -132,7 +132,7 @@
             services: 2,
             duration_ms: 15_000,
             results_kept_s: 120,
-            submit_at: None,
+            submit_to: None,
             objective_ms: 200,
             crashing_calls: 0,
             crash_after_ms: 0,
@@ -225,5 +225,5 @@
 /// Runs one seed. The daemons' logs are kept if the run fails, see [`Logs`].
 pub fn run_seed(options: &SoakOptions) -> std::io::Result<SoakReport> {
     std::fs::create_dir_all(&options.folder)?;
-    run_event_loop(world::play(options))
+    run_event_loop(world::run(options))
 }
--- a/crates/borageshore_soak/src/main.rs
+++ b/crates/borageshore_soak/src/main.rs
@@ -57,13 +57,13 @@
             keeps_logs: arguments.keep_logs,
             ..SoakOptions::new(arguments.program.clone(), seed)
         };
-        failed += u64::from(!play(&options));
+        failed += u64::from(!run(&options));
     }
     println!("{} passed, {failed} failed", arguments.seeds - failed);
     ExitCode::from(u8::from(failed > 0))
 }
 
-fn play(options: &SoakOptions) -> bool {
+fn run(options: &SoakOptions) -> bool {
     let report = match run_seed(options) {
         Ok(report) => report,
         Err(error) => {
--- a/crates/borageshore_soak/src/traffic.rs
+++ b/crates/borageshore_soak/src/traffic.rs
@@ -20,7 +20,7 @@
 use serde_json::{Value, json};
 
 use crate::{
-    keys::{CALLERS, Keys, TRAINERS},
+    keys::{CALLER_ORG, Keys, TRAINER_ORG},
     oracle::{KnownSubmission, Oracle, ReadResult, reward_id},
 };
 
@@ -49,7 +49,7 @@
     pub(crate) clock: Clock,
     pub(crate) fronts: Vec<SocketAddr>,
     pub(crate) directories: Vec<SocketAddr>,
-    pub(crate) submit_at: Option<SocketAddr>,
+    pub(crate) submit_to: Option<SocketAddr>,
     pub(crate) store: PlatformStore,
     pub(crate) oracle: Rc<Oracle>,
     pub(crate) keys: Rc<Keys>,
@@ -62,7 +62,7 @@
     pub(crate) calls: Cell<usize>,
     pub(crate) calls_answered: Cell<usize>,
     /// When harmless calls were refused because they were held back.
-    pub(crate) held_at_ms: RefCell<Vec<u64>>,
+    pub(crate) harmless_held_at_ms: RefCell<Vec<u64>>,
     /// Crashing calls that were held back.
     pub(crate) crashing_calls_held: Cell<usize>,
     /// When calls with a valid key were refused as unauthorized.
@@ -231,7 +231,7 @@
         let wait = CALL_WAIT_MS.to_string();
         let headers = [("x-request-id", id), ("x-deadline-ms", &wait)];
         let body = Bytes::from(body.to_owned());
-        let asking = self.request_as(CALLERS, front, "POST", path, &headers, body);
+        let asking = self.request_as(CALLER_ORG, front, "POST", path, &headers, body);
         let answer = within_ms(self.crashing_call_timeout_ms, asking).await;
         answer.and_then(Result::ok)
     }
@@ -295,13 +295,20 @@
         });
         let body = Bytes::from(body.to_string());
         while !self.is_over() {
-            let front = match self.submit_at {
+            let front = match self.submit_to {
                 Some(front) => front,
                 None => self.pick_address(random).await,
             };
             let headers = [("x-request-id", id)];
             let answer = self
-                .request_as(TRAINERS, front, "POST", "/batch/x", &headers, body.clone())
+                .request_as(
+                    TRAINER_ORG,
+                    front,
+                    "POST",
+                    "/batch/x",
+                    &headers,
+                    body.clone(),
+                )
                 .await;
             let status = answer.map_or(0, |(status, _)| status.as_u16());
             if self.record_submit_status(id, status) {
@@ -372,7 +379,7 @@
 
     /// Requests a submission with another organisation's key, which must not succeed.
     async fn read_as_other_organisation(&self, id: &str, front: SocketAddr) {
-        if self.keys.header_of(CALLERS).is_none() {
+        if self.keys.header_of(CALLER_ORG).is_none() {
             return;
         }
         let asked = [
@@ -380,7 +387,7 @@
             ("DELETE", format!("/api/lots/{id}")),
         ];
         for (method, path) in asked {
-            let asking = self.request_as(CALLERS, front, method, &path, &[], Bytes::new());
+            let asking = self.request_as(CALLER_ORG, front, method, &path, &[], Bytes::new());
             let answer = asking.await;
             if answer.is_ok_and(|(status, _)| status == StatusCode::OK) {
                 self.oracle.record_violation(format!(
@@ -413,7 +420,7 @@
         let wait = wait_ms.to_string();
         let headers = [("x-wait-ms", wait.as_str())];
         let (status, body) = self
-            .request_as(TRAINERS, front, "GET", &path, &headers, Bytes::new())
+            .request_as(TRAINER_ORG, front, "GET", &path, &headers, Bytes::new())
             .await
             .ok()?;
         if status == StatusCode::NOT_FOUND && self.must_be_known(id) {
@@ -437,7 +444,7 @@
         while !self.is_over() {
             let front = self.pick_address(random).await;
             let path = format!("/api/lots/{id}");
-            let ending = self.request_as(TRAINERS, front, "DELETE", &path, &[], Bytes::new());
+            let ending = self.request_as(TRAINER_ORG, front, "DELETE", &path, &[], Bytes::new());
             let answer = ending.await;
             if answer.is_ok_and(|(status, _)| status == StatusCode::OK) {
                 return;
--- a/crates/borageshore_soak/src/usage.rs
+++ b/crates/borageshore_soak/src/usage.rs
@@ -5,7 +5,7 @@
 use borageshore_net::Clock;
 use borageshore_standins::platform::{PlatformDuties, PlatformService, ReceivedReport};
 
-use crate::{keys::CALLERS, oracle::Oracle};
+use crate::{keys::CALLER_ORG, oracle::Oracle};
 
 /// Length of a usage window.
 pub(crate) const WINDOW_S: u64 = 1;
@@ -83,10 +83,10 @@
         let organisations: BTreeSet<&String> =
             reported.iter().flat_map(|r| r.counts.keys()).collect();
         let counted = reported
-            .and_then(|report| report.counts.get(CALLERS))
+            .and_then(|report| report.counts.get(CALLER_ORG))
             .copied();
         let is_right = reported.is_some()
-            && organisations.iter().all(|name| *name == CALLERS)
+            && organisations.iter().all(|name| *name == CALLER_ORG)
             && counted.unwrap_or(0).abs_diff(made) <= ERROR_REQUESTS + made * ERROR_PERCENT / 100;
         if !is_right {
             wrong.push(format!(
--- a/crates/borageshore_soak/src/world.rs
+++ b/crates/borageshore_soak/src/world.rs
@@ -37,14 +37,14 @@
 const SETTLE_MS: u64 = 2_500;
 /// Limit on reads of one submission at one daemon, which may answer that its view is out of date.
 const MAX_READS: usize = 20;
-const CALLERS: usize = 3;
+const CALLER_COUNT: usize = 3;
 /// Callers that reuse addresses or connections for several calls.
 const CACHING_CALLERS: &[(&str, Discovery)] = &[
     ("list-keeper", Discovery::CachedList),
     ("connection-keeper", Discovery::KeptConnection),
 ];
 
-pub(crate) async fn play(options: &SoakOptions) -> io::Result<SoakReport> {
+pub(crate) async fn run(options: &SoakOptions) -> io::Result<SoakReport> {
     let clock = Clock::start();
     let mut random = Pcg64Mcg::seed_from_u64(options.seed);
     let oracle = Rc::new(Oracle::default());
@@ -62,8 +62,8 @@
             .iter()
             .map(|daemon| daemon.directory)
             .collect(),
-        submit_at: options
-            .submit_at
+        submit_to: options
+            .submit_to
             .map(|number| targets.daemons[number].front),
         store: targets.store.clone(),
         oracle: oracle.clone(),
@@ -79,13 +79,13 @@
         has_crashing_reward: options.has_crashing_reward,
         calls: Cell::new(0),
         calls_answered: Cell::new(0),
-        held_at_ms: RefCell::default(),
+        harmless_held_at_ms: RefCell::default(),
         crashing_calls_held: Cell::new(0),
         unauthorized_at_ms: RefCell::default(),
         unanswered: RefCell::default(),
     });
     let mut fork = || Pcg64Mcg::seed_from_u64(random.next_u64());
-    for number in 0..CALLERS {
+    for number in 0..CALLER_COUNT {
         let mode = Discovery::PerCall;
         monoio::spawn(
             traffic
@@ -151,8 +151,8 @@
     oracle.check_endpoints(&engines, &services);
     targets.keys.check(&oracle, &engines, &services);
     usage::check_holders(&oracle, &targets.duties);
-    let sends = crashes::crashing_requests(&services, &engines);
-    crashes::check_crash_bound(&oracle, sends, options.crash_after_ms);
+    let requests = crashes::crashing_requests(&services, &engines);
+    crashes::check_crash_bound(&oracle, requests, options.crash_after_ms);
     for daemon in &targets.daemons {
         daemon.signal(Signal::KILL);
     }
@@ -160,8 +160,11 @@
 }
 
 fn crashed_endpoints(targets: &Targets) -> usize {
-    let sends = crashes::crashing_requests(&services_of(targets), &engines_of(targets));
-    sends.iter().filter(|send| send.has_crashed).count()
+    let requests = crashes::crashing_requests(&services_of(targets), &engines_of(targets));
+    requests
+        .iter()
+        .filter(|request| request.has_crashed)
+        .count()
 }
 
 fn engines_of(targets: &Targets) -> Vec<PlatformEngine> {
@@ -333,7 +336,7 @@
         calls: traffic.calls.get(),
         submissions: accepted.count(),
         unanswered: traffic.unanswered.borrow().clone(),
-        harmless_held_at_ms: traffic.held_at_ms.borrow().clone(),
+        harmless_held_at_ms: traffic.harmless_held_at_ms.borrow().clone(),
         unauthorized_at_ms: traffic.unauthorized_at_ms.borrow().clone(),
         not_accepted: oracle.not_accepted.get(),
         stored_submission_records: targets.store.key_count("keyed.batch-"),
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -69,7 +69,7 @@
     // A daemon that the store rejects refuses a submission although another daemon has access to the store.
     a_submission_is_handed_on_where_the_store_turns_a_vm_away => {
         let script = (0..4).map(|turn| (500 + turn * 1_600, TimedFault::RejectAllButOne)).collect();
-        let options = SoakOptions { daemons: 2, submit_at: Some(1), ..options(5, Script::Timed(script)) };
+        let options = SoakOptions { daemons: 2, submit_to: Some(1), ..options(5, Script::Timed(script)) };
         let report = play(&options);
         assert_eq!(report.not_accepted, 0);
         assert!(report.submissions >= 2, "{}", report.submissions);
