--- a/crates/borageshore_soak/src/main.rs
+++ b/crates/borageshore_soak/src/main.rs
@@ -72,7 +72,7 @@
         }
     };
     println!(
-        "seed {}: {} of {} calls answered, {} held in vain, {} endpoints crashed, {} submissions, {} results, {} windows wrong, {} broken",
+        "seed {}: {} of {} calls answered, {} harmless calls held back, {} endpoints crashed, {} submissions, {} results, {} usage windows wrong, {} guarantees violated",
         options.seed,
         report.calls_answered,
         report.calls,
