--- a/crates/borageshore_soak/src/crashes.rs
+++ b/crates/borageshore_soak/src/crashes.rs
@@ -21,7 +21,7 @@
 const CRASHES_UNTIL_KNOWN: usize = 3;
 /// Time for a crash to become known to all daemons that are not disturbed.
 const PROPAGATION_MS: u64 = 3_000;
-/// Maximum number of times that a request may reach endpoints after that, as trials.
+/// Maximum number of times that a request may reach endpoints after that.
 const MAX_LATER_REQUESTS: usize = 3;
 
 /// A period in which a daemon, or all of them, were faulty or had no access to the store.
