--- a/crates/borageshore_soak/src/crashes.rs
+++ b/crates/borageshore_soak/src/crashes.rs
@@ -1,5 +1,5 @@
-//! Requests that crash the endpoints that run them: who makes them, how endpoints come back, and the bound on
-//! the endpoints that one such request may take down.
+//! Requests that crash the endpoints that run them: repeats such requests, restarts the endpoints, and checks the
+//! bound on the endpoints that one request may crash.
 
 use std::{collections::BTreeMap, rc::Rc};
 
@@ -13,34 +13,34 @@
 
 use crate::{calls::is_held, faults::Targets, oracle::Oracle, traffic::Traffic};
 
-/// An endpoint is back this long after a crash; the users' are after some seconds.
-const DOWN_MS: u64 = 1_000;
-/// The mean pause between two repeats of a call.
-const REPEAT_MS: u64 = 500;
-/// The crashes of one request after which it counts as known.
-const KNOWN_AFTER: usize = 3;
-/// All daemons that were undisturbed for this long know what one of them learned.
-const KNOWN_BY_ALL_MS: u64 = 3_000;
-/// The sends of one request that may reach endpoints after that.
-const RETRIES: usize = 3;
+/// Time from an endpoint's crash to its restart.
+const RESTART_DELAY_MS: u64 = 1_000;
+/// Mean pause between two repeats of a crashing call.
+const MEAN_REPEAT_PAUSE_MS: u64 = 500;
+/// Number of crashes after which daemons must hold a request back.
+const CRASHES_UNTIL_KNOWN: usize = 3;
+/// Time for a crash to become known to all daemons that are not disturbed.
+const PROPAGATION_MS: u64 = 3_000;
+/// Maximum number of times that a request may reach endpoints after that.
+const MAX_LATER_REQUESTS: usize = 3;
 
-/// A time in which a daemon, or all of them, were harmed or lost their way to the store.
+/// A period in which a daemon, or all of them, were faulty or had no access to the store.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Disturbance {
-    /// The daemon; all if there is none.
+    /// Index of the daemon; all if `None`.
     pub(crate) daemon: Option<usize>,
     pub(crate) from_ms: u64,
     pub(crate) until_ms: u64,
 }
 
-/// Lets an endpoint of the plain service start again after each crash, as a new instance.
-pub(crate) async fn restart_after_crashes(targets: Rc<Targets>, number: usize) {
+/// Restarts an endpoint of the plain service after each crash, as a new instance.
+pub(crate) async fn restart_service_after_crashes(targets: Rc<Targets>, number: usize) {
     let (service, proxy) = &targets.services[number];
     let mut starts = 1;
     loop {
         service.wait_for_crash().await;
         proxy.close();
-        sleep_ms(DOWN_MS).await;
+        sleep_ms(RESTART_DELAY_MS).await;
         service.unlist(&targets.store);
         starts += 1;
         service.restart_after_crash(&format!("s-{number}-{starts}"));
@@ -48,30 +48,30 @@
             Ok(()) => service.list(&targets.store, &proxy.address().to_string(), "ready"),
             Err(error) => targets
                 .oracle
-                .broken(format!("s-{number} does not start again: {error}")),
+                .record_violation(format!("s-{number} cannot be restarted: {error}")),
         }
     }
 }
 
-/// Lets an engine start again after each crash, under its id.
+/// Restarts an engine after each crash, under the same id.
 pub(crate) async fn restart_engine_after_crashes(targets: Rc<Targets>, number: usize) {
     let (engine, proxy) = &targets.engines[number];
     loop {
         engine.wait_for_crash().await;
         proxy.close();
-        sleep_ms(DOWN_MS).await;
+        sleep_ms(RESTART_DELAY_MS).await;
         engine.restart_after_crash();
         match proxy.reopen() {
             Ok(()) => engine.list(&targets.store, &proxy.address().to_string(), "ready"),
             Err(error) => targets
                 .oracle
-                .broken(format!("e-{number} does not start again: {error}")),
+                .record_violation(format!("e-{number} cannot be restarted: {error}")),
         }
     }
 }
 
-/// Makes one crashing call again and again, at any daemon, as a caller who was never told why it failed.
-pub(crate) async fn repeat(traffic: Rc<Traffic>, number: usize, mut random: Pcg64Mcg) {
+/// Repeats one crashing call at random daemons, as a caller would that does not know why it fails.
+pub(crate) async fn run_crashing_caller(traffic: Rc<Traffic>, number: usize, mut random: Pcg64Mcg) {
     let body = format!("{CRASH_MARK}-{number}");
     let mut repeats = 0;
     let mut was_held = false;
@@ -81,21 +81,21 @@
         let asking = traffic.call_once(&id, "/safe/crash", &body, &mut random);
         if let Some((status, body)) = asking.await {
             if status == StatusCode::OK {
-                traffic
-                    .oracle
-                    .broken(format!("call {id} crashes its endpoints and was answered"));
+                traffic.oracle.record_violation(format!(
+                    "call {id} crashes its endpoints but was answered with success"
+                ));
             }
             if is_held(&body) && !std::mem::replace(&mut was_held, true) {
                 let held = traffic.crashing_calls_held.get();
                 traffic.crashing_calls_held.set(held + 1);
             }
         }
-        sleep_ms(REPEAT_MS / 2 + random.next_u64() % REPEAT_MS).await;
+        sleep_ms(MEAN_REPEAT_PAUSE_MS / 2 + random.next_u64() % MEAN_REPEAT_PAUSE_MS).await;
     }
 }
 
-/// All requests that reached endpoints which they crash.
-pub(crate) fn sends(
+/// Returns all crashing requests that reached endpoints.
+pub(crate) fn crashing_requests(
     services: &[PlatformService],
     engines: &[PlatformEngine],
 ) -> Vec<CrashingRequest> {
@@ -104,34 +104,45 @@
     at_services.chain(at_engines).collect()
 }
 
-/// Checks that a request which has crashed three endpoints reaches no more than some further ones.
-pub(crate) fn check(oracle: &Oracle, sends: Vec<CrashingRequest>, crash_after_ms: u64) {
-    for (body, sends) in by_body(sends) {
-        let mut crashes = sends.iter().filter(|send| send.has_crashed);
-        let Some(third) = crashes.nth(KNOWN_AFTER - 1) else {
+/// Checks that a request that crashed [`CRASHES_UNTIL_KNOWN`] endpoints reaches at most [`MAX_LATER_REQUESTS`] more.
+pub(crate) fn check_crash_bound(
+    oracle: &Oracle,
+    requests: Vec<CrashingRequest>,
+    crash_after_ms: u64,
+) {
+    for (body, requests) in group_by_body(requests) {
+        let mut crashes = requests.iter().filter(|request| request.has_crashed);
+        let Some(third) = crashes.nth(CRASHES_UNTIL_KNOWN - 1) else {
             continue;
         };
-        let known_at_ms = third.at_ms + crash_after_ms + KNOWN_BY_ALL_MS;
-        let counts = |send: &&CrashingRequest| {
-            send.at_ms > known_at_ms && !oracle.is_disturbed(&send.id, send.at_ms, KNOWN_BY_ALL_MS)
+        let known_at_ms = third.at_ms + crash_after_ms + PROPAGATION_MS;
+        let counts = |request: &&CrashingRequest| {
+            request.at_ms > known_at_ms
+                && !oracle.is_disturbed(&request.id, request.at_ms, PROPAGATION_MS)
         };
-        let retries = sends.iter().filter(counts).count();
-        if retries > RETRIES {
-            let ended = sends.iter().filter(|send| send.has_crashed).count();
-            oracle.broken(format!(
-                "{body}: sent {retries} times more after three endpoints had crashed; {ended} in all"
+        let later = requests.iter().filter(counts).count();
+        if later > MAX_LATER_REQUESTS {
+            let ended = requests
+                .iter()
+                .filter(|request| request.has_crashed)
+                .count();
+            oracle.record_violation(format!(
+                "{body}: sent {later} more times after it had crashed three endpoints; it crashed {ended} in total"
             ));
         }
     }
 }
 
-fn by_body(all: Vec<CrashingRequest>) -> BTreeMap<String, Vec<CrashingRequest>> {
-    let mut sends: BTreeMap<String, Vec<CrashingRequest>> = BTreeMap::new();
-    for send in all {
-        sends.entry(send.body.clone()).or_default().push(send);
+fn group_by_body(all: Vec<CrashingRequest>) -> BTreeMap<String, Vec<CrashingRequest>> {
+    let mut requests: BTreeMap<String, Vec<CrashingRequest>> = BTreeMap::new();
+    for request in all {
+        requests
+            .entry(request.body.clone())
+            .or_default()
+            .push(request);
     }
-    for sends in sends.values_mut() {
-        sends.sort_by_key(|send| send.at_ms);
+    for requests in requests.values_mut() {
+        requests.sort_by_key(|request| request.at_ms);
     }
-    sends
+    requests
 }
--- a/crates/borageshore_soak/src/daemons.rs
+++ b/crates/borageshore_soak/src/daemons.rs
@@ -1,4 +1,4 @@
-//! The daemons: processes that are started, signalled and started again.
+//! Daemon processes: settings, start, signals and restart.
 
 use std::{
     cell::RefCell,
@@ -18,31 +18,30 @@
 use crate::{
     SoakOptions,
     keys::REVOCATION_MS,
-    usage::{LATE_S, WINDOW_S},
+    usage::{REPORT_DUE_S, WINDOW_S},
 };
 
 const FIRST_PORT: u16 = 11_000;
-const PORTS_PER_PROCESS: u16 = 1_000;
-const PORT_SLOTS: u32 = 21;
+const PORTS_PER_RANGE: u16 = 1_000;
+const PORT_RANGES: u32 = 21;
 
-static OWN_SLOT: Mutex<Option<(u16, TcpListener)>> = Mutex::new(None);
+static PORT_RANGE: Mutex<Option<(u16, TcpListener)>> = Mutex::new(None);
 static NEXT_PORT: AtomicU16 = AtomicU16::new(0);
 
-/// How long the daemons have from SIGTERM to SIGKILL.
-pub(crate) const GRACE_S: u64 = 4;
-/// How long a list of addresses holds.
+/// Time between SIGTERM and SIGKILL of a daemon.
+pub(crate) const STOP_GRACE_S: u64 = 4;
+/// Time for which callers may use a list of addresses.
 pub(crate) const ADDRESS_TTL_S: u64 = 1;
 
-/// One daemon with its addresses, which stay the same over its lives.
+/// One daemon with its addresses, which stay the same across restarts.
 #[derive(Debug)]
 pub(crate) struct DaemonProcess {
-    /// Its name.
     pub(crate) name: String,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub(crate) front: SocketAddr,
-    /// Where callers ask for addresses.
+    /// Address at which callers ask for addresses of daemons.
     pub(crate) directory: SocketAddr,
-    /// Its way to the store.
+    /// Proxy between the daemon and the store.
     pub(crate) store: Proxy,
     config: std::path::PathBuf,
     log: std::path::PathBuf,
@@ -51,7 +50,7 @@
 }
 
 impl DaemonProcess {
-    /// Writes its settings; it is not started yet.
+    /// Writes the daemon's settings without starting it.
     pub(crate) fn open(
         options: &SoakOptions,
         number: usize,
@@ -65,9 +64,9 @@
         let text = format!(
             "name: {name}\nzone: z1\nhttp_address: {front}\nready_address: {ready}\n\
              directory_address: {directory}\npeer_address: {peers}\nmetrics_address: {metrics}\nprocessor_share: 0.5\nstore_address: {}\n\
-             store_partitions: 2\naddress_ttl_s: {ADDRESS_TTL_S}\nstop_grace_s: {GRACE_S}\nresults_kept_s: {}\norder_lease_ms: 3000\n\
+             store_partitions: 2\naddress_ttl_s: {ADDRESS_TTL_S}\nstop_grace_s: {STOP_GRACE_S}\nresults_kept_s: {}\norder_lease_ms: 3000\n\
              parallel_loads_percent: 50\nload_share_percent: 50\nkey_revocation_ms: {REVOCATION_MS}\n\
-             duties:\n  address: {duties}\n  usage_window_s: {WINDOW_S}\n  usage_late_s: {LATE_S}\n\
+             duties:\n  address: {duties}\n  usage_window_s: {WINDOW_S}\n  usage_late_s: {REPORT_DUE_S}\n\
              mechanisms_off: [{}]\n",
             store.address(),
             options.results_kept_s,
@@ -86,7 +85,7 @@
         })
     }
 
-    /// Starts the process unless it runs.
+    /// Starts the process unless it is running.
     pub(crate) fn start(&self) -> io::Result<()> {
         if self.is_running() {
             return Ok(());
@@ -103,7 +102,7 @@
         Ok(())
     }
 
-    /// Says whether the process runs.
+    /// Returns whether the process is running; reaps it if it has exited.
     pub(crate) fn is_running(&self) -> bool {
         let mut child = self.child.borrow_mut();
         let Some(running) = child.as_mut() else {
@@ -118,14 +117,14 @@
         }
     }
 
-    /// Sends the process a signal; only a process that was started here gets one.
+    /// Sends a signal to the process if it is running.
     pub(crate) fn signal(&self, signal: Signal) {
         if !self.is_running() {
             return;
         }
         let pid = self.child.borrow().as_ref().map(Child::id);
         if let Some(pid) = pid.and_then(|id| Pid::from_raw(id as i32)) {
-            // It may have ended just now.
+            // Fails if the process has just exited.
             let _ = kill_process(pid, signal);
         }
     }
@@ -140,33 +139,34 @@
     }
 }
 
-/// A loopback address that is free now, of the ports that this process has to itself.
+/// Returns a free loopback address from the port range that this process has reserved.
 fn free_address() -> io::Result<SocketAddr> {
-    let slot = own_slot()?;
-    let offset = 1 + NEXT_PORT.fetch_add(1, Ordering::Relaxed) % (PORTS_PER_PROCESS - 1);
-    match TcpListener::bind(("127.0.0.1", slot + offset)) {
+    let start = port_range_start()?;
+    let offset = 1 + NEXT_PORT.fetch_add(1, Ordering::Relaxed) % (PORTS_PER_RANGE - 1);
+    match TcpListener::bind(("127.0.0.1", start + offset)) {
         Ok(listener) => listener.local_addr(),
         Err(_) => free_address(),
     }
 }
 
-/// The first of the ports of this process, below those that the system gives out by itself.
+/// Reserves a port range for this process, below the ephemeral ports, and returns its first port.
 ///
-/// It is listened on for as long as the process lives, so that two runs side by side have different ones:
-/// chosen by the process id alone, two had the same, a daemon of one listened where a daemon of the other was
-/// to, and callers of both were told broken promises.
-fn own_slot() -> io::Result<u16> {
-    let mut own = OWN_SLOT.lock().expect("nobody panics with it");
-    if let Some((slot, _)) = &*own {
-        return Ok(*slot);
+/// Listening on the first port keeps the range reserved until the process exits, so that daemons of concurrent
+/// runs never share an address.
+fn port_range_start() -> io::Result<u16> {
+    let mut own = PORT_RANGE
+        .lock()
+        .expect("no thread panics while holding the lock");
+    if let Some((start, _)) = &*own {
+        return Ok(*start);
     }
-    for turn in 0..PORT_SLOTS {
-        let number = (std::process::id() + turn) % PORT_SLOTS;
-        let slot = FIRST_PORT + number as u16 * PORTS_PER_PROCESS;
-        if let Ok(guard) = TcpListener::bind(("127.0.0.1", slot)) {
-            *own = Some((slot, guard));
-            return Ok(slot);
+    for attempt in 0..PORT_RANGES {
+        let number = (std::process::id() + attempt) % PORT_RANGES;
+        let start = FIRST_PORT + number as u16 * PORTS_PER_RANGE;
+        if let Ok(guard) = TcpListener::bind(("127.0.0.1", start)) {
+            *own = Some((start, guard));
+            return Ok(start);
         }
     }
-    Err(io::Error::other("all ranges of ports are taken"))
+    Err(io::Error::other("all port ranges are in use"))
 }
--- a/crates/borageshore_soak/src/faults.rs
+++ b/crates/borageshore_soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults from the outside, drawn from the seed, in overlapping series.
+//! Faults injected from outside the daemons, at random or set times; they may overlap.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -14,35 +14,35 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use crate::{Moment, daemons::DaemonProcess, keys::Keys, oracle::Oracle};
+use crate::{TimedFault, daemons::DaemonProcess, keys::Keys, oracle::Oracle};
 
-/// How long a fault at a set time lasts; a daemon that was killed starts again after it.
-const MOMENT_MS: u64 = 1_500;
-/// Texts of up to twelve events then last over a second, several loads of weights.
-const LONG_EVENT_MS: u64 = 120;
-/// The pace at which a daemon is looked for that runs a submission.
-const HOLDER_POLL_MS: u64 = 20;
+/// Duration of a timed fault; a killed daemon is restarted after it.
+const TIMED_FAULT_MS: u64 = 1_500;
+/// At this pace a generation of twelve events spans several loads of weights.
+const SLOW_EVENT_MS: u64 = 120;
+/// Interval between two checks for a condition to become true.
+const POLL_MS: u64 = 20;
 
-/// Longer than others wait before they take over from a silent daemon.
-const CUT_MS: u64 = 4_000;
-/// Longer than a key that was taken away may be good at a daemon that knows nothing of it.
-const LONG_CUT_MS: u64 = 8_000;
-/// Events of a long text that is nearly complete.
-const NEARLY_COMPLETE: u64 = 45;
-/// The kinds of fault that [`crate::Script::Random`] draws from; seeds that failed stay what they were.
-pub(crate) const KINDS: u64 = 18;
-/// The kinds that [`crate::Script::Wider`] draws from.
-pub(crate) const WIDER_KINDS: u64 = 20;
-/// The kinds that [`crate::Script::Wider`] draws from where callers have keys.
+/// Longer than the timeout after which other daemons take over from a silent one.
+const PARTITION_MS: u64 = 4_000;
+/// Longer than a daemon may accept a revoked key while it cannot learn of the revocation.
+const LONG_PARTITION_MS: u64 = 8_000;
+/// Number of events from which a long generation counts as nearly complete.
+const NEARLY_COMPLETE_EVENTS: u64 = 45;
+/// Number of fault kinds that [`crate::Script::Random`] draws from. Changing it changes the faults of every seed.
+pub(crate) const RANDOM_KINDS: u64 = 18;
+/// Number of fault kinds that [`crate::Script::RandomExtended`] draws from.
+pub(crate) const EXTENDED_KINDS: u64 = 20;
+/// Number of fault kinds that [`crate::Script::RandomExtended`] draws from if callers have keys.
 pub(crate) const KEYED_KINDS: u64 = 23;
 
-/// What the soak reads of a heartbeat.
+/// The fields of a heartbeat that the soak reads.
 #[derive(Debug, Default, Deserialize)]
 struct Heartbeat {
     holds: Vec<String>,
 }
 
-/// Everything that can be harmed.
+/// The system under test and its stand-ins, into which faults are injected.
 #[derive(Debug)]
 pub(crate) struct Targets {
     pub(crate) clock: Clock,
@@ -53,10 +53,10 @@
     pub(crate) daemons: Vec<DaemonProcess>,
     pub(crate) engines: Vec<(PlatformEngine, Proxy)>,
     pub(crate) services: Vec<(PlatformService, Proxy)>,
-    pub(crate) begun: RefCell<Vec<String>>,
+    pub(crate) started_faults: RefCell<Vec<String>>,
 }
 
-/// One fault; it ends by itself after its time.
+/// One fault; a number is the index of a daemon, engine or endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     Kill(usize),
@@ -65,41 +65,41 @@
     Stop(usize),
     Reload(usize),
     Store(StoreMode),
-    ForgetHistory,
+    DropHistory,
     StoreLink(usize, ProxyMode),
-    /// The operator takes the callers' key away.
-    Revoke,
-    /// The platform takes calls of duties otherwise.
+    /// The operator revokes the callers' key.
+    RevokeKey,
+    /// The platform handles calls of duties in this mode.
     Duties(DutyMode),
-    /// The daemons from this one on are suspended.
+    /// This daemon and all after it are suspended.
     Suspend(usize),
-    /// The store turns the daemons from this one on away.
-    TurnAway(usize),
-    /// An endpoint leaves the list while nobody sees it.
-    UnlistUnseen,
-    /// All plain services lose all answers.
-    LoseAnswers,
-    /// A heartbeat of an earlier life with a clock far ahead.
-    HeartbeatFromAhead,
-    LongTexts,
-    /// An engine starts again under its id, with the first version of the weights.
-    EngineStartsAgain(usize),
-    /// Another writer replaces the entry of an endpoint of the plain service.
+    /// The store rejects requests of this daemon and all after it.
+    Reject(usize),
+    /// An endpoint is unlisted in a part of the history that no daemon reads.
+    UnlistUnobserved,
+    /// All endpoints of the plain service drop all responses.
+    LoseResponses,
+    /// The store holds a heartbeat of an earlier incarnation whose clock was far ahead.
+    HeartbeatFromFuture,
+    SlowAllEngines,
+    /// An engine restarts under the same id with the first version of the weights.
+    RestartEngine(usize),
+    /// Another writer overwrites the entry of an endpoint of the plain service.
     ForeignEntry(usize),
     SilentConnections(usize),
     EngineLink(usize, ProxyMode),
-    EngineGone(usize),
+    EngineDrains(usize),
     EngineSlow(usize),
-    EngineCuts(usize),
+    EngineCutsStreams(usize),
     EngineLateOrders(usize),
-    ServiceLoses(usize),
-    ServiceCrosses(usize),
+    ServiceLosesResponses(usize),
+    ServiceMixesUpIds(usize),
     ServiceLink(usize, ProxyMode),
 }
 
 impl Fault {
-    /// Which daemons lose their calm or their way to the store: one, or all (`Some(None)`), or none.
-    fn disturbs(self) -> Option<Option<usize>> {
+    /// The daemons that are faulty or lose access to the store: one (`Some(Some(_))`), all (`Some(None)`) or none.
+    fn disturbs_daemons(self) -> Option<Option<usize>> {
         match self {
             Fault::Kill(number)
             | Fault::Pause(number)
@@ -109,17 +109,17 @@
             Fault::KillAll
             | Fault::Suspend(_)
             | Fault::Store(_)
-            | Fault::ForgetHistory
-            | Fault::TurnAway(_)
-            | Fault::UnlistUnseen => Some(None),
+            | Fault::DropHistory
+            | Fault::Reject(_)
+            | Fault::UnlistUnobserved => Some(None),
             _ => None,
         }
     }
 }
 
 impl Targets {
-    /// Lets faults come until `until_ms`, each for one to three seconds.
-    pub(crate) async fn harm(
+    /// Injects random faults, spread until `until_ms`, each for 0.8 to 3 s.
+    pub(crate) async fn inject_random(
         self: Rc<Self>,
         count: usize,
         kinds: u64,
@@ -128,59 +128,59 @@
     ) {
         let pause_ms = until_ms.saturating_sub(self.clock.now_ms()) / count.max(1) as u64;
         for _ in 0..count {
-            let fault = self.draw(&mut random, kinds);
+            let fault = self.draw_fault(&mut random, kinds);
             let length_ms = 800 + random.next_u64() % 2_200;
             let at_ms = self.clock.now_ms();
-            self.begun
+            self.started_faults
                 .borrow_mut()
                 .push(format!("{at_ms} ms: {fault:?} for {length_ms} ms"));
-            monoio::spawn(self.clone().carry_out(fault, length_ms));
+            monoio::spawn(self.clone().inject(fault, length_ms));
             sleep_ms(pause_ms / 2 + random.next_u64() % pause_ms.max(1)).await;
         }
     }
 
-    /// Plays faults at set times.
-    pub(crate) async fn play(self: Rc<Self>, moments: &[(u64, Moment)]) {
+    /// Injects faults at set times in ms from now.
+    pub(crate) async fn inject_timed(self: Rc<Self>, timed_faults: &[(u64, TimedFault)]) {
         let began_ms = self.clock.now_ms();
-        for (at_ms, moment) in moments {
+        for (at_ms, timed_fault) in timed_faults {
             sleep_ms((began_ms + at_ms).saturating_sub(self.clock.now_ms())).await;
-            let fault = match moment {
-                Moment::KillHolder => Fault::Kill(self.holder().await),
-                Moment::KillReporter => Fault::Kill(self.reporter().await),
-                Moment::StopOne => Fault::Stop(0),
-                Moment::CutHolderMidText => {
-                    self.wait_for_long_run().await;
+            let fault = match timed_fault {
+                TimedFault::KillHolder => Fault::Kill(self.holder().await),
+                TimedFault::KillReporter => Fault::Kill(self.reporter().await),
+                TimedFault::StopOne => Fault::Stop(0),
+                TimedFault::PartitionHolderMidGeneration => {
+                    self.wait_for_nearly_complete_run().await;
                     Fault::StoreLink(self.holder().await, ProxyMode::Silent)
                 }
-                Moment::KillAllMidText => {
-                    self.wait_for_long_run().await;
+                TimedFault::KillAllMidGeneration => {
+                    self.wait_for_nearly_complete_run().await;
                     Fault::KillAll
                 }
-                Moment::TurnAwayAllButOne => Fault::TurnAway(1),
-                Moment::UnlistUnseen => Fault::UnlistUnseen,
-                Moment::HeartbeatFromAhead => Fault::HeartbeatFromAhead,
-                Moment::LoseAnswers => Fault::LoseAnswers,
-                Moment::LongTexts => Fault::LongTexts,
-                Moment::EngineStartsAgain => Fault::EngineStartsAgain(0),
-                Moment::ForeignEntry => Fault::ForeignEntry(0),
-                Moment::StoreSilent | Moment::StoreSilentForLong => Fault::Store(StoreMode::Silent),
-                Moment::Revoke => Fault::Revoke,
-                Moment::DutiesLost => Fault::Duties(DutyMode::LostAnswers),
-                Moment::SuspendOthers => Fault::Suspend(1),
+                TimedFault::RejectAllButOne => Fault::Reject(1),
+                TimedFault::UnlistUnobserved => Fault::UnlistUnobserved,
+                TimedFault::HeartbeatFromFuture => Fault::HeartbeatFromFuture,
+                TimedFault::LoseResponses => Fault::LoseResponses,
+                TimedFault::SlowAllEngines => Fault::SlowAllEngines,
+                TimedFault::RestartEngine => Fault::RestartEngine(0),
+                TimedFault::ForeignEntry => Fault::ForeignEntry(0),
+                TimedFault::StoreOutage | TimedFault::LongOutage => Fault::Store(StoreMode::Silent),
+                TimedFault::RevokeKey => Fault::RevokeKey,
+                TimedFault::LoseDutyResponses => Fault::Duties(DutyMode::LostAnswers),
+                TimedFault::SuspendAllButOne => Fault::Suspend(1),
             };
-            self.begun
+            self.started_faults
                 .borrow_mut()
                 .push(format!("{at_ms} ms: {fault:?}"));
-            let length_ms = match moment {
-                Moment::CutHolderMidText | Moment::StoreSilent => CUT_MS,
-                Moment::StoreSilentForLong | Moment::SuspendOthers => LONG_CUT_MS,
-                _ => MOMENT_MS,
+            let length_ms = match timed_fault {
+                TimedFault::PartitionHolderMidGeneration | TimedFault::StoreOutage => PARTITION_MS,
+                TimedFault::LongOutage | TimedFault::SuspendAllButOne => LONG_PARTITION_MS,
+                _ => TIMED_FAULT_MS,
             };
-            monoio::spawn(self.clone().carry_out(fault, length_ms));
+            monoio::spawn(self.clone().inject(fault, length_ms));
         }
     }
 
-    /// The daemon that says in its heartbeat that it runs a submission.
+    /// Waits for a daemon whose heartbeat says that it runs a submission; returns its index.
     async fn holder(&self) -> usize {
         loop {
             for (name, value) in self.store.newest("keyed.members") {
@@ -191,11 +191,11 @@
                     _ => {}
                 }
             }
-            sleep_ms(HOLDER_POLL_MS).await;
+            sleep_ms(POLL_MS).await;
         }
     }
 
-    /// The daemon that reported usage last.
+    /// Waits for the first usage report if needed; returns the index of the daemon that reported last.
     async fn reporter(&self) -> usize {
         loop {
             let reports = self.duties.reports();
@@ -206,24 +206,25 @@
                 .position(|daemon| Some(&daemon.name) == last);
             match number {
                 Some(number) => return number,
-                None => sleep_ms(HOLDER_POLL_MS).await,
+                None => sleep_ms(POLL_MS).await,
             }
         }
     }
 
-    /// Waits until some run has made so many events that it is worth a lot.
-    async fn wait_for_long_run(&self) {
-        let is_long = |(engine, _): &(PlatformEngine, Proxy)| {
+    /// Waits until some run is nearly complete, so that losing it would be expensive.
+    async fn wait_for_nearly_complete_run(&self) {
+        let is_nearly_complete = |(engine, _): &(PlatformEngine, Proxy)| {
             let runs = engine.runs();
             let mut lengths = runs.iter().map(|run| run.events.len());
-            lengths.any(|events| (NEARLY_COMPLETE..LONG_EVENT_COUNT).contains(&(events as u64)))
+            lengths
+                .any(|events| (NEARLY_COMPLETE_EVENTS..LONG_EVENT_COUNT).contains(&(events as u64)))
         };
-        while !self.engines.iter().any(is_long) {
-            sleep_ms(HOLDER_POLL_MS).await;
+        while !self.engines.iter().any(is_nearly_complete) {
+            sleep_ms(POLL_MS).await;
         }
     }
 
-    fn draw(&self, random: &mut Pcg64Mcg, kinds: u64) -> Fault {
+    fn draw_fault(&self, random: &mut Pcg64Mcg, kinds: u64) -> Fault {
         let kind = random.next_u64() % kinds;
         let mut below = |count: usize| (random.next_u64() % count.max(1) as u64) as usize;
         let daemon = below(self.daemons.len());
@@ -254,45 +255,45 @@
             4 => Fault::Stop(daemon),
             5 => Fault::Reload(daemon),
             6 | 7 => Fault::Store(store),
-            8 => Fault::ForgetHistory,
+            8 => Fault::DropHistory,
             9 => Fault::StoreLink(daemon, link),
             10 => Fault::SilentConnections(daemon),
             11 => Fault::EngineLink(engine, link),
-            12 => Fault::EngineGone(engine),
+            12 => Fault::EngineDrains(engine),
             13 => Fault::EngineSlow(engine),
             14 => match below(2) {
-                0 => Fault::EngineCuts(engine),
+                0 => Fault::EngineCutsStreams(engine),
                 _ => Fault::EngineLateOrders(engine),
             },
             15 => match below(2) {
-                0 => Fault::ServiceLoses(service),
-                _ => Fault::ServiceCrosses(service),
+                0 => Fault::ServiceLosesResponses(service),
+                _ => Fault::ServiceMixesUpIds(service),
             },
             16 => Fault::ServiceLink(service, link),
-            17 => Fault::EngineStartsAgain(engine),
+            17 => Fault::RestartEngine(engine),
             18 => Fault::ForeignEntry(service),
-            19 => Fault::TurnAway(daemon),
+            19 => Fault::Reject(daemon),
             20 => Fault::Duties(duties),
-            _ => Fault::Revoke,
+            _ => Fault::RevokeKey,
         }
     }
 
-    async fn carry_out(self: Rc<Self>, fault: Fault, length_ms: u64) {
-        let disturbed = fault.disturbs();
+    async fn inject(self: Rc<Self>, fault: Fault, length_ms: u64) {
+        let disturbed = fault.disturbs_daemons();
         let number =
             disturbed.map(|daemon| self.oracle.begin_disturbance(daemon, self.clock.now_ms()));
-        self.clone().inflict(fault, length_ms).await;
+        self.clone().apply(fault, length_ms).await;
         if let Some(number) = number {
             self.oracle.end_disturbance(number, self.clock.now_ms());
         }
     }
 
-    async fn inflict(self: Rc<Self>, fault: Fault, length_ms: u64) {
+    async fn apply(self: Rc<Self>, fault: Fault, length_ms: u64) {
         match fault {
             Fault::Kill(number) => self.kill(&[number], length_ms).await,
             Fault::KillAll => {
                 let all: Vec<usize> = (0..self.daemons.len()).collect();
-                self.oracle.stopped_at_ms.set(Some(self.clock.now_ms()));
+                self.oracle.killed_all_at_ms.set(Some(self.clock.now_ms()));
                 self.kill(&all, 300).await;
             }
             Fault::Duties(mode) => {
@@ -300,7 +301,7 @@
                 sleep_ms(length_ms).await;
                 self.duties.set_mode(DutyMode::Up);
             }
-            Fault::Revoke => self.keys.revoke(&self.store, self.clock.now_ms()),
+            Fault::RevokeKey => self.keys.revoke(&self.store, self.clock.now_ms()),
             Fault::Suspend(first) => {
                 let numbers = first..self.daemons.len();
                 join_all(numbers.map(|number| self.pause(number, length_ms))).await;
@@ -313,56 +314,58 @@
                 sleep_ms(length_ms).await;
                 self.store.set_mode(StoreMode::Up);
             }
-            Fault::ForgetHistory => self.store.drop_history(),
+            Fault::DropHistory => self.store.drop_history(),
             Fault::StoreLink(number, mode) => {
-                harm_link(&self.daemons[number].store, mode, length_ms).await;
+                degrade_link(&self.daemons[number].store, mode, length_ms).await;
             }
-            Fault::LoseAnswers => {
+            Fault::LoseResponses => {
                 for number in 0..self.services.len() {
-                    let lose = self.clone().lose_answers(number, length_ms);
-                    monoio::spawn(lose);
+                    let losing = self.clone().lose_responses(number, length_ms);
+                    monoio::spawn(losing);
                 }
             }
-            Fault::HeartbeatFromAhead => self.put_heartbeat_from_ahead(),
-            Fault::UnlistUnseen => self.unlist_unseen(length_ms).await,
-            Fault::TurnAway(first) => self.turn_away(first, length_ms).await,
+            Fault::HeartbeatFromFuture => self.put_heartbeat_from_future(),
+            Fault::UnlistUnobserved => self.unlist_unobserved(length_ms).await,
+            Fault::Reject(first) => self.reject(first, length_ms).await,
             Fault::SilentConnections(number) => {
                 self.daemons[number].store.stall_open_connections();
             }
             Fault::EngineLink(number, mode) => {
-                harm_link(&self.engines[number].1, mode, length_ms).await;
+                degrade_link(&self.engines[number].1, mode, length_ms).await;
             }
-            Fault::EngineGone(number) => self.take_away(number, length_ms).await,
+            Fault::EngineDrains(number) => self.drain_engine(number, length_ms).await,
             Fault::EngineSlow(number) => {
-                self.switch(number, length_ms, |s| s.event_ms *= 5).await;
+                self.switch_engine(number, length_ms, |s| s.event_ms *= 5)
+                    .await;
             }
-            Fault::EngineStartsAgain(number) => self.start_engine_again(number),
+            Fault::RestartEngine(number) => self.restart_engine(number),
             Fault::ForeignEntry(number) => self.put_foreign_entry(number, length_ms).await,
-            Fault::LongTexts => {
+            Fault::SlowAllEngines => {
                 for (engine, _) in &self.engines {
                     engine.set_switches(EngineSwitches {
-                        event_ms: LONG_EVENT_MS,
+                        event_ms: SLOW_EVENT_MS,
                         ..engine.switches()
                     });
                 }
             }
-            Fault::EngineCuts(number) => {
-                self.switch(number, length_ms, |s| s.cut_every = 3).await;
+            Fault::EngineCutsStreams(number) => {
+                self.switch_engine(number, length_ms, |s| s.cut_every = 3)
+                    .await;
             }
             Fault::EngineLateOrders(number) => {
-                self.switch(number, length_ms, |s| s.order_delay_ms = 1_500)
+                self.switch_engine(number, length_ms, |s| s.order_delay_ms = 1_500)
                     .await;
             }
-            Fault::ServiceLoses(number) => {
+            Fault::ServiceLosesResponses(number) => {
                 self.switch_service(number, length_ms, |s| s.lose_every = 5)
                     .await;
             }
-            Fault::ServiceCrosses(number) => {
+            Fault::ServiceMixesUpIds(number) => {
                 self.switch_service(number, length_ms, |s| s.wrong_id_every = 5)
                     .await;
             }
             Fault::ServiceLink(number, mode) => {
-                harm_link(&self.services[number].1, mode, length_ms).await;
+                degrade_link(&self.services[number].1, mode, length_ms).await;
             }
         }
     }
@@ -377,12 +380,12 @@
         }
     }
 
-    async fn lose_answers(self: Rc<Self>, number: usize, length_ms: u64) {
+    async fn lose_responses(self: Rc<Self>, number: usize, length_ms: u64) {
         self.switch_service(number, length_ms, |s| s.lose_every = 1)
             .await;
     }
 
-    fn put_heartbeat_from_ahead(&self) {
+    fn put_heartbeat_from_future(&self) {
         let name = &self.daemons[0].name;
         let heartbeat = json!({
             "name": name, "incarnation": u64::MAX / 2, "zone": "z1", "http_address": "127.0.0.1:1",
@@ -392,7 +395,7 @@
             .put("keyed.members", name, heartbeat.to_string().as_bytes());
     }
 
-    async fn unlist_unseen(&self, length_ms: u64) {
+    async fn unlist_unobserved(&self, length_ms: u64) {
         for daemon in &self.daemons {
             daemon.store.set_mode(ProxyMode::Silent);
         }
@@ -406,7 +409,7 @@
         }
     }
 
-    async fn turn_away(&self, first: usize, length_ms: u64) {
+    async fn reject(&self, first: usize, length_ms: u64) {
         for daemon in &self.daemons[first..] {
             daemon.store.set_mode(ProxyMode::Busy);
         }
@@ -428,7 +431,7 @@
     async fn stop(&self, number: usize) {
         let daemon = &self.daemons[number];
         daemon.signal(Signal::TERM);
-        let kill_at_ms = self.clock.now_ms() + crate::daemons::GRACE_S * 1_000;
+        let kill_at_ms = self.clock.now_ms() + crate::daemons::STOP_GRACE_S * 1_000;
         while daemon.is_running() && self.clock.now_ms() < kill_at_ms {
             sleep_ms(50).await;
         }
@@ -440,19 +443,19 @@
     fn start(&self, number: usize) {
         if let Err(error) = self.daemons[number].start() {
             self.oracle
-                .broken(format!("vm-{number} does not start: {error}"));
+                .record_violation(format!("vm-{number} cannot be started: {error}"));
         }
     }
 
-    /// An engine crashes and starts again under its id; nobody sees it away from the list.
-    fn start_engine_again(&self, number: usize) {
+    /// Restarts an engine under the same id without a moment in which it is unlisted.
+    fn restart_engine(&self, number: usize) {
         let (engine, proxy) = &self.engines[number];
         engine.restart(1);
         proxy.stall_open_connections();
         engine.list(&self.store, &proxy.address().to_string(), "ready");
     }
 
-    /// Another writer's entry stands in the place of an endpoint's for a while.
+    /// Overwrites an endpoint's entry as another writer would, and restores it after `length_ms`.
     async fn put_foreign_entry(&self, number: usize, length_ms: u64) {
         let (service, proxy) = &self.services[number];
         let address = proxy.address().to_string();
@@ -462,14 +465,16 @@
         self.store
             .put("keyed.servers", &key, foreign.to_string().as_bytes());
         if number == 0 {
-            self.oracle.foreign_at_ms.set(Some(self.clock.now_ms()));
+            self.oracle
+                .foreign_entry_at_ms
+                .set(Some(self.clock.now_ms()));
         }
         sleep_ms(length_ms).await;
         service.list(&self.store, &address, "ready");
     }
 
-    /// An engine announces that it leaves, goes, and comes back.
-    async fn take_away(&self, number: usize, length_ms: u64) {
+    /// Lists an engine as draining for `length_ms`.
+    async fn drain_engine(&self, number: usize, length_ms: u64) {
         let (engine, proxy) = &self.engines[number];
         let address = proxy.address().to_string();
         engine.list(&self.store, &address, "draining");
@@ -477,7 +482,7 @@
         engine.list(&self.store, &address, "ready");
     }
 
-    async fn switch<Change>(&self, number: usize, length_ms: u64, change: Change)
+    async fn switch_engine<Change>(&self, number: usize, length_ms: u64, change: Change)
     where
         Change: FnOnce(&mut EngineSwitches),
     {
@@ -513,7 +518,7 @@
     }
 }
 
-async fn harm_link(proxy: &Proxy, mode: ProxyMode, length_ms: u64) {
+async fn degrade_link(proxy: &Proxy, mode: ProxyMode, length_ms: u64) {
     proxy.set_mode(mode);
     sleep_ms(length_ms).await;
     proxy.set_mode(ProxyMode::Pass);
--- a/crates/borageshore_soak/src/keys.rs
+++ b/crates/borageshore_soak/src/keys.rs
@@ -1,4 +1,4 @@
-//! Organisations and keys of the callers: who has which, what is taken away, and what must never run.
+//! Organisations and keys of the callers: issues and revokes keys, and checks that revoked keys are refused.
 
 use std::{cell::RefCell, collections::BTreeMap, rc::Rc};
 
@@ -12,40 +12,40 @@
 
 use crate::{oracle::Oracle, traffic::Traffic};
 
-/// A call that is made this long after its key was taken away does not run, at any daemon.
+/// A call made longer than this after its key was revoked must not run, at any daemon.
 pub(crate) const REVOCATION_MS: u64 = 5_000;
-/// Whose calls are made.
-pub(crate) const CALLERS: &str = "mill";
-/// Who trains.
-pub(crate) const TRAINERS: &str = "farm";
-/// The pause between two calls with a key that was taken away.
-const PROBE_MS: u64 = 60;
-/// What the ids of these calls begin with.
+/// Organisation of the callers.
+pub(crate) const CALLER_ORG: &str = "mill";
+/// Organisation of the trainer.
+pub(crate) const TRAINER_ORG: &str = "farm";
+/// Pause between two calls with a revoked key.
+const PROBE_PAUSE_MS: u64 = 60;
+/// Prefix of the ids of these calls.
 const PROBE: &str = "revoked";
 
-/// A key that was taken away.
+/// A revoked key.
 #[derive(Debug, Clone)]
 struct Revoked {
     key: String,
     at_ms: u64,
 }
 
-/// The keys in force; none where callers need none.
+/// The callers' keys, and the calls made with revoked ones.
 #[derive(Debug)]
 pub(crate) struct Keys {
-    is_on: bool,
+    are_required: bool,
     config: Value,
     number: RefCell<u64>,
     revoked: RefCell<Vec<Revoked>>,
-    /// When each call with a key that was taken away was made, and when the key was taken away.
+    /// When each call with a revoked key was made, and when the key was revoked, by the call's id.
     probes: RefCell<BTreeMap<String, (u64, u64)>>,
 }
 
 impl Keys {
-    /// Writes the routes, with organisations if callers are to have keys.
-    pub(crate) fn open(store: &PlatformStore, is_on: bool, config: Value) -> Rc<Self> {
+    /// Writes the routes to the store, with organisations and keys if `are_required`.
+    pub(crate) fn open(store: &PlatformStore, are_required: bool, config: Value) -> Rc<Self> {
         let keys = Rc::new(Self {
-            is_on,
+            are_required,
             config,
             number: RefCell::new(1),
             revoked: RefCell::default(),
@@ -59,11 +59,11 @@
         let mut config = self.config.clone();
         let number = *self.number.borrow();
         config["version"] = number.into();
-        if self.is_on {
-            // A key is added one version before it is used.
+        if self.are_required {
+            // The next key is published before it is used, so that every daemon knows it by then.
             let keys = [self.caller_key(number), self.caller_key(number + 1)];
             config["tenants"] = json!([
-                { "name": CALLERS, "api_keys": keys }, { "name": TRAINERS, "api_keys": ["farm-key"] },
+                { "name": CALLER_ORG, "api_keys": keys }, { "name": TRAINER_ORG, "api_keys": ["farm-key"] },
             ]);
         }
         store.put("keyed.op", "config", config.to_string().as_bytes());
@@ -73,16 +73,16 @@
         format!("mill-key-{number}")
     }
 
-    /// The header of an organisation's calls; a key that was added before the last change.
+    /// Returns the value of the `authorization` header for an organisation, if keys are required.
     pub(crate) fn header_of(&self, organisation: &str) -> Option<String> {
         let key = match organisation {
-            CALLERS => self.caller_key(*self.number.borrow()),
+            CALLER_ORG => self.caller_key(*self.number.borrow()),
             _ => "farm-key".into(),
         };
-        self.is_on.then(|| format!("Bearer {key}"))
+        self.are_required.then(|| format!("Bearer {key}"))
     }
 
-    /// Takes the callers' key away; they go on with the next one.
+    /// Revokes the callers' key; callers switch to the next one.
     pub(crate) fn revoke(&self, store: &PlatformStore, now_ms: u64) {
         let key = self.caller_key(*self.number.borrow());
         *self.number.borrow_mut() += 1;
@@ -92,11 +92,11 @@
             .push(Revoked { key, at_ms: now_ms });
     }
 
-    /// Makes calls with keys that were taken away, at any daemon.
+    /// Makes calls with the last revoked key at random daemons until traffic ends.
     pub(crate) async fn probe(self: Rc<Self>, traffic: Rc<Traffic>, mut random: Pcg64Mcg) {
         let mut number = 0;
         while !traffic.is_over() {
-            sleep_ms(PROBE_MS).await;
+            sleep_ms(PROBE_PAUSE_MS).await;
             let revoked = self.revoked.borrow().last().cloned();
             let Some(revoked) = revoked else { continue };
             number += 1;
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Checks what endpoints saw: in whose name requests ran, and that no key reached them.
+    /// Checks what endpoints received: the right organisation, no key, and no call whose key was revoked.
     pub(crate) fn check(
         &self,
         oracle: &Oracle,
@@ -119,7 +119,7 @@
         let calls = services.iter().flat_map(PlatformService::callers);
         for (id, callers) in calls {
             let is_reward = id.starts_with("reward");
-            let expected = Some(CALLERS).filter(|_| self.is_on && !is_reward);
+            let expected = Some(CALLER_ORG).filter(|_| self.are_required && !is_reward);
             callers
                 .iter()
                 .for_each(|caller| check_caller(oracle, &id, caller, expected));
@@ -128,27 +128,27 @@
                 && *made_at_ms > revoked_at_ms + REVOCATION_MS
             {
                 let late_ms = made_at_ms - revoked_at_ms;
-                oracle.broken(format!(
-                    "{id} ran, made {late_ms} ms after its key was taken away"
+                oracle.record_violation(format!(
+                    "call {id} ran although it was made {late_ms} ms after its key was revoked"
                 ));
             }
         }
         for run in engines.iter().flat_map(PlatformEngine::runs) {
-            let expected = Some(TRAINERS).filter(|_| self.is_on);
+            let expected = Some(TRAINER_ORG).filter(|_| self.are_required);
             check_caller(oracle, &run.item, &run.caller, expected);
         }
     }
 }
 
 async fn probe_once(traffic: Rc<Traffic>, id: String, front: usize, key: String) {
-    // Whatever it is answered, what counts is whether it runs.
+    // The response doesn't matter: the endpoints record whether the call runs.
     let headers = [
         ("x-request-id", id.as_str()),
         ("x-deadline-ms", "2000"),
         ("authorization", key.as_str()),
     ];
     let _ = traffic
-        .ask_with(
+        .request_on(
             &HttpClient::open(),
             traffic.fronts[front],
             "POST",
@@ -161,12 +161,14 @@
 
 fn check_caller(oracle: &Oracle, id: &str, caller: &RecordedCaller, expected: Option<&str>) {
     if caller.has_key {
-        oracle.broken(format!("{id} reached an endpoint with its caller's key"));
+        oracle.record_violation(format!(
+            "call {id} reached an endpoint with its caller's key"
+        ));
     }
     if caller.organisation.as_deref() != expected {
         let named = &caller.organisation;
-        oracle.broken(format!(
-            "{id} ran in the name of {named:?} instead of {expected:?}"
+        oracle.record_violation(format!(
+            "call {id} ran in the name of {named:?} instead of {expected:?}"
         ));
     }
 }
--- a/crates/borageshore_soak/src/main.rs
+++ b/crates/borageshore_soak/src/main.rs
@@ -1,4 +1,4 @@
-//! The fault soak as a program: plays seeds one after the other and fails on a broken promise.
+//! The soak test as a program: runs seeds one after the other and fails if any of them violates a guarantee.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -53,30 +53,30 @@
             has_crashing_reward: seed.is_multiple_of(3),
             organisations: !seed.is_multiple_of(2),
             duration_ms: arguments.duration_ms,
-            script: Script::Wider(arguments.faults),
+            script: Script::RandomExtended(arguments.faults),
             keeps_logs: arguments.keep_logs,
             ..SoakOptions::new(arguments.program.clone(), seed)
         };
-        failed += u64::from(!play(&options));
+        failed += u64::from(!run(&options));
     }
     println!("{} passed, {failed} failed", arguments.seeds - failed);
     ExitCode::from(u8::from(failed > 0))
 }
 
-fn play(options: &SoakOptions) -> bool {
+fn run(options: &SoakOptions) -> bool {
     let report = match run_seed(options) {
         Ok(report) => report,
         Err(error) => {
-            println!("seed {}: cannot be played: {error}", options.seed);
+            println!("seed {}: cannot run: {error}", options.seed);
             return false;
         }
     };
     println!(
-        "seed {}: {} of {} calls answered, {} held in vain, {} endpoints crashed, {} submissions, {} results, {} windows wrong, {} broken",
+        "seed {}: {} of {} calls answered, {} harmless calls held back, {} endpoints crashed, {} submissions, {} results, {} usage windows wrong, {} guarantees violated",
         options.seed,
         report.calls_answered,
         report.calls,
-        report.proper_held_at_ms.len(),
+        report.harmless_held_at_ms.len(),
         report.crashed_endpoints,
         report.submissions,
         report.results,
--- a/crates/borageshore_soak/src/traffic.rs
+++ b/crates/borageshore_soak/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Callers and a trainer, who check every answer.
+//! Requests of callers and of a trainer, and the checks of each response.
 
 use std::{
     cell::{Cell, RefCell},
@@ -20,54 +20,54 @@
 use serde_json::{Value, json};
 
 use crate::{
-    keys::{CALLERS, Keys, TRAINERS},
+    keys::{CALLER_ORG, Keys, TRAINER_ORG},
     oracle::{KnownSubmission, Oracle, ReadResult, reward_id},
 };
 
-/// The host of all routes.
+/// Host name of all routes.
 pub(crate) const HOST: &str = "soak.example";
-/// The model that is trained.
+/// Name of the trained model.
 pub(crate) const MODEL: &str = "m0";
-/// How many daemons a caller asks for addresses before it takes any.
-const DIRECTORIES_ASKED: usize = 3;
-/// How long a caller waits for a call.
+/// Number of daemons that a caller asks for addresses before it picks any daemon.
+const MAX_DIRECTORIES_ASKED: usize = 3;
+/// Timeout of a call.
 pub(crate) const CALL_WAIT_MS: u64 = 2_000;
-/// Groups of a step, the items of each, and how many groups the trainer waits for.
-const STEP: (usize, usize, usize) = (6, 3, 5);
-/// What one daemon has shown all daemons show after this time; the platform says so.
-const SHOWN_BY_ALL_MS: u64 = 1_000;
-/// The trainer gives a step up after this time.
-const STEP_MS: u64 = 8_000;
+/// Groups of a step, items of each group, and number of groups that the trainer waits for.
+const STEP_SHAPE: (usize, usize, usize) = (6, 3, 5);
+/// Time after which every daemon must return what one daemon has returned, as the platform requires.
+const PROPAGATION_MS: u64 = 1_000;
+/// Time after which the trainer abandons a step.
+const STEP_TIMEOUT_MS: u64 = 8_000;
 const TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 1_000,
     first_byte_ms: 2_500,
 };
 
-/// What traffic needs of the rest.
+/// Shared state of all callers and the trainer.
 #[derive(Debug)]
 pub(crate) struct Traffic {
     pub(crate) clock: Clock,
     pub(crate) fronts: Vec<SocketAddr>,
     pub(crate) directories: Vec<SocketAddr>,
-    pub(crate) submit_at: Option<SocketAddr>,
+    pub(crate) submit_to: Option<SocketAddr>,
     pub(crate) store: PlatformStore,
     pub(crate) oracle: Rc<Oracle>,
     pub(crate) keys: Rc<Keys>,
     pub(crate) until_ms: u64,
-    /// What the names of steps begin with; "long" asks for long texts.
+    /// Prefix of the ids of steps; one with "long" makes engines generate many events.
     pub(crate) step_name: &'static str,
-    pub(crate) crashing_wait_ms: u64,
+    pub(crate) crashing_call_timeout_ms: u64,
     pub(crate) has_crashing_item: bool,
     pub(crate) has_crashing_reward: bool,
     pub(crate) calls: Cell<usize>,
     pub(crate) calls_answered: Cell<usize>,
-    /// When proper calls were told that they are held back as ones that crash endpoints.
-    pub(crate) held_at_ms: RefCell<Vec<u64>>,
-    /// Calls that crash endpoints and were refused for it.
+    /// When harmless calls were refused because they were held back.
+    pub(crate) harmless_held_at_ms: RefCell<Vec<u64>>,
+    /// Crashing calls that were held back.
     pub(crate) crashing_calls_held: Cell<usize>,
-    /// When calls with a key in force were refused as nobody's.
+    /// When calls with a valid key were refused as unauthorized.
     pub(crate) unauthorized_at_ms: RefCell<Vec<u64>>,
-    /// Calls without success; status 0 stands for no answer.
+    /// Calls without success; status 0 stands for no response.
     pub(crate) unanswered: RefCell<Vec<String>>,
 }
 
@@ -87,13 +87,12 @@
         self.clock.now_ms() >= self.until_ms
     }
 
-    /// One of the addresses that a daemon gives out, after asking three of them at the most; any where
-    /// none answers.
-    async fn address(&self, random: &mut Pcg64Mcg) -> SocketAddr {
+    /// Picks one of the addresses that a daemon lists, or any daemon if none of those asked returns addresses.
+    async fn pick_address(&self, random: &mut Pcg64Mcg) -> SocketAddr {
         self.resolve(random).await.0
     }
 
-    /// As [`Traffic::address`], and whether a daemon gave the address out.
+    /// As [`Traffic::pick_address`], and whether the address came from a daemon's list.
     pub(crate) async fn resolve(&self, random: &mut Pcg64Mcg) -> (SocketAddr, bool) {
         match self.resolve_all(random).await {
             Some(listed) => (pick(&listed, random), true),
@@ -101,11 +100,11 @@
         }
     }
 
-    /// The addresses that one of three different daemons gives out.
+    /// Returns the addresses listed by the first of up to [`MAX_DIRECTORIES_ASKED`] daemons that lists any.
     pub(crate) async fn resolve_all(&self, random: &mut Pcg64Mcg) -> Option<Vec<SocketAddr>> {
         let first = (random.next_u64() % self.directories.len() as u64) as usize;
         let others = self.directories.iter().cycle().skip(first);
-        let asked = DIRECTORIES_ASKED.min(self.directories.len());
+        let asked = MAX_DIRECTORIES_ASKED.min(self.directories.len());
         for directory in others.take(asked).copied() {
             match self.listed(directory).await {
                 Some(listed) if !listed.is_empty() => return Some(listed),
@@ -115,7 +114,7 @@
         None
     }
 
-    /// The addresses that a daemon gives out.
+    /// Returns the addresses that a daemon lists.
     pub(crate) async fn listed(&self, directory: SocketAddr) -> Option<Vec<SocketAddr>> {
         let request = Request::get("/api/resolve?name=soak.example&region=r&zone=z1");
         let request = request.body(Full::<Bytes>::default()).expect("plain text");
@@ -126,8 +125,8 @@
         (status == StatusCode::OK).then_some(listed.addresses)
     }
 
-    /// Makes a request in the name of an organisation.
-    async fn ask(
+    /// Sends a request with the key of an organisation.
+    async fn request_as(
         &self,
         organisation: &str,
         front: SocketAddr,
@@ -137,12 +136,12 @@
         body: Bytes,
     ) -> Result<(StatusCode, Bytes), CallError> {
         let client = HttpClient::open();
-        self.ask_on(&client, organisation, front, (method, path), headers, body)
+        self.request_as_on(&client, organisation, front, (method, path), headers, body)
             .await
     }
 
-    /// As [`Traffic::ask`], on a connection of a client.
-    pub(crate) async fn ask_on(
+    /// As [`Traffic::request_as`], on a connection of a client.
+    pub(crate) async fn request_as_on(
         &self,
         client: &HttpClient,
         organisation: &str,
@@ -153,17 +152,17 @@
     ) -> Result<(StatusCode, Bytes), CallError> {
         let key = self.keys.header_of(organisation);
         let mut headers = headers.to_vec();
-        // What a caller says of itself counts for nothing.
+        // Daemons must ignore an organisation that the caller claims in a header.
         headers.push(("x-tenant", "another"));
         if let Some(key) = &key {
             headers.push(("authorization", key));
         }
-        self.ask_with(client, front, method, path, &headers, body)
+        self.request_on(client, front, method, path, &headers, body)
             .await
     }
 
-    /// Makes a request on a connection of a client, which keeps it unless the daemon closes it.
-    pub(crate) async fn ask_with(
+    /// Sends a request on a connection of the client's pool, which keeps it unless the daemon closes it.
+    pub(crate) async fn request_on(
         &self,
         client: &HttpClient,
         front: SocketAddr,
@@ -187,7 +186,7 @@
         let collecting = http_body_util::BodyExt::collect(body);
         let body = within_ms(TIMEOUTS.first_byte_ms, collecting).await;
         if body.is_some() && method == "POST" && head.status == StatusCode::OK {
-            self.check_answer(headers, &head.headers);
+            self.check_response_headers(headers, &head.headers);
         }
         match body {
             Some(Ok(body)) => {
@@ -195,25 +194,26 @@
                 Ok((head.status, body.to_bytes()))
             }
             Some(Err(error)) => Err(response_body_error(&error)),
-            None => Err(CallError::NoAnswer("the body took too long".into())),
+            None => Err(CallError::NoAnswer("the response body timed out".into())),
         }
     }
 
-    fn check_answer(&self, asked: &[(&str, &str)], answered: &hyper::HeaderMap) {
+    fn check_response_headers(&self, asked: &[(&str, &str)], answered: &hyper::HeaderMap) {
         let id = asked.iter().find(|(name, _)| *name == "x-request-id");
         let id = id.map_or("", |(_, id)| *id);
         let header = |name: &str| answered.get(name).and_then(|value| value.to_str().ok());
         if header("x-request-id") != Some(id) {
             self.oracle
-                .broken(format!("call {id} got the answer to another one"));
+                .record_violation(format!("call {id} got the response of another call"));
         }
         if header("x-server-stamp") != Some(&PlatformService::stamp(id)) {
-            self.oracle
-                .broken(format!("call {id} got a success without its signature"));
+            self.oracle.record_violation(format!(
+                "call {id} got a success without the signature of its service"
+            ));
         }
     }
 
-    /// Makes an idempotent call once, at any daemon, and leaves when it has waited for long enough.
+    /// Makes an idempotent call once, at any daemon; disconnects after the timeout of crashing calls.
     pub(crate) async fn call_once(
         &self,
         id: &str,
@@ -221,26 +221,29 @@
         body: &str,
         random: &mut Pcg64Mcg,
     ) -> Option<(StatusCode, Bytes)> {
-        let front = self.address(random).await;
+        let front = self.pick_address(random).await;
         if let Some(number) = self.fronts.iter().position(|known| *known == front) {
-            self.oracle.asked_at.borrow_mut().insert(id.into(), number);
+            self.oracle
+                .daemon_by_attempt
+                .borrow_mut()
+                .insert(id.into(), number);
         }
         let wait = CALL_WAIT_MS.to_string();
         let headers = [("x-request-id", id), ("x-deadline-ms", &wait)];
         let body = Bytes::from(body.to_owned());
-        let asking = self.ask(CALLERS, front, "POST", path, &headers, body);
-        let answer = within_ms(self.crashing_wait_ms, asking).await;
+        let asking = self.request_as(CALLER_ORG, front, "POST", path, &headers, body);
+        let answer = within_ms(self.crashing_call_timeout_ms, asking).await;
         answer.and_then(Result::ok)
     }
 
-    /// Trains: submits a step, reads it, ends it, names the next version.
-    pub(crate) async fn train(self: Rc<Self>, mut random: Pcg64Mcg) {
+    /// Repeats until traffic ends: submits a step, reads its results, ends it, and publishes the next version.
+    pub(crate) async fn run_trainer(self: Rc<Self>, mut random: Pcg64Mcg) {
         let mut step = 1;
         while !self.is_over() {
             let id = format!("{}-{step}", self.step_name);
             if self.submit(&id, step, &mut random).await {
-                self.read_step(&id, &mut random).await;
-                self.end(&id, &mut random).await;
+                self.read_step_results(&id, &mut random).await;
+                self.end_submission(&id, &mut random).await;
             }
             step += 1;
             let version = json!({ "model": MODEL, "version": step });
@@ -251,11 +254,11 @@
     }
 
     async fn submit(&self, id: &str, step: u64, random: &mut Pcg64Mcg) -> bool {
-        let (groups, size, wanted) = STEP;
+        let (groups, size, wanted) = STEP_SHAPE;
         let mut items = Vec::new();
         for number in 0..groups * size {
             let item = format!("{id}-item-{number}");
-            // Two items of the first group, which the trainer does not wait for.
+            // Both are in the first group: the trainer does not need that one to finish a step.
             let is_crashing_reward = self.has_crashing_reward && number == 0;
             let is_crashing_item = self.has_crashing_item && number == 1;
             let reward_body = match is_crashing_reward {
@@ -292,16 +295,23 @@
         });
         let body = Bytes::from(body.to_string());
         while !self.is_over() {
-            let front = match self.submit_at {
+            let front = match self.submit_to {
                 Some(front) => front,
-                None => self.address(random).await,
+                None => self.pick_address(random).await,
             };
             let headers = [("x-request-id", id)];
             let answer = self
-                .ask(TRAINERS, front, "POST", "/batch/x", &headers, body.clone())
+                .request_as(
+                    TRAINER_ORG,
+                    front,
+                    "POST",
+                    "/batch/x",
+                    &headers,
+                    body.clone(),
+                )
                 .await;
             let status = answer.map_or(0, |(status, _)| status.as_u16());
-            if self.note_submitted(id, status) {
+            if self.record_submit_status(id, status) {
                 return true;
             }
             sleep_ms(100).await;
@@ -309,8 +319,8 @@
         false
     }
 
-    /// Takes over the answer to a submission; says whether it was accepted.
-    fn note_submitted(&self, id: &str, status: u16) -> bool {
+    /// Records the status of a submission attempt; returns whether the submission is accepted.
+    fn record_submit_status(&self, id: &str, status: u16) -> bool {
         let mut submissions = self.oracle.submissions.borrow_mut();
         let known = submissions.get_mut(id).expect("entered before it was sent");
         let is_refusal = matches!(status, 429 | 503);
@@ -324,13 +334,13 @@
         known.is_accepted
     }
 
-    async fn read_step(&self, id: &str, random: &mut Pcg64Mcg) {
-        let give_up_ms = self.clock.now_ms() + STEP_MS;
-        let (groups, size, wanted) = STEP;
+    async fn read_step_results(&self, id: &str, random: &mut Pcg64Mcg) {
+        let deadline_ms = self.clock.now_ms() + STEP_TIMEOUT_MS;
+        let (groups, size, wanted) = STEP_SHAPE;
         let mut after = 0;
         let mut read = Vec::new();
-        while self.clock.now_ms() < give_up_ms && !self.is_over() {
-            let front = self.address(random).await;
+        while self.clock.now_ms() < deadline_ms && !self.is_over() {
+            let front = self.pick_address(random).await;
             match self.read(id, after, front, 500).await {
                 Some(count) => {
                     after += count;
@@ -338,10 +348,10 @@
                 }
                 None => sleep_ms(100).await,
             }
-            self.read_as_another(id, front).await;
-            // A reader goes back now and then, and must find what it has read.
+            self.read_as_other_organisation(id, front).await;
+            // Results that were read must stay readable.
             if random.next_u64().is_multiple_of(4) {
-                self.read_again(id, &read, random).await;
+                self.reread(id, &read, random).await;
             }
             if after >= groups * size || self.complete_groups(id) >= wanted {
                 return;
@@ -349,27 +359,27 @@
         }
     }
 
-    /// Asks some daemon for a position that was read over a second ago: none may be without it by then.
-    async fn read_again(&self, id: &str, read: &[(u64, usize)], random: &mut Pcg64Mcg) {
+    /// Reads a position again that was read more than [`PROPAGATION_MS`] ago: every daemon must have it.
+    async fn reread(&self, id: &str, read: &[(u64, usize)], random: &mut Pcg64Mcg) {
         let now_ms = self.clock.now_ms();
-        let is_settled = |(at_ms, _): &&(u64, usize)| now_ms > at_ms + SHOWN_BY_ALL_MS;
+        let is_settled = |(at_ms, _): &&(u64, usize)| now_ms > at_ms + PROPAGATION_MS;
         let settled = read
             .iter()
             .rev()
             .find(is_settled)
             .map_or(0, |(_, count)| *count);
-        let front = self.address(random).await;
+        let front = self.pick_address(random).await;
         if settled > 0 && self.read(id, settled - 1, front, 0).await == Some(0) {
-            self.oracle.broken(format!(
-                "{id}: {front} has nothing at {}, which was read",
+            self.oracle.record_violation(format!(
+                "{id}: {front} has no result at position {}, which was read before",
                 settled - 1
             ));
         }
     }
 
-    /// Asks for a submission with another organisation's key: there is no such thing.
-    async fn read_as_another(&self, id: &str, front: SocketAddr) {
-        if self.keys.header_of(CALLERS).is_none() {
+    /// Requests a submission with another organisation's key, which must not succeed.
+    async fn read_as_other_organisation(&self, id: &str, front: SocketAddr) {
+        if self.keys.header_of(CALLER_ORG).is_none() {
             return;
         }
         let asked = [
@@ -377,18 +387,18 @@
             ("DELETE", format!("/api/lots/{id}")),
         ];
         for (method, path) in asked {
-            let asking = self.ask(CALLERS, front, method, &path, &[], Bytes::new());
+            let asking = self.request_as(CALLER_ORG, front, method, &path, &[], Bytes::new());
             let answer = asking.await;
             if answer.is_ok_and(|(status, _)| status == StatusCode::OK) {
-                self.oracle.broken(format!(
-                    "{id}: {method} by another organisation is answered at {front}"
+                self.oracle.record_violation(format!(
+                    "{id}: {method} by another organisation succeeded at {front}"
                 ));
             }
         }
     }
 
     fn complete_groups(&self, id: &str) -> usize {
-        let (groups, size, _) = STEP;
+        let (groups, size, _) = STEP_SHAPE;
         let submissions = self.oracle.submissions.borrow();
         let listed: Vec<&String> = submissions[id].results.values().map(|r| &r.id).collect();
         let is_complete = |group: &usize| {
@@ -398,7 +408,7 @@
         (0..groups).filter(is_complete).count()
     }
 
-    /// Reads results from a position on; returns how many came.
+    /// Reads results from a position on; returns their number, or `None` if there was no valid response.
     pub(crate) async fn read(
         &self,
         id: &str,
@@ -410,30 +420,31 @@
         let wait = wait_ms.to_string();
         let headers = [("x-wait-ms", wait.as_str())];
         let (status, body) = self
-            .ask(TRAINERS, front, "GET", &path, &headers, Bytes::new())
+            .request_as(TRAINER_ORG, front, "GET", &path, &headers, Bytes::new())
             .await
             .ok()?;
         if status == StatusCode::NOT_FOUND && self.must_be_known(id) {
             self.oracle
-                .broken(format!("{id}: accepted and not found at {front}"));
+                .record_violation(format!("{id}: was accepted but is not found at {front}"));
         }
         let page: ResultsPage = serde_json::from_slice(&body).ok()?;
         let count = page.results.len();
-        self.oracle.on_results(id, after, page.total, page.results);
+        self.oracle
+            .record_results(id, after, page.total, page.results);
         Some(count)
     }
 
-    /// Says whether every daemon must know a submission by now.
+    /// Returns whether every daemon must know a submission by now.
     fn must_be_known(&self, id: &str) -> bool {
         let submissions = self.oracle.submissions.borrow();
-        self.clock.now_ms() > submissions[id].accepted_at_ms + SHOWN_BY_ALL_MS
+        self.clock.now_ms() > submissions[id].accepted_at_ms + PROPAGATION_MS
     }
 
-    async fn end(&self, id: &str, random: &mut Pcg64Mcg) {
+    async fn end_submission(&self, id: &str, random: &mut Pcg64Mcg) {
         while !self.is_over() {
-            let front = self.address(random).await;
+            let front = self.pick_address(random).await;
             let path = format!("/api/lots/{id}");
-            let ending = self.ask(TRAINERS, front, "DELETE", &path, &[], Bytes::new());
+            let ending = self.request_as(TRAINER_ORG, front, "DELETE", &path, &[], Bytes::new());
             let answer = ending.await;
             if answer.is_ok_and(|(status, _)| status == StatusCode::OK) {
                 return;
@@ -443,7 +454,7 @@
     }
 }
 
-/// Draws one of some addresses.
+/// Picks a random address.
 pub(crate) fn pick(addresses: &[SocketAddr], random: &mut Pcg64Mcg) -> SocketAddr {
     addresses[(random.next_u64() % addresses.len() as u64) as usize]
 }
--- a/crates/borageshore_soak/src/world.rs
+++ b/crates/borageshore_soak/src/world.rs
@@ -1,4 +1,4 @@
-//! One run: stand-ins, daemons, traffic, faults, and the checks at the end.
+//! One run: starts stand-ins and daemons, makes traffic, injects faults, and checks the guarantees at the end.
 
 use std::{
     cell::{Cell, RefCell},
@@ -19,32 +19,32 @@
 
 use crate::{
     Logs, Script, SoakOptions, SoakReport,
-    calls::Habit,
+    calls::Discovery,
     crashes,
     daemons::DaemonProcess,
-    faults::{KEYED_KINDS, KINDS, Targets, WIDER_KINDS},
+    faults::{EXTENDED_KINDS, KEYED_KINDS, RANDOM_KINDS, Targets},
     keys::Keys,
     oracle::Oracle,
     traffic::{HOST, MODEL, Traffic},
     usage,
 };
 
-/// Daemons are up by then.
-const START_MS: u64 = 1_500;
-/// Faults end this long before traffic does, so that the end shows what recovered.
-const CALM_MS: u64 = 4_000;
-/// After traffic and faults, before the last reads.
+/// Time for the daemons to start.
+const STARTUP_MS: u64 = 1_500;
+/// Faults end this long before traffic does, so that the final checks see a recovered system.
+const RECOVERY_MS: u64 = 4_000;
+/// Wait between the end of traffic and the final checks.
 const SETTLE_MS: u64 = 2_500;
-/// A daemon that cannot be sure is asked again this often.
-const READ_AGAIN: usize = 20;
-const CALLERS: usize = 3;
-/// Callers that keep what they know between two calls.
-const KEEPING_CALLERS: &[(&str, Habit)] = &[
-    ("list-keeper", Habit::KeepsList),
-    ("connection-keeper", Habit::KeepsConnection),
+/// Limit on reads of one submission at one daemon, which may answer that its view is out of date.
+const MAX_READS: usize = 20;
+const CALLER_COUNT: usize = 3;
+/// Callers that reuse addresses or connections for several calls.
+const CACHING_CALLERS: &[(&str, Discovery)] = &[
+    ("list-keeper", Discovery::CachedList),
+    ("connection-keeper", Discovery::KeptConnection),
 ];
 
-pub(crate) async fn play(options: &SoakOptions) -> io::Result<SoakReport> {
+pub(crate) async fn run(options: &SoakOptions) -> io::Result<SoakReport> {
     let clock = Clock::start();
     let mut random = Pcg64Mcg::seed_from_u64(options.seed);
     let oracle = Rc::new(Oracle::default());
@@ -52,7 +52,7 @@
     for daemon in &targets.daemons {
         daemon.start()?;
     }
-    sleep_ms(START_MS).await;
+    sleep_ms(STARTUP_MS).await;
     let until_ms = clock.now_ms() + options.duration_ms;
     let traffic = Rc::new(Traffic {
         clock,
@@ -62,46 +62,49 @@
             .iter()
             .map(|daemon| daemon.directory)
             .collect(),
-        submit_at: options
-            .submit_at
+        submit_to: options
+            .submit_to
             .map(|number| targets.daemons[number].front),
         store: targets.store.clone(),
         oracle: oracle.clone(),
         keys: targets.keys.clone(),
         until_ms,
-        step_name: if options.long_texts {
+        step_name: if options.long_generations {
             "long-step"
         } else {
             "step"
         },
-        crashing_wait_ms: options.crashing_wait_ms,
+        crashing_call_timeout_ms: options.crashing_call_timeout_ms,
         has_crashing_item: options.has_crashing_item,
         has_crashing_reward: options.has_crashing_reward,
         calls: Cell::new(0),
         calls_answered: Cell::new(0),
-        held_at_ms: RefCell::default(),
+        harmless_held_at_ms: RefCell::default(),
         crashing_calls_held: Cell::new(0),
         unauthorized_at_ms: RefCell::default(),
         unanswered: RefCell::default(),
     });
     let mut fork = || Pcg64Mcg::seed_from_u64(random.next_u64());
-    for number in 0..CALLERS {
-        let habit = Habit::AsksEachTime;
+    for number in 0..CALLER_COUNT {
+        let mode = Discovery::PerCall;
         monoio::spawn(
             traffic
                 .clone()
-                .call(format!("caller-{number}"), habit, fork()),
+                .call(format!("caller-{number}"), mode, fork()),
         );
     }
-    // Drawn apart, so that the faults of a seed stay what they were.
-    let mut own_random = Pcg64Mcg::seed_from_u64(!options.seed);
-    for (name, habit) in KEEPING_CALLERS {
-        let own = Pcg64Mcg::seed_from_u64(own_random.next_u64());
-        monoio::spawn(traffic.clone().call((*name).into(), *habit, own));
+    // A separate generator, so that these callers don't change the faults of a seed.
+    let mut caching_random = Pcg64Mcg::seed_from_u64(!options.seed);
+    for (name, mode) in CACHING_CALLERS {
+        let caller_random = Pcg64Mcg::seed_from_u64(caching_random.next_u64());
+        monoio::spawn(traffic.clone().call((*name).into(), *mode, caller_random));
     }
-    monoio::spawn(traffic.clone().train(fork()));
+    monoio::spawn(traffic.clone().run_trainer(fork()));
     for number in 0..options.services {
-        monoio::spawn(crashes::restart_after_crashes(targets.clone(), number));
+        monoio::spawn(crashes::restart_service_after_crashes(
+            targets.clone(),
+            number,
+        ));
     }
     for number in 0..options.engines {
         monoio::spawn(crashes::restart_engine_after_crashes(
@@ -110,37 +113,46 @@
         ));
     }
     for number in 0..options.crashing_calls {
-        monoio::spawn(crashes::repeat(traffic.clone(), number, fork()));
+        monoio::spawn(crashes::run_crashing_caller(
+            traffic.clone(),
+            number,
+            fork(),
+        ));
     }
     monoio::spawn(targets.keys.clone().probe(traffic.clone(), fork()));
-    let faults_until_ms = until_ms.saturating_sub(CALM_MS);
+    let faults_until_ms = until_ms.saturating_sub(RECOVERY_MS);
     match &options.script {
         Script::Random(count) => {
-            let harm = targets.clone().harm(*count, KINDS, faults_until_ms, fork());
-            harm.await;
+            let injecting =
+                targets
+                    .clone()
+                    .inject_random(*count, RANDOM_KINDS, faults_until_ms, fork());
+            injecting.await;
         }
-        Script::Wider(count) => {
+        Script::RandomExtended(count) => {
             let kinds = match options.organisations {
                 true => KEYED_KINDS,
-                false => WIDER_KINDS,
+                false => EXTENDED_KINDS,
             };
-            let harm = targets.clone().harm(*count, kinds, faults_until_ms, fork());
-            harm.await;
+            let injecting = targets
+                .clone()
+                .inject_random(*count, kinds, faults_until_ms, fork());
+            injecting.await;
         }
-        Script::Moments(moments) => targets.clone().play(moments).await,
+        Script::Timed(timed_faults) => targets.clone().inject_timed(timed_faults).await,
     }
     sleep_ms(until_ms.saturating_sub(clock.now_ms()) + SETTLE_MS).await;
-    check_listed(&traffic, &targets).await;
+    check_running_daemons_are_listed(&traffic, &targets).await;
     if options.results_kept_s * 1_000 > options.duration_ms {
-        read_everything(&traffic).await;
+        reread_all_submissions(&traffic).await;
     }
     let engines = engines_of(&targets);
     let services = services_of(&targets);
     oracle.check_endpoints(&engines, &services);
     targets.keys.check(&oracle, &engines, &services);
     usage::check_holders(&oracle, &targets.duties);
-    let sends = crashes::sends(&services, &engines);
-    crashes::check(&oracle, sends, options.crash_after_ms);
+    let requests = crashes::crashing_requests(&services, &engines);
+    crashes::check_crash_bound(&oracle, requests, options.crash_after_ms);
     for daemon in &targets.daemons {
         daemon.signal(Signal::KILL);
     }
@@ -148,8 +160,11 @@
 }
 
 fn crashed_endpoints(targets: &Targets) -> usize {
-    let sends = crashes::sends(&services_of(targets), &engines_of(targets));
-    sends.iter().filter(|send| send.has_crashed).count()
+    let requests = crashes::crashing_requests(&services_of(targets), &engines_of(targets));
+    requests
+        .iter()
+        .filter(|request| request.has_crashed)
+        .count()
 }
 
 fn engines_of(targets: &Targets) -> Vec<PlatformEngine> {
@@ -207,7 +222,7 @@
         daemons,
         engines,
         services,
-        begun: Vec::new().into(),
+        started_faults: Vec::new().into(),
     })
 }
 
@@ -229,22 +244,25 @@
     })
 }
 
-/// Every daemon that runs is given out by every other one once all is calm.
-async fn check_listed(traffic: &Traffic, targets: &Targets) {
+/// Checks that every running daemon is listed by all running daemons after recovery.
+async fn check_running_daemons_are_listed(traffic: &Traffic, targets: &Targets) {
     for asked in targets.daemons.iter().filter(|daemon| daemon.is_running()) {
         let listed = traffic.listed(asked.directory).await.unwrap_or_default();
         for daemon in targets.daemons.iter().filter(|daemon| daemon.is_running()) {
             if !listed.contains(&daemon.front) {
-                let text = format!("{} is not given out by {}", daemon.name, asked.name);
-                traffic.oracle.broken(text);
+                let text = format!(
+                    "{} is not listed by {} after recovery",
+                    daemon.name, asked.name
+                );
+                traffic.oracle.record_violation(text);
             }
         }
     }
 }
 
-/// Reads every accepted submission from its start at every daemon: whatever was read must come
-/// again, and no daemon may have forgotten it.
-async fn read_everything(traffic: &Traffic) {
+/// Reads every accepted submission from its start at every daemon. Checks that each daemon knows it and returns
+/// all results that were read before.
+async fn reread_all_submissions(traffic: &Traffic) {
     let accepted: Vec<String> = {
         let submissions = traffic.oracle.submissions.borrow();
         let accepted = submissions.iter().filter(|(_, known)| known.is_accepted);
@@ -259,14 +277,15 @@
 
 async fn read_from_start(traffic: &Traffic, id: &str, front: SocketAddr) {
     let mut after = 0;
-    for _ in 0..READ_AGAIN {
+    for _ in 0..MAX_READS {
         match traffic.read(id, after, front, 0).await {
             Some(0) => {
                 let seen = traffic.oracle.submissions.borrow()[id].results.len();
                 if after < seen {
-                    let text =
-                        format!("{id}: {front} has {after} of {seen} results that were read");
-                    traffic.oracle.broken(text);
+                    let text = format!(
+                        "{id}: {front} returns {after} of {seen} results that were read before"
+                    );
+                    traffic.oracle.record_violation(text);
                 }
                 return;
             }
@@ -276,7 +295,7 @@
     }
     traffic
         .oracle
-        .broken(format!("{id}: cannot be read at {front} at the end"));
+        .record_violation(format!("{id}: cannot be read at {front} after recovery"));
 }
 
 fn report(
@@ -295,12 +314,15 @@
     if traffic.calls_answered.get() * 2 < traffic.calls.get() {
         violations.push("less than half of the calls were answered".into());
     }
-    let due_ms = traffic.clock.now_ms().saturating_sub(usage::LATE_S * 1_000);
+    let due_ms = traffic
+        .clock
+        .now_ms()
+        .saturating_sub(usage::REPORT_DUE_S * 1_000);
     let wrong_windows = usage::wrong_windows(
         traffic.clock,
         &targets.duties,
         &services_of(targets),
-        START_MS,
+        STARTUP_MS,
         due_ms,
     );
     SoakReport {
@@ -309,21 +331,21 @@
             options.keeps_logs || !violations.is_empty(),
         ),
         wrong_windows,
-        faults: targets.begun.borrow().clone(),
+        faults: targets.started_faults.borrow().clone(),
         calls_answered: traffic.calls_answered.get(),
         calls: traffic.calls.get(),
         submissions: accepted.count(),
         unanswered: traffic.unanswered.borrow().clone(),
-        proper_held_at_ms: traffic.held_at_ms.borrow().clone(),
+        harmless_held_at_ms: traffic.harmless_held_at_ms.borrow().clone(),
         unauthorized_at_ms: traffic.unauthorized_at_ms.borrow().clone(),
         not_accepted: oracle.not_accepted.get(),
-        kept_records: targets.store.key_count("keyed.batch-"),
+        stored_submission_records: targets.store.key_count("keyed.batch-"),
         resumed_runs: resumed_runs(targets),
-        orders_after_stop_ms: orders_after_stop_ms(targets, oracle),
-        most_remade: most_remade(targets),
-        after_restart: after_restart(&targets.engines[0].0),
+        first_order_after_kill_ms: first_order_after_kill_ms(targets, oracle),
+        max_regenerated_events: max_regenerated_events(targets),
+        runs_and_orders_after_restart: runs_and_orders_after_restart(&targets.engines[0].0),
         calls_by_foreign_entry: oracle.calls_by_foreign_entry(&targets.services[0].0),
-        most_overtime_ms: most_overtime_ms(targets, oracle),
+        max_overtime_ms: max_overtime_ms(targets, oracle),
         crashed_endpoints: crashed_endpoints(targets),
         crashing_calls_held: traffic.crashing_calls_held.get(),
         results,
@@ -331,18 +353,18 @@
     }
 }
 
-fn orders_after_stop_ms(targets: &Targets, oracle: &Oracle) -> Option<u64> {
-    let stopped_at_ms = oracle.stopped_at_ms.get()?;
+fn first_order_after_kill_ms(targets: &Targets, oracle: &Oracle) -> Option<u64> {
+    let killed_all_at_ms = oracle.killed_all_at_ms.get()?;
     let orders = targets
         .engines
         .iter()
         .flat_map(|(engine, _)| engine.orders());
-    let after = orders.filter_map(|order| order.at_ms.checked_sub(stopped_at_ms));
+    let after = orders.filter_map(|order| order.at_ms.checked_sub(killed_all_at_ms));
     after.min()
 }
 
-/// The most events of one item that were made more than once.
-fn most_remade(targets: &Targets) -> u64 {
+/// Returns the largest number of events of one item that were generated more than once.
+fn max_regenerated_events(targets: &Targets) -> u64 {
     let runs = targets.engines.iter().flat_map(|(engine, _)| engine.runs());
     let mut made: BTreeMap<String, u64> = BTreeMap::new();
     for run in runs {
@@ -354,7 +376,7 @@
     remade.max().unwrap_or(0)
 }
 
-fn after_restart(engine: &PlatformEngine) -> (usize, usize) {
+fn runs_and_orders_after_restart(engine: &PlatformEngine) -> (usize, usize) {
     let started_at_ms = engine.started_at_ms();
     let runs = engine.runs();
     let orders = engine.orders();
@@ -363,13 +385,13 @@
     (runs.count(), orders.count())
 }
 
-fn most_overtime_ms(targets: &Targets, oracle: &Oracle) -> u64 {
-    let call_ends_ms = oracle.call_ends_ms.borrow();
+fn max_overtime_ms(targets: &Targets, oracle: &Oracle) -> u64 {
+    let call_deadlines_ms = oracle.call_deadlines_ms.borrow();
     let runs = targets
         .services
         .iter()
         .flat_map(|(service, _)| service.deadlines_ms());
-    let overtime = runs.filter_map(|(id, end_ms)| end_ms.checked_sub(*call_ends_ms.get(&id)?));
+    let overtime = runs.filter_map(|(id, end_ms)| end_ms.checked_sub(*call_deadlines_ms.get(&id)?));
     overtime.max().unwrap_or(0)
 }
 
--- a/tests/tidy.rs
+++ b/tests/tidy.rs
@@ -1,4 +1,4 @@
-//! House rules that no other tool checks.
+//! Source rules that rustfmt and clippy don't check.
 
 use std::{
     fs,
@@ -7,21 +7,21 @@
 
 use borageshore::base::ResultCode;
 
-/// Longer files are split.
-const MOST_LINES: usize = 560;
+/// Maximum number of lines of a source file.
+const MAX_LINES: usize = 560;
 const GENERATED: &str = "generated.rs";
 
 fn root() -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR"))
 }
 
-fn files_below(folder: &Path, ending: &str) -> Vec<PathBuf> {
+fn files_below(folder: &Path, suffix: &str) -> Vec<PathBuf> {
     let mut found = Vec::new();
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
-            found.extend(files_below(&path, ending));
-        } else if path.to_string_lossy().ends_with(ending) {
+            found.extend(files_below(&path, suffix));
+        } else if path.to_string_lossy().ends_with(suffix) {
             found.push(path);
         }
     }
@@ -29,7 +29,7 @@
     found
 }
 
-/// Our sources: path and text.
+/// Returns path and text of each source file, without generated ones.
 fn sources() -> Vec<(PathBuf, String)> {
     let mut files = files_below(&root().join("crates"), ".rs");
     files.extend(files_below(&root().join("src"), ".rs"));
@@ -44,7 +44,7 @@
 
 fn is_shipped(path: &Path) -> bool {
     let path = path.to_string_lossy();
-    let is_beside = [
+    let is_test_support = [
         "/tests/",
         "/benches/",
         "borageshore_standins",
@@ -52,7 +52,7 @@
         "borageshore_soak",
         "borageshore_bench",
     ];
-    !is_beside.iter().any(|part| path.contains(part))
+    !is_test_support.iter().any(|part| path.contains(part))
 }
 
 macro_rules! rules {
@@ -70,9 +70,9 @@
 
 rules! {
     files_open_with_their_purpose: |path, text| text.starts_with("//! ");
-    files_are_small: |path, text| text.lines().count() <= MOST_LINES;
+    files_are_small: |path, text| text.lines().count() <= MAX_LINES;
     debug_is_derived_first: |path, text| {
-        // A type that hides a secret writes its own `Debug`.
+        // A type that hides a secret implements `Debug` by hand.
         let own = text.matches("impl fmt::Debug for").count();
         let derives = text.lines().map(str::trim).filter(|line| line.starts_with("#[derive("));
         derives.filter(|line| !line.starts_with("#[derive(Debug")).count() <= own
@@ -103,7 +103,7 @@
     no_banner: |path, text| !text.to_lowercase().contains("copyright");
 }
 
-/// Names that the platform's protocol uses; only `platform/` knows them.
+/// Names of the platform's protocol, which only `platform/` may use.
 const PLATFORM_NAMES: [&str; 14] = [
     "/api/",
     "x-request-id",
@@ -120,9 +120,9 @@
     "keyed.",
     "dead_lettered",
 ];
-/// Names that the product's own interface, which is older, has as well.
+/// Names that the service's own interface uses as well.
 const OWN_NAMES: [&str; 2] = ["x-request-id", "x-deadline-ms"];
-/// The largest that the adapter may become.
+/// Maximum number of lines of the adapter in `platform/`.
 const ADAPTER_LINES: usize = 4_000;
 
 #[test]
