--- a/crates/borageshore_gateway/src/access.rs
+++ b/crates/borageshore_gateway/src/access.rs
@@ -109,7 +109,7 @@
             Denial::ViewTooOld => "view_too_old",
         };
         self.instruments.count("caller", reason);
-        log::info!(denial = reason, age_ms:?; "a caller is turned away");
+        log::info!(denial = reason, age_ms:?; "refusing a caller");
         Err(denial)
     }
 
--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -162,7 +162,7 @@
         log::info!(
             request = &*call.outbound.id, route = &*route.name, content:% = call.content(),
             status = response.status().as_u16(), again_ms = held.retry_after_ms;
-            "call held back"
+            "call refused: its request is held back for crashing endpoints"
         );
         response
     }
@@ -271,7 +271,7 @@
                 }
                 Err(AttemptError::Refused { load, .. }) => in_flight.on_load(*load),
                 Err(error) => {
-                    log::info!(request = &*outbound.id, content:% = call.content(), instance = &*target.instance, error:% = error; "attempt lost");
+                    log::info!(request = &*outbound.id, content:% = call.content(), instance = &*target.instance, error:% = error; "attempt failed: no complete response from the endpoint");
                     in_flight.fail();
                 }
             }
--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -208,7 +208,7 @@
                 window,
             }),
             Err(StoreError::OffsetConflict { end }) => {
-                log::info!(end; "another announcement came first");
+                log::info!(end; "announcement not appended: a newer one came first; nothing is sent");
                 None
             }
             Err(error) => {
--- a/crates/borageshore_gateway/src/endpoints/listing.rs
+++ b/crates/borageshore_gateway/src/endpoints/listing.rs
@@ -31,10 +31,10 @@
                 }
             }
             EntryEffect::Stale => {
-                log::info!(id = &**id, started_at_ms = entry.started_at_ms; "entry of an earlier incarnation left out");
+                log::info!(id = &**id, started_at_ms = entry.started_at_ms; "ignoring an endpoint entry of an earlier incarnation");
                 return;
             }
-            EntryEffect::Foreign => return self.on_foreign(id, "it no longer names a start"),
+            EntryEffect::Foreign => return self.on_foreign(id, "its start time is missing"),
         }
         self.lapsed.borrow_mut().remove(id);
         let instance = &entry.listing.name;
@@ -55,7 +55,7 @@
     fn on_foreign(&self, id: &Arc<str>, why: &str) {
         self.lapsed.borrow_mut().remove(id);
         if self.registry.borrow_mut().on_foreign(id) {
-            log::warn!(id = &**id, why; "an entry of another writer names no endpoint to use");
+            log::warn!(id = &**id, why; "endpoint entry is invalid or from another writer; not using the endpoint");
             self.has_changed_entries.set(true);
         }
     }
@@ -99,7 +99,7 @@
         let grace_until_ms = self.outage_ended_at_ms.get().map(|at| at + LAPSE_GRACE_MS);
         match grace_until_ms {
             Some(until_ms) if now_ms < until_ms => {
-                log::info!(instance = &**instance, until_ms; "entry lapsed around a store outage; kept for now");
+                log::info!(instance = &**instance, until_ms; "endpoint entry expired around a store outage; keeping the endpoint for a grace period");
                 self.lapsed.borrow_mut().insert(instance.clone(), until_ms);
             }
             _ => self.remove(instance),
--- a/crates/borageshore_gateway/src/item/attempt.rs
+++ b/crates/borageshore_gateway/src/item/attempt.rs
@@ -99,7 +99,7 @@
         Content: Fn() -> Fingerprint,
     {
         self.context.instruments.count("item", "goes_on_elsewhere");
-        log::info!(item = &*self.item.id, content:% = self.content(), instance = &*place.target.instance, error:% = error; "item goes on elsewhere");
+        log::info!(item = &*self.item.id, content:% = self.content(), instance = &*place.target.instance, error:% = error; "attempt of an item failed; retrying the item");
         sent.on_error(error);
         match error {
             AttemptError::Refused { status: 421, .. } => {
@@ -205,7 +205,7 @@
         log::info!(
             item = &*self.item.id, instance = &**instance, pace_percent = item.latency_percent, events,
             to = &*better.target.instance;
-            "item leaves a slow engine"
+            "moving an item from a slow engine to a faster one"
         );
         Some(better)
     }
--- a/crates/borageshore_gateway/src/item/mod.rs
+++ b/crates/borageshore_gateway/src/item/mod.rs
@@ -252,7 +252,7 @@
                 let deadline_ms = self.seen_at_ms.saturating_add(route.retention_ms);
                 let remaining_ms = deadline_ms.saturating_sub(context.clock.now_ms());
                 context.instruments.count("quarantine", "waits");
-                log::info!(item = &*self.item.id, content:% = self.content(), again_ms = held.retry_after_ms; "item held back");
+                log::info!(item = &*self.item.id, content:% = self.content(), again_ms = held.retry_after_ms; "item waits: its request is held back for crashing endpoints");
                 let content = self.content();
                 context.quarantine.wait(content, held, remaining_ms).await;
                 None
--- a/crates/borageshore_gateway/src/members/mod.rs
+++ b/crates/borageshore_gateway/src/members/mod.rs
@@ -294,7 +294,7 @@
             self.watch.borrow_mut().on_suspicion(&suspicion.name);
             self.suspected.notify_one();
         } else if suspicion.incarnation == own.incarnation {
-            log::warn!(by = &*suspicion.by; "this daemon is suspected and says that it lives");
+            log::warn!(by = &*suspicion.by; "another daemon suspects this one of being dead; writing a presence record to refute it");
             self.write_requested.notify_one();
         }
     }
@@ -303,7 +303,7 @@
         let now_ms = self.clock.now_ms();
         let mut table = self.table.borrow_mut();
         if table.is_suspected(&presence.name) {
-            log::info!(member = &*presence.name; "a suspected daemon says that it lives");
+            log::info!(member = &*presence.name; "suspected daemon wrote a presence record; withdrawing the suspicion");
         }
         self.watch.borrow_mut().on_record(&presence.name, now_ms);
         table.on_presence(presence);
--- a/crates/borageshore_gateway/src/members/writing.rs
+++ b/crates/borageshore_gateway/src/members/writing.rs
@@ -34,7 +34,7 @@
             if let Err(error) = &written
                 && !is_failing
             {
-                log::warn!(error:% = error; "this daemon's record does not reach the store");
+                log::warn!(error:% = error; "could not write this daemon's presence record to the store; retrying");
             }
             is_failing = written.is_err();
             within_ms(pause_ms, self.write_requested.notified()).await;
@@ -54,9 +54,9 @@
             .append(Topic::Members, ONLY_PARTITION, &records, None)
             .await;
         match written {
-            Ok(_) => log::warn!(silent:? = names; "daemons are silent"),
+            Ok(_) => log::warn!(silent:? = names; "daemons missed heartbeats; suspecting them"),
             Err(error) => {
-                log::info!(silent:? = names, error:% = error; "daemons are silent, but their suspicions could not be written to the store");
+                log::info!(silent:? = names, error:% = error; "daemons missed heartbeats, but the suspicions could not be written to the store; retrying unless heartbeats resume");
                 let now_ms = self.clock.now_ms();
                 let mut watch = self.watch.borrow_mut();
                 for name in names {
@@ -82,7 +82,7 @@
         store
             .append(Topic::Members, ONLY_PARTITION, &removals, None)
             .await?;
-        log::info!(daemons:? = expired; "records of daemons removed that have been dead for long");
+        log::info!(daemons:? = expired; "removed the expired records of dead daemons");
         Ok(())
     }
 
--- a/crates/borageshore_gateway/src/orderer.rs
+++ b/crates/borageshore_gateway/src/orderer.rs
@@ -236,7 +236,7 @@
         log::info!(
             instance = &*instance, model = &*order.model, version = order.version,
             epoch = order.epoch, answer:? = answer;
-            "order given"
+            "load order issued to an engine"
         );
         if let Ok(OrderAnswer::Rejected(_)) = answer {
             self.pending.borrow_mut().remove(&instance);
@@ -274,7 +274,7 @@
             }
             let age_ms = self.parts.clock.now_ms() - order.sent_at_ms;
             if !is_listed || age_ms > ORDER_TIMEOUT_MS {
-                log::info!(instance = &*instance, model = &*order.target.model, version = order.target.version, age_ms; "order lost");
+                log::info!(instance = &*instance, model = &*order.target.model, version = order.target.version, age_ms; "load order not completed in time or its engine is gone; dropping the order");
                 self.pending.borrow_mut().remove(&instance);
             }
         }
--- a/crates/borageshore_gateway/src/progress.rs
+++ b/crates/borageshore_gateway/src/progress.rs
@@ -273,7 +273,7 @@
         {
             Some(Ok(texts)) => {
                 let took_ms = self.clock.now_ms() - started_ms;
-                log::info!(submission, texts = texts.len(), took_ms; "texts under way restored");
+                log::info!(submission, texts = texts.len(), took_ms; "restored the saved texts of unfinished items");
                 texts
             }
             Some(Err(error)) => {
--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -200,7 +200,7 @@
         let report = CrashReport { content, crash };
         if self.on_crash(report.clone()) == CrashEffect::Suspected {
             let crashes = self.table.borrow().crashes(&content);
-            log::info!(content:%, instance = &**instance, crashes; "a request is suspected of a crash");
+            log::info!(content:%, instance = &**instance, crashes; "endpoint crashed while it ran a request; suspecting the request");
         }
         if self.is_store_late.get() {
             self.queue_for_peers(std::slice::from_ref(&report));
@@ -230,7 +230,7 @@
         };
         crashes.retain(is_announced);
         if was_held {
-            log::info!(content:%; "a request that was held back is answered and free again");
+            log::info!(content:%; "held-back request succeeded; releasing it");
             self.instruments.count("quarantine", "cleared");
         }
         if !crashes.is_empty() {
@@ -250,7 +250,7 @@
         }
         let ended = self.table.borrow_mut().expire(self.unix_ms());
         for (content, crashes) in ended {
-            log::info!(content:%, crashes = crashes.len(); "a request is no longer suspected");
+            log::info!(content:%, crashes = crashes.len(); "suspicion of a request has expired");
             if is_responsible {
                 self.remove(content, &crashes);
             }
@@ -274,7 +274,7 @@
         let effect = self.table.borrow_mut().on_crash(content, crash);
         if effect == CrashEffect::Held {
             let crashes = self.table.borrow().crashes(&content);
-            log::warn!(content:%, instance = &*instance, crashes, verdict:? = self.verdict(&content); "a request is held back");
+            log::warn!(content:%, instance = &*instance, crashes, verdict:? = self.verdict(&content); "request held back for crashing endpoints");
             self.instruments.count("quarantine", "held");
         }
         if effect != CrashEffect::Known {
--- a/crates/borageshore_gateway/src/quarantine/reporting.rs
+++ b/crates/borageshore_gateway/src/quarantine/reporting.rs
@@ -68,7 +68,7 @@
         }
         let written = self.append(&records, &reports, &cleared).await;
         if let Err(error) = &written {
-            log::info!(records = records.len(), error:% = error; "crashes are not told by the store yet");
+            log::info!(records = records.len(), error:% = error; "quarantine records not written to the store; will retry");
             self.reports.borrow_mut().put_back(reports);
             self.pending_records.borrow_mut().extend(pending_records);
         }
@@ -208,7 +208,7 @@
         let request = Request::post(path).body(Full::new(body.clone()));
         let request = request.expect("a path and a body");
         if let Err(error) = http.call(peer, request, PEER_TIMEOUTS).await {
-            log::info!(peer = &**peer, path, error:% = error; "a peer is not told of crashes");
+            log::info!(peer = &**peer, path, error:% = error; "crash reports or clearances not delivered to a peer");
         }
     };
     join_all(peers.iter().map(post_to_peer)).await;
--- a/crates/borageshore_gateway/src/quarantine/trials.rs
+++ b/crates/borageshore_gateway/src/quarantine/trials.rs
@@ -82,7 +82,7 @@
         };
         let claimed = within_ms(CLAIM_TIMEOUT_MS, claiming).await;
         if matches!(claimed, Some(Ok(()))) && self.table.borrow().has_trial(&trial_record.claim) {
-            log::info!(content:%; "a request that is held back is tried");
+            log::info!(content:%; "claimed the trial of a held-back request; sending it once");
             self.instruments.count("quarantine", "tried");
             return Ok(Permit { trial: Some(trial) });
         }
@@ -93,7 +93,7 @@
                 Ok(self.start_trial_without_store(trial))
             }
             Verdict::TrialDue => {
-                log::info!(content:%, claimed:?; "the trial of a request cannot be claimed");
+                log::info!(content:%, claimed:?; "could not claim the trial of a held-back request; it stays held back");
                 Err(Held {
                     retry_after_ms: CLAIM_TIMEOUT_MS,
                 })
@@ -107,7 +107,7 @@
     /// request, as far as the daemons agree on who is alive.
     fn start_trial_without_store(&self, trial: Trial) -> Permit {
         let trial_record = &trial.trial_record;
-        log::info!(content:% = trial_record.content; "a request that is held back is tried without the store");
+        log::info!(content:% = trial_record.content; "trial of a held-back request not claimed in the store; sending the request once without a claim");
         self.instruments.count("quarantine", "tried");
         self.is_store_late.set(true);
         self.table.borrow_mut().on_claim(
--- a/crates/borageshore_gateway/src/rewards.rs
+++ b/crates/borageshore_gateway/src/rewards.rs
@@ -102,7 +102,7 @@
                     if left_ms == 0 {
                         return Reward::Failed;
                     }
-                    log::info!(call = &*call.id, content:% = scoring.content(), again_ms = held.retry_after_ms; "reward call held back");
+                    log::info!(call = &*call.id, content:% = scoring.content(), again_ms = held.retry_after_ms; "reward call waits: its request is held back for crashing endpoints");
                     quarantine.wait(scoring.content(), held, left_ms).await;
                     continue;
                 }
@@ -111,7 +111,7 @@
                 Some(Ok(score)) => return Reward::Score(score),
                 Some(Err(status)) => {
                     failures += u64::from(status == 500);
-                    log::info!(call = &*call.id, status, failures; "reward call failed");
+                    log::info!(call = &*call.id, status, failures; "reward call returned no score");
                     if failures >= route.max_attempts {
                         return Reward::Failed;
                     }
@@ -174,7 +174,7 @@
             }
             Err(error) => {
                 let content = scoring.content();
-                log::info!(call = &*scoring.outbound.id, content:%, instance = &*target.instance, error:% = error; "reward call lost");
+                log::info!(call = &*scoring.outbound.id, content:%, instance = &*target.instance, error:% = error; "reward call got no complete response; will retry");
                 in_flight.fail();
                 scoring.last_failed = Some(target.instance);
                 None
--- a/crates/borageshore_gateway/src/routes.rs
+++ b/crates/borageshore_gateway/src/routes.rs
@@ -87,7 +87,7 @@
     }
 
     fn on_version_named(&self, named: ModelVersion) {
-        log::info!(model = &*named.model, version = named.version; "version named");
+        log::info!(model = &*named.model, version = named.version; "trainer published a model version");
         let mut all = self.named_versions.borrow_mut();
         match all.binary_search_by(|known| known.model.cmp(&named.model)) {
             Ok(at) => all[at].version = all[at].version.max(named.version),
--- a/crates/borageshore_gateway/src/store_transport.rs
+++ b/crates/borageshore_gateway/src/store_transport.rs
@@ -100,7 +100,7 @@
             .borrow_mut()
             .on_direct_result(is_answered(&answer), inner.clock.now_ms());
         if is_restored {
-            log::info!("this daemon's own way to the store is open again");
+            log::info!("store answers directly again; no longer sending store calls through peers");
         }
         answer
     }
@@ -139,7 +139,7 @@
             .borrow_mut()
             .on_peer_result(has_answered, now_ms)
         {
-            log::warn!("the store does not answer this daemon, peers pass its calls on");
+            log::warn!("store does not answer directly; sending store calls through peers");
             self.inner.switched_to_peers.notify_waiters();
         }
     }
--- a/crates/borageshore_gateway/src/usage/counter.rs
+++ b/crates/borageshore_gateway/src/usage/counter.rs
@@ -95,7 +95,7 @@
                     }
                     Err(error) => {
                         if !self.is_failing.replace(true) {
-                            log::info!(error:% = error; "what was counted is not in the store yet");
+                            log::info!(error:% = error; "usage counts not written to the store; retrying");
                         }
                         sleep_ms(RETRY_MS).await;
                     }
--- a/crates/borageshore_gateway/src/usage/reporter.rs
+++ b/crates/borageshore_gateway/src/usage/reporter.rs
@@ -72,7 +72,7 @@
             Some(counts) => counts,
             None if view.confirm().await => view.counts_of(window),
             None => {
-                log::info!(window = window.0; "the totals of a window cannot be read yet");
+                log::info!(window = window.0; "usage totals of a window not confirmed by the store; will retry");
                 return;
             }
         };
@@ -98,7 +98,7 @@
             Ok(()) => self.on_accepted(window, &counts, duty_holder.epoch),
             Err(error) => {
                 parts.instruments.count("usage_report", "failed");
-                log::warn!(window = window.0, epoch = duty_holder.epoch, error:% = error; "a usage report is not taken yet");
+                log::warn!(window = window.0, epoch = duty_holder.epoch, error:% = error; "usage report not confirmed by the platform; retrying until it is overdue");
             }
         }
     }
--- a/crates/borageshore_gateway/src/usage/view.rs
+++ b/crates/borageshore_gateway/src/usage/view.rs
@@ -118,7 +118,7 @@
                 .append(Topic::Usage, partition, &expired, None)
                 .await
             {
-                log::info!(keys = expired.len(), error:% = error; "old totals of usage are not removed yet");
+                log::info!(keys = expired.len(), error:% = error; "expired usage totals not removed from the store; will retry");
             }
         }
     }
--- a/crates/borageshore_gateway/src/writer.rs
+++ b/crates/borageshore_gateway/src/writer.rs
@@ -98,7 +98,7 @@
                 Ok(_) => next += count,
                 Err(error) => {
                     if !std::mem::replace(&mut is_failing, true) {
-                        log::warn!(shard = shard.number(), results = records.len(), error:% = error; "results wait for the store");
+                        log::warn!(shard = shard.number(), results = records.len(), error:% = error; "results not written to the store; retrying");
                     }
                     sleep_ms(RETRY_MS).await;
                 }
