--- a/crates/borageshore_gateway/src/access.rs
+++ b/crates/borageshore_gateway/src/access.rs
@@ -15,7 +15,7 @@
 const CONFIRM_TIMEOUT_MS: u64 = 250;
 /// After a failed confirmation, callers that would need one are refused at once for this long.
 const CONFIRM_RETRY_MS: u64 = 1_000;
-/// When callers should retry whose key could not be confirmed.
+/// The delay after which callers whose key could not be confirmed should retry.
 const RETRY_AFTER_MS: u64 = 300;
 
 /// A caller whose request was authorized.
--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -33,10 +33,10 @@
 const HEDGE_PERCENT: u64 = 55;
 /// Hedges are limited to this share of the calls, so that a slow endpoint does not double the load of the others.
 const HEDGE_BUDGET_PERCENT: u64 = 20;
-/// When callers should retry a call that found all endpoints full or loading.
+/// The delay after which callers should retry a call that found all endpoints full or loading.
 const RETRY_AFTER_MS: u64 = 150;
 
-/// Forwards calls.
+/// Forwards calls and answers each before its deadline.
 #[derive(Debug)]
 pub(crate) struct Calls {
     access: Rc<CallerAccess>,
@@ -316,7 +316,7 @@
     outcome.attempts.on_event(number, event);
     let response = result.ok()?;
     if response.status.is_server_error() {
-        // An error without a signature was not made by the endpoint itself.
+        // An error without a signature does not come from the endpoint itself.
         if response.stamp.is_some() {
             outcome.error_response = Some(response);
         }
--- a/crates/borageshore_gateway/src/cleaner.rs
+++ b/crates/borageshore_gateway/src/cleaner.rs
@@ -22,8 +22,8 @@
 
 /// Removes the records of submissions whose retention period is over.
 ///
-/// Guards against a full store: it keeps the newest record of each key until that is removed, and refuses all appends
-/// at 400 MB.
+/// Guards against a full store: the store keeps the newest record of each key until that is removed, and refuses all
+/// appends at 400 MB.
 #[derive(Debug)]
 pub(crate) struct Cleaner {
     pub(crate) store: Store,
@@ -68,7 +68,7 @@
         responsible == Some(&*self.members.own_name())
     }
 
-    /// Removes the index entry last, so that a removal that failed halfway is repeated.
+    /// Removes a submission's records and then its index entry, so that a removal that failed halfway is repeated.
     async fn remove(&self, id: &Arc<str>) -> Result<(), StoreError> {
         let shard = Shard::of(id, self.partitions);
         let (topic, partition) = (shard.topic(), shard.partition());
--- a/crates/borageshore_gateway/src/dispatch.rs
+++ b/crates/borageshore_gateway/src/dispatch.rs
@@ -12,10 +12,10 @@
 
 use crate::endpoints::{Endpoints, InFlight};
 
-/// Waiting items are reconsidered at this interval, as load reports age and ejections end without a notification.
+/// Waiting items are reconsidered at this interval, because load reports age and ejections end without a notification.
 const RECHECK_MS: u64 = 100;
 
-/// The requirements of an item.
+/// What an item requires of an engine.
 #[derive(Debug, Clone)]
 pub(crate) struct SlotRequest {
     pub(crate) service: Arc<str>,
@@ -23,7 +23,7 @@
     pub(crate) min_version: u64,
     pub(crate) max_version: u64,
     pub(crate) group: Arc<str>,
-    /// Submissions by arrival, then the order of items within one.
+    /// The arrival time of the submission, then the rank of the item in it.
     pub(crate) rank: (u64, ItemRank),
     pub(crate) avoid: Vec<Arc<str>>,
 }
@@ -158,7 +158,7 @@
         engines: &mut [EngineView],
     ) -> Option<EngineSlot> {
         let placement = placement(request);
-        // A cheap check first: most items of a large step find no engine.
+        // A cheap check first: most items of a large step find no free engine.
         if !engines.iter().any(|engine| can_take(engine, placement)) {
             return None;
         }
--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -1,5 +1,5 @@
 //! Duties that one daemon holds at a time: orders to engines and reports of usage. All are announced in one partition,
-//! so that one conditional append decides the holder and each daemon follows them by one long poll.
+//! so that one conditional append decides the holder and each daemon follows all of them with one long poll.
 
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
@@ -20,11 +20,11 @@
 
 /// The key of all rounds of orders, as only the newest round is needed.
 const ROUND_KEY: &str = "round";
-/// The rendezvous key that selects a holder when none is known; the same on all daemons.
+/// The rendezvous key that selects a new holder when the previous one is not eligible; the same on all daemons.
 const RANKING_KEY: &str = "orders";
-/// What was announced is sent within this time of the append, or not at all.
+/// An announced action is sent within this time of the append, or not at all.
 const SEND_WINDOW_MS: u64 = 500;
-/// Margin for the latency of a call and of the successor's reads.
+/// The margin for the latency of a call and the delay of a successor's reads.
 const MARGIN_MS: u64 = 300;
 
 /// Folds the announcements; the same on all daemons.
@@ -87,12 +87,12 @@
     }
 }
 
-/// Announces acts of duties, and tells whether this daemon holds the duties.
+/// Announces the actions of duties, and tells whether this daemon holds the duties.
 ///
-/// Receivers don't check the sender, so acts of two holders on one subject must be a lease apart. An act is announced
-/// before it is sent, by an append conditional on the offset up to which this daemon has read, so a paused holder that
-/// was replaced cannot announce. What it announced before is sent within [`SEND_WINDOW_MS`] of the append or not at
-/// all, and a new holder waits for the lease of each subject to expire.
+/// Receivers do not check the sender, so actions of two holders on one subject must be a lease apart. An action is
+/// announced before it is sent, by an append conditional on the offset up to which this daemon has read, so a paused
+/// holder that was replaced cannot announce any. What it announced before the pause is sent within [`SEND_WINDOW_MS`]
+/// of the append or not at all, and a new holder waits for the lease of each subject to expire.
 #[derive(Debug)]
 pub(crate) struct Duties {
     store: Store,
@@ -102,7 +102,7 @@
     timing: DutyTiming,
 }
 
-/// Permission to send what was announced, with its epoch, within the send window.
+/// Permission to send an announced action within the send window, with its epoch.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SendPermit {
     pub(crate) epoch: u64,
@@ -117,7 +117,7 @@
 }
 
 impl Duties {
-    /// Follows the duties; `lease_ms` is the minimum time between acts of two holders on one subject.
+    /// Follows the duties; `lease_ms` is the minimum time between actions of two holders on one subject.
     pub(crate) fn spawn(
         spec: FollowSpec,
         members: Rc<Members>,
@@ -148,7 +148,7 @@
         })
     }
 
-    /// Notified when a round of orders was announced.
+    /// Completes when a round of orders is announced.
     pub(crate) fn round_announced(&self) -> Notified<'_> {
         self.announcements.round_announced.notified()
     }
--- a/crates/borageshore_gateway/src/endpoints/listing.rs
+++ b/crates/borageshore_gateway/src/endpoints/listing.rs
@@ -117,7 +117,7 @@
         }
     }
 
-    /// After a gap, the next batch holds the newest record of each key; ids that are missing from it were removed.
+    /// Removes the ids that are missing from the first batch after a gap, which holds the newest record of each key.
     fn remove_unconfirmed(&self, newest: &[KeyedRecord]) {
         let unconfirmed = self.unconfirmed.take().unwrap_or_default();
         let is_listed = |instance: &Arc<str>| newest.iter().any(|record| record.key == *instance);
--- a/crates/borageshore_gateway/src/endpoints/mod.rs
+++ b/crates/borageshore_gateway/src/endpoints/mod.rs
@@ -184,7 +184,7 @@
             .collect()
     }
 
-    /// The live instances that serve a model, ordered by id.
+    /// The live engines of services that a route uses, ordered by id.
     pub(crate) fn engine_targets(&self) -> Vec<EndpointTarget> {
         let registry = self.registry.borrow();
         let live = registry.values().filter(|entry| {
@@ -195,7 +195,7 @@
         live.map(target).collect()
     }
 
-    /// The models that engines serve, by name.
+    /// The models that these engines serve, ordered by name.
     pub(crate) fn models(&self) -> Vec<Arc<str>> {
         let registry = self.registry.borrow();
         let named = |entry: &&EndpointEntry| self.routes.names_service(&entry.listing.service);
@@ -245,7 +245,7 @@
     /// Whether an engine is loading weights: it was ordered to within [`LOAD_TIMEOUT_MS`] and has not reported the
     /// version.
     ///
-    /// Comparing versions guards against old orders that are read after a full stop, which would keep items from
+    /// Comparing versions guards against old orders that are read after a full stop, which would keep items away from
     /// engines that finished loading long ago.
     pub(crate) fn is_loading(&self, instance: &Arc<str>) -> bool {
         let loading = self.loading.borrow();
--- a/crates/borageshore_gateway/src/fleet_records.rs
+++ b/crates/borageshore_gateway/src/fleet_records.rs
@@ -1,6 +1,6 @@
 //! The records that daemons share about the fleet: membership, and requests that crash endpoints.
 //!
-//! Both are in one topic, as a second topic would cost a long poll of each of 680 daemons for rare records.
+//! Both are in one topic, as a second topic would cost each of 680 daemons another long poll for rare records.
 
 use std::rc::Rc;
 
--- a/crates/borageshore_gateway/src/follow.rs
+++ b/crates/borageshore_gateway/src/follow.rs
@@ -17,7 +17,7 @@
 /// The pause after a failed read.
 const RETRY_MS: u64 = 150;
 
-/// The maximum number of reads to confirm a view: pages have a megabyte, and a partition takes 20 MB a second.
+/// The maximum number of reads to confirm a view: a page has a megabyte, and a partition accepts 20 MB a second.
 const MAX_CONFIRM_READS: usize = 40;
 
 /// The partition of topics that every daemon reads as a whole: a single one gives their records a total order.
@@ -119,8 +119,8 @@
         position.is_current_within(age_ms, self.spec.clock.now_ms())
     }
 
-    /// When the newest read that brought the view up to date was sent, in ms of the boot-time clock, which counts
-    /// suspensions.
+    /// When the newest read that brought the view up to date was sent, in ms of the boot-time clock, which also runs
+    /// during suspension.
     pub(crate) fn requested_at_ms(&self) -> Option<u64> {
         self.position.borrow().requested_at_ms()
     }
--- a/crates/borageshore_gateway/src/gateway.rs
+++ b/crates/borageshore_gateway/src/gateway.rs
@@ -42,10 +42,10 @@
     writer::Writer,
 };
 
-/// For the operator's and the endpoints' records, which are applied without delay.
+/// The pause between reads of the operator's and the endpoints' records, which are applied without delay.
 const NO_PAUSE_MS: u64 = 0;
 /// The pause between reads of membership records: long enough that the records of daemons that start together are read
-/// together, short against the suspicion timeout.
+/// together, short compared with the suspicion timeout.
 const MEMBERS_PAUSE_MS: u64 = 50;
 /// The pause between reads of the index, which has two records for each submission.
 const INDEX_PAUSE_MS: u64 = 10;
@@ -79,7 +79,7 @@
     pub fn spawn(config: GatewayConfig, config_file: PathBuf) -> io::Result<Self> {
         let clock = Clock::start();
         let instruments = Rc::new(Instruments::open());
-        // Increases with every start unless the VM's clock was set back by more than the previous run.
+        // Increases with every start unless the VM's clock was set back by more than the previous run lasted.
         let incarnation = jiff::Timestamp::now().as_millisecond() as u64;
         let mechanisms = Rc::new(Mechanisms::without(config.mechanisms_off.clone()));
         let transport = FailoverTransport::open(
@@ -107,7 +107,7 @@
             clock,
             instruments.clone(),
         );
-        // The boot clock distinguishes two incarnations with the same time of day.
+        // The boot clock distinguishes two incarnations that started at the same time of day.
         let author = format!("{}.{incarnation}.{}", config.name, boot_time_ms());
         let partitions = config.store_partitions;
         let view = LedgerView::spawn(store.clone(), partitions, clock);
@@ -303,8 +303,8 @@
         self.clock.now_ms()
     }
 
-    /// Becomes ready once routes, endpoints and the submission index have been read. It stays ready during an outage of
-    /// the store and serves from its last view.
+    /// Enters the ready state once routes, endpoints and the submission index have been read. The daemon stays ready
+    /// during an outage of the store and serves from its last view.
     pub(crate) fn follow_readiness(&self) {
         let is_known = self.routes.is_known()
             && self.endpoints.is_known()
@@ -314,7 +314,7 @@
         }
     }
 
-    /// Reads the settings again and logs faults. Nothing is applied before the next start.
+    /// Parses the settings file again and logs whether it is valid. Changes take effect only at the next start.
     pub(crate) fn reload(&self) {
         let file = self.config_file.display().to_string();
         let text = std::fs::read_to_string(&self.config_file);
@@ -345,13 +345,14 @@
                 .is_some_and(|usage| usage.has_unwritten())
     }
 
-    /// Removes this daemon's presence record, so that others need not wait for missing heartbeats.
+    /// Removes this daemon's presence record, so that other daemons do not have to detect its exit by missing
+    /// heartbeats.
     pub(crate) async fn leave(&self) {
         self.members.leave(&self.store).await;
     }
 }
 
-/// What counting and reporting of usage need of the rest of the daemon.
+/// Dependencies of the counter and the reporter of usage.
 #[derive(Debug)]
 struct UsageParts {
     duties: Rc<Duties>,
@@ -363,7 +364,7 @@
     instruments: Rc<Instruments>,
 }
 
-/// Starts the counter and the reporter of usage, if the settings ask for reports.
+/// Starts the counter and the reporter of usage if usage reports are configured.
 fn spawn_usage(config: &GatewayConfig, parts: UsageParts) -> Option<Rc<UsageCounter>> {
     let duties = config.duties.as_ref()?;
     let timing = duties.usage_timing()?;
--- a/crates/borageshore_gateway/src/item/attempt.rs
+++ b/crates/borageshore_gateway/src/item/attempt.rs
@@ -13,8 +13,8 @@
     quarantine::{Permit, SentRequest},
 };
 
-/// An engine responds within a few ms of a slot becoming free, and its own queue holds a request for up to
-/// half a second.
+/// The timeout for the first byte of a response. An engine responds within a few ms of a slot becoming free and queues
+/// a request for up to half a second.
 const FIRST_BYTE_TIMEOUT_MS: u64 = 900;
 /// The engine or connection counts as lost after this time without an event. Events are 40 ms apart, 160 ms
 /// at an engine that is four times slower, also while weights are loading; resuming at another engine costs
@@ -25,8 +25,8 @@
 const MIN_SLOW_PERCENT: u64 = 116;
 /// A better engine is searched for once in this many events, as each search visits all engines of the service.
 const MOVE_CHECK_INTERVAL_EVENTS: u64 = 4;
-/// A request counts as not crashing its engine after this many events, some 0.4 s: those that crash engines do
-/// so as they start to run.
+/// A request counts as not crashing its engine after this many events, about 0.4 s: requests that crash engines do so
+/// when they start to run.
 const CRASH_FREE_EVENTS: u64 = 10;
 
 /// How an attempt ended.
@@ -117,7 +117,8 @@
         }
     }
 
-    /// Reads events until the text is complete, the engine fails or a better one has a slot.
+    /// Reads events until the text is complete, the engine fails, its version is out of range or a better engine has a
+    /// slot.
     async fn read<Content>(
         &self,
         place: EngineSlot,
--- a/crates/borageshore_gateway/src/item/mod.rs
+++ b/crates/borageshore_gateway/src/item/mod.rs
@@ -96,7 +96,7 @@
     context: &'r ItemContext,
     submission: &'r Submission,
     item: &'r Item,
-    /// The key of its text in the text cache and in the saved progress.
+    /// The key of the item's text in the text cache and in the saved progress.
     text_key: Arc<str>,
     rank: (u64, ItemRank),
     seen_at_ms: u64,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The result of an identical item, including its reward call, in an earlier submission.
+    /// The result of the same item with the same reward call in another submission, if its versions are permitted.
     fn earlier_result(&self) -> Option<ItemResult> {
         let has_one_version = |result: &ItemResult| result.versions.len() <= 1;
         let route = self
@@ -322,7 +322,8 @@
             .await
     }
 
-    /// A text that must keep to one version restarts once no engine serves that version.
+    /// Whether a text must restart, given that all of it has to come from one version: no engine serves its version any
+    /// more.
     fn must_restart(&self, text: &Text) -> bool {
         let Some(version) = text.versions().last() else {
             return false;
--- a/crates/borageshore_gateway/src/ledger_view.rs
+++ b/crates/borageshore_gateway/src/ledger_view.rs
@@ -27,10 +27,10 @@
 const IDLE_TIMEOUT_MS: u64 = 15_000;
 /// The interval at which idle shards are released.
 const IDLE_CHECK_INTERVAL_MS: u64 = 2_000;
-/// The maximum wait for a shard's first read, which takes some ms, or 200 ms if the store is slow.
+/// The maximum wait for a shard's first read, which takes a few ms, or 200 ms if the store is slow.
 const START_TIMEOUT_MS: u64 = 1_500;
 
-/// The partition of the batch topics that has a submission's records.
+/// The partition of the batch topics that holds a submission's records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Shard {
     number: u64,
@@ -164,7 +164,7 @@
         self.wait_until_started(&follower).await && self.load_records(id).await
     }
 
-    /// Waits until a shard is being followed: records loaded before that could leave a gap.
+    /// Waits until a shard is being followed: if records were loaded before that, later ones could be missed.
     async fn wait_until_started(&self, follower: &Follower<ShardFold>) -> bool {
         let started = async {
             loop {
@@ -258,7 +258,7 @@
     }
 }
 
-/// Marks a submission as being loaded.
+/// Marks a submission as being loaded until it is dropped.
 struct Loading<'v> {
     view: &'v LedgerView,
     id: &'v Arc<str>,
--- a/crates/borageshore_gateway/src/lifecycle.rs
+++ b/crates/borageshore_gateway/src/lifecycle.rs
@@ -21,15 +21,17 @@
 const STARTING_POLL_MS: u64 = 20;
 /// The time before the end of the grace period at which idle connections are closed.
 const CLOSE_MARGIN_MS: u64 = 1_500;
-/// The time before the end of the grace period that is reserved for closing, leaving and the exit of the process.
+/// The time before the end of the grace period that is reserved for closing connections, removing the presence record
+/// and exiting.
 const EXIT_MARGIN_MS: u64 = 900;
-/// The time until no peer lists this daemon's address any more.
+/// The time until peers no longer list the address of a draining daemon.
 const UNLIST_DELAY_MS: u64 = 200;
 /// The longest wait for open connections after the servers are closed.
 const CLOSE_TIMEOUT_MS: u64 = 300;
 /// The interval at which open connections are polled.
 const CLOSE_POLL_MS: u64 = 10;
-/// The timeout of the removal of the presence record; without it, others detect the end by missing heartbeats.
+/// The timeout of the removal of the presence record. If that fails, other daemons detect the exit by missing
+/// heartbeats.
 const LEAVE_TIMEOUT_MS: u64 = 300;
 
 /// The time limits of a drain.
@@ -83,7 +85,6 @@
         }
     }
 
-    /// The number of requests in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.in_flight.get()
     }
--- a/crates/borageshore_gateway/src/members/mod.rs
+++ b/crates/borageshore_gateway/src/members/mod.rs
@@ -50,9 +50,9 @@
 /// The result of a check of the daemons that this one watches.
 #[derive(Debug)]
 pub(crate) struct WatchCheck {
-    /// The addresses for its heartbeats; empty if it must not send any.
+    /// The addresses to which this daemon sends heartbeats; empty if it must not send any.
     pub(crate) watchers: Vec<Arc<str>>,
-    /// Newly suspected daemons.
+    /// Suspicions of the daemons whose heartbeats have just been found missing.
     pub(crate) silent: Vec<Suspicion>,
 }
 
@@ -161,7 +161,6 @@
         (own.name.clone(), own.incarnation)
     }
 
-    /// This daemon's name.
     pub(crate) fn own_name(&self) -> Arc<str> {
         self.own.borrow().name.clone()
     }
@@ -169,8 +168,8 @@
     /// Sets this daemon's state and publishes it at once.
     pub(crate) fn set_state(&self, state: PresenceState) {
         if std::mem::replace(&mut self.own.borrow_mut().state, state) != state {
-            // Applied before the record comes back from the store. Not while no other daemon is known: this one
-            // would take the work of all.
+            // Applied before the record is read back from the store, but not before the records of other daemons have
+            // been read: this one would take over the work of all.
             if self.table.borrow().is_known() {
                 let own = self.own.borrow().clone();
                 self.table.borrow_mut().on_presence(own);
@@ -180,7 +179,7 @@
         }
     }
 
-    /// Sets which work this daemon runs, and publishes it at once.
+    /// Sets the work that this daemon holds and publishes it at once.
     pub(crate) fn set_holds(&self, holds: Vec<Arc<str>>) {
         if self.own.borrow().holds != holds {
             self.own.borrow_mut().holds = holds;
@@ -210,7 +209,7 @@
             .count()
     }
 
-    /// The address of the daemon that answers reads of a submission: its holder, else the one that the rendezvous
+    /// The address of the daemon that serves requests about a submission: its holder, else the one that the rendezvous
     /// hash selects; `None` if that is this daemon.
     pub(crate) fn owner_address(&self, submission: &str) -> Option<Arc<str>> {
         let table = self.table.borrow();
--- a/crates/borageshore_gateway/src/members/writing.rs
+++ b/crates/borageshore_gateway/src/members/writing.rs
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Writes suspicions; unless refuted in time, their daemons are declared dead.
+    /// Writes suspicions; daemons that do not refute theirs in time are declared dead.
     pub(crate) async fn suspect(&self, store: &Store, silent: &[Suspicion]) {
         let record = |suspicion: &Suspicion| {
             let key = format!("{SUSPICION_PREFIX}{}", suspicion.name);
@@ -68,8 +68,8 @@
 
     /// Removes expired records of dead daemons.
     ///
-    /// The store keeps the newest record of each key forever, so a start would read the records of every VM that was
-    /// ever replaced.
+    /// Guards against slow starts: the store keeps the newest record of each key forever, so a starting daemon would
+    /// read the records of every VM that was ever replaced.
     pub(crate) async fn remove_expired(&self, store: &Store) -> Result<(), StoreError> {
         let expired = self.table.borrow().expired();
         let keys = expired
--- a/crates/borageshore_gateway/src/orderer.rs
+++ b/crates/borageshore_gateway/src/orderer.rs
@@ -1,4 +1,4 @@
-//! Orders engines to load the versions that trainers name, on one daemon at a time.
+//! Orders engines to load the versions that trainers name. One daemon at a time does so.
 
 use std::{cell::RefCell, pin::pin, rc::Rc, sync::Arc};
 
@@ -24,7 +24,7 @@
 const POLL_MS: u64 = 80;
 /// The delay of the first poll after an order, a little less than the 0.9 s that a load takes.
 const FIRST_POLL_MS: u64 = 800;
-/// An order that its engine has not carried out by then is dropped and may be sent again.
+/// An order that its engine has not carried out within this time is dropped and may be sent again.
 const ORDER_TIMEOUT_MS: u64 = 2_600;
 /// The longest pause between two rounds without pending orders.
 const IDLE_MS: u64 = 1_000;
@@ -35,7 +35,7 @@
     sent_at_ms: u64,
 }
 
-/// What the orderer needs of the rest of the daemon.
+/// Dependencies of [`Orderer`].
 #[derive(Debug)]
 pub(crate) struct OrdererParts {
     pub(crate) duties: Rc<Duties>,
@@ -106,8 +106,9 @@
 
     /// Plans the next orders; an engine without a report counts as not busy.
     ///
-    /// Loading engines are known by this daemon's orders and the engines' reports. Orders of followed rounds don't
-    /// count: after a restart of all daemons, the newest round, however old, would use up the limit of parallel loads.
+    /// An engine counts as loading if this daemon has a pending order to it or if it reports so. Orders in rounds read
+    /// from the store do not count: after a restart of all daemons, the newest round, however old, would use up the
+    /// limit of parallel loads.
     fn plan(
         &self,
         targets: &[EndpointTarget],
--- a/crates/borageshore_gateway/src/peers.rs
+++ b/crates/borageshore_gateway/src/peers.rs
@@ -1,5 +1,5 @@
-//! Forwards requests to other daemons: reads of a submission to its owner, submissions to a daemon that reaches the
-//! store.
+//! Forwards requests to other daemons: requests about a submission to its owner, new submissions to a daemon that can
+//! reach the store.
 
 use std::{cell::RefCell, sync::Arc};
 
@@ -13,13 +13,14 @@
     http::request::Parts,
 };
 
-/// The header of a forwarded request, which is not forwarded again.
+/// The header that marks a forwarded request, so that it is not forwarded again.
 pub(crate) const FORWARDED_HEADER: &str = "borageshore-passed-on";
 /// The connect timeout; peers are a few ms away.
 const CONNECT_TIMEOUT_MS: u64 = 200;
 /// The time that a response may take beyond the wait that the caller asked for.
 const ANSWER_SLACK_MS: u64 = 600;
-/// How long a peer that did not respond is avoided. Longer than the second or so in which its death is detected.
+/// How long a peer that did not respond is avoided. Longer than the detection of its death takes, which is about a
+/// second.
 const AVOID_MS: u64 = 2_000;
 
 /// The time that a peer may take to write a submission to the store.
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Forwards a read; `None` if the peer gives no definite response.
+    /// Forwards a request about a submission; `None` if the peer gives no definite response.
     pub(crate) async fn ask(
         &self,
         address: &Arc<str>,
--- a/crates/borageshore_gateway/src/progress.rs
+++ b/crates/borageshore_gateway/src/progress.rs
@@ -19,21 +19,22 @@
 
 /// The minimum interval at which new events are saved; a crash loses the events since the last save.
 const SAVE_INTERVAL_MS: u64 = 250;
-/// The interval for each daemon that runs submissions: it keeps the total of all of them constant from ten daemons
-/// on, at 80 appends a second at most.
+/// The interval per daemon that runs submissions. From ten daemons on, it keeps the appends of all of them together at
+/// a constant rate, at most 80 a second.
 const SAVE_INTERVAL_MS_PER_HOLDER: u64 = 25;
-/// The minimum number of events of a text to save; fewer are generated again within the time of a takeover.
+/// The minimum number of events for a text to be saved; fewer are generated again within the time that a takeover
+/// takes.
 const MIN_EVENTS: usize = 10;
-/// The bytes a second that all daemons together save: the store keeps at least 20 s of history, and 400 MB in
+/// The maximum bytes a second that all daemons together save: the store keeps at least 20 s of history, and 400 MB in
 /// all topics.
 const MAX_TOTAL_BYTES_PER_S: usize = 6_000_000;
 /// The maximum bytes of events in a record: the store's limit is 256 KiB, and the encoding may double the size of
-/// quotes and line ends. A text with more unsaved events, as in an outage of the store, is no longer saved: a
-/// part of its events could not be matched to the versions that generated them. Most texts have 9 to 65 kB.
+/// quotes and line breaks. A text with more unsaved bytes, as in an outage of the store, is no longer saved: if only a
+/// part of its events were, they could not be matched to the versions that generated them. Most texts have 9 to 65 kB.
 const MAX_RECORD_BYTES: usize = 100_000;
-/// The number of last records of a shard in which a reader looks for the offset of the oldest needed piece: eight
-/// seconds of one daemon's records, or four if two write to the same shard. Must be enough to find the last
-/// records of an owner whose death was detected some seconds later.
+/// The number of records at the end of a shard in which a reader looks for the offset of the oldest needed piece: eight
+/// seconds of one daemon's records, or four if two write to the same shard. It must be enough to find the last records
+/// of an owner whose death was detected some seconds later.
 const TAIL_RECORDS: u64 = 32;
 
 /// The run of an item whose text is being saved.
@@ -54,7 +55,8 @@
         self.unsaved.iter().map(Bytes::len).sum()
     }
 
-    /// Whether its unsaved events are to be saved: a text with few events is only if others of it were saved.
+    /// Whether its unsaved events are to be saved: fewer than `MIN_EVENTS` only if earlier events of the text were
+    /// saved.
     fn is_due(&self) -> bool {
         let is_worth_storing = self.unsaved.len() >= MIN_EVENTS || self.first_offset.is_some();
         is_worth_storing && !self.unsaved.is_empty()
@@ -63,14 +65,14 @@
 
 /// Saves and restores unfinished texts.
 ///
-/// Guards against a slow step after the death of the daemon that runs it. Only a new owner reads what is saved;
-/// texts that are missing, or that cannot be read during an outage of the store, restart.
+/// Guards against a step that takes much longer because the daemon that runs it dies. Only a new owner reads what is
+/// saved; texts that are missing, or that cannot be read during an outage of the store, restart.
 #[derive(Debug)]
 pub(crate) struct Progress {
     store: Store,
     clock: Clock,
     members: Rc<Members>,
-    /// The name of this process, unique over all processes ever started.
+    /// The name of this process, unique among all processes ever started.
     author: Arc<str>,
     partitions: u64,
     is_enabled: bool,
--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -1,8 +1,8 @@
 //! Quarantine of requests that crash their endpoints, shared by all daemons: crash reports, holds, and the trial that
 //! shows whether a request still crashes endpoints.
 //!
-//! Crashes, trial claims and clearances are records of the members topic, which every daemon follows anyway: there is
-//! no traffic without crashes, and a daemon learns the holds at its start. The first claim in the log wins.
+//! Crashes, trial claims and clearances are records of the members topic, which every daemon follows anyway: without
+//! crashes there is no extra traffic, and a starting daemon reads the holds. The first claim in the log wins.
 
 mod records;
 mod reporting;
@@ -37,10 +37,10 @@
 /// How long a caller waits for a trial claim to be stored and read back.
 const CLAIM_TIMEOUT_MS: u64 = 400;
 /// How long after its start a daemon delays requests until the holds are read. It serves without them after that: in a
-/// store outage, refusing every request would cost more than the few that crash endpoints.
+/// store outage, refusing every request would do more harm than the few that crash endpoints.
 const MAX_START_WAIT_MS: u64 = 1_000;
 
-/// The request is held back and may not be sent now.
+/// A refusal to send a request now, because it is held back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Held {
     /// Time until the request may be tried again, in ms.
@@ -123,7 +123,8 @@
 
     /// Waits until the holds are read, or until [`MAX_START_WAIT_MS`] after the daemon's start.
     ///
-    /// The daemon reports readiness without this wait, as other daemons wait for it after a full stop.
+    /// The daemon reports readiness without this wait, because other daemons wait for it to be ready after a stop of
+    /// all daemons.
     async fn wait_until_known(&self) {
         let left_ms = MAX_START_WAIT_MS.saturating_sub(self.clock.now_ms());
         if !self.is_known.get() && left_ms > 0 {
@@ -173,7 +174,8 @@
         self.table.borrow().is_empty() || self.verdict(&content()) == Verdict::Allowed
     }
 
-    /// Follows endpoints that end unannounced: attempts abandoned there shortly before are suspects.
+    /// Watches for endpoints that end without notice; requests whose attempts were abandoned there shortly before are
+    /// suspected.
     async fn follow_endpoint_ends(self: Rc<Self>, endpoints: Rc<Endpoints>) {
         loop {
             endpoints.has_ended.notified().await;
--- a/crates/borageshore_gateway/src/quarantine/reporting.rs
+++ b/crates/borageshore_gateway/src/quarantine/reporting.rs
@@ -1,4 +1,5 @@
-//! Propagation of crash reports and clearances: through the store, and among peers while the store is slow or away.
+//! Propagation of crash reports and clearances: through the store, and among peers while the store is slow or
+//! unreachable.
 
 use std::{pin::pin, rc::Rc, sync::Arc};
 
@@ -31,7 +32,8 @@
 /// Interval between messages to peers, which bounds the control traffic of a daemon.
 const PEER_MESSAGE_INTERVAL_MS: u64 = 300;
 const MAX_REPORTS_PER_MESSAGE: usize = 8;
-/// Bound of each peer queue. Of crash reports the oldest are dropped, as the newest are the most useful.
+/// The capacity of each queue for peers. A full queue drops the oldest crash reports, as the newest are the most
+/// useful, but new clearances.
 const MAX_PENDING_PEER_REPORTS: usize = 64;
 const PEER_TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 200,
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Writes what the budget permits now; returns whether there was anything and the store accepted it.
+    /// Writes what the budget permits now; returns whether there was anything to write and the store accepted it.
     async fn write_batch(&self) -> bool {
         let daemons = self.members.count() as u64;
         let reports = {
@@ -143,7 +145,7 @@
                     break;
                 }
                 let peers = self.members.pick_peer_addresses(PEER_FANOUT);
-                // Clearances are sent last, as they overrule crash reports that were sent before.
+                // Clearances are sent last, because they override crash reports that were sent before.
                 if !reports.is_empty() {
                     post_to_peers(&http, &peers, CRASHES_PATH, &encode_reports(&reports)).await;
                 }
--- a/crates/borageshore_gateway/src/quarantine/trials.rs
+++ b/crates/borageshore_gateway/src/quarantine/trials.rs
@@ -65,7 +65,7 @@
             at_ms: self.unix_ms(),
         };
         let records = [encode_trial(&trial_record)];
-        // Cancels the claim if dropped without a send, also one that the store accepts late.
+        // If dropped without a send, it cancels the claim, even one that the store accepts late.
         let trial = Trial {
             quarantine: self.clone(),
             trial_record: trial_record.clone(),
@@ -103,8 +103,8 @@
 
     /// Begins a trial without a claim in the store.
     ///
-    /// Guards against a harmless request that is refused for the whole of a store outage. Only one daemon tries each
-    /// request, as far as the daemons agree on who is alive.
+    /// Guards against a harmless request that is refused throughout a store outage. Only one daemon tries each request,
+    /// provided that the daemons agree on which of them are alive.
     fn start_trial_without_store(&self, trial: Trial) -> Permit {
         let trial_record = &trial.trial_record;
         log::info!(content:% = trial_record.content; "a request that is held back is tried without the store");
@@ -120,7 +120,7 @@
         Permit { trial: Some(trial) }
     }
 
-    /// The endpoints that a trial must avoid: another request may be crashing them.
+    /// The endpoints that crashed recently. A trial must avoid them, as another request may be crashing them.
     pub(crate) fn crashed_lately(&self) -> Vec<Arc<str>> {
         self.table.borrow().crashed_lately(self.unix_ms())
     }
--- a/crates/borageshore_gateway/src/rewards.rs
+++ b/crates/borageshore_gateway/src/rewards.rs
@@ -32,7 +32,7 @@
 pub(crate) enum Reward {
     /// The score: the signature in the endpoint's response.
     Score(Arc<str>),
-    /// Every permitted attempt failed.
+    /// Every permitted attempt failed, or the call was still held at its deadline.
     Failed,
 }
 
@@ -122,7 +122,7 @@
         }
     }
 
-    /// One attempt: the score, the status of a response without one, or `None` if there was no response.
+    /// Makes one attempt. Returns the score, the status of a response without a score, or `None` without a response.
     async fn attempt(
         &self,
         route: &Route,
--- a/crates/borageshore_gateway/src/routes.rs
+++ b/crates/borageshore_gateway/src/routes.rs
@@ -22,7 +22,7 @@
 pub(crate) struct Routes {
     table: RefCell<Rc<RouteTable>>,
     is_known: Cell<bool>,
-    /// Whether the newest record could not be decoded: its changes to keys are then unknown.
+    /// Whether a record since the routes in force could not be decoded: it may have changed keys.
     is_unreadable: Cell<bool>,
     named_versions: RefCell<Vec<ModelVersion>>,
     /// Notified when a trainer requests a version.
@@ -35,7 +35,7 @@
         self.is_known.get()
     }
 
-    /// Whether the newest routes could be decoded.
+    /// Whether routes are in force and no later record failed to decode.
     pub(crate) fn is_latest_readable(&self) -> bool {
         self.is_known() && !self.is_unreadable.get()
     }
--- a/crates/borageshore_gateway/src/runner.rs
+++ b/crates/borageshore_gateway/src/runner.rs
@@ -21,7 +21,7 @@
     submission_index::{OpenSubmission, SubmissionIndex},
 };
 
-/// The interval at which ownership is checked while submissions are open; the death of a daemon notifies nobody.
+/// The interval at which ownership is checked while submissions are open; the death of a daemon causes no notification.
 const RECHECK_INTERVAL_MS: u64 = 250;
 
 /// The pause before a failed read of a submission's records is retried.
@@ -54,9 +54,9 @@
 
 /// Runs the open submissions that this daemon owns.
 ///
-/// Each daemon derives ownership from its own view of the live members. Two owners for a moment run an item
-/// twice, which is safe as the ledger takes the first result; without an owner the submission waits. So ownership
-/// needs no lease, and a takeover waits for the failure detector only.
+/// Each daemon derives ownership from its own view of the live members. Two daemons that own a submission for a moment
+/// run its items twice, which is safe because the ledger takes the first result; a submission without an owner waits.
+/// So ownership needs no lease, and a takeover waits only for the failure detector.
 #[derive(Debug)]
 pub(crate) struct Runner {
     view: Rc<LedgerView>,
@@ -65,7 +65,7 @@
     context: Rc<ItemContext>,
     running: RefCell<SortedMap<Arc<str>, Rc<Cancel>>>,
     loading: RefCell<Vec<Arc<str>>>,
-    /// The open submissions, and where their texts may be.
+    /// Where the texts of each open submission may be.
     origins: RefCell<SortedMap<Arc<str>, Origin>>,
     /// Whether the index was loaded at the last call of `update_origins`.
     has_read_index: Cell<bool>,
@@ -139,7 +139,7 @@
         let own: Vec<&OpenSubmission> = open.iter().filter(is_own).collect();
         self.update_origins(&open, &own);
         self.running.borrow_mut().retain(|id, cancel| {
-            // `None` after records may have been missed; the items go on until the submission is loaded again.
+            // `None` if records may have been missed; the items continue until the submission is loaded again.
             let is_open = self.view.with_loaded(id, SubmissionState::is_open);
             let is_own = own.iter().any(|known| known.id == *id);
             let keeps_running = is_own && is_open.unwrap_or(true);
@@ -183,8 +183,8 @@
         held
     }
 
-    /// Updates where the texts of each open submission may be: one that this daemon owns as soon as it appears
-    /// in the index was not run before.
+    /// Updates where the texts of each open submission may be: a submission that this daemon owns as soon as it appears
+    /// in the index was not run by another process.
     fn update_origins(&self, open: &[OpenSubmission], own: &[&OpenSubmission]) {
         let has_read_index = self.has_read_index.replace(self.index.is_known());
         let mut origins = self.origins.borrow_mut();
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Restores a submission's saved texts, unless that is already under way.
+    /// Restores a submission's saved texts, unless that is already in progress.
     fn restore(self: &Rc<Self>, id: &Arc<str>) {
         if self.restoring.borrow().contains(id) {
             return;
@@ -238,7 +238,7 @@
         });
     }
 
-    /// Loads a submission's records, unless that is already under way.
+    /// Loads a submission's records, unless that is already in progress.
     fn load(self: &Rc<Self>, id: &Arc<str>) {
         if self.loading.borrow().contains(id) {
             return;
--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -41,7 +41,8 @@
 /// The size limit of a request body, as on the platform.
 const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
 
-/// The number of peers that are asked to accept a submission; a store that refuses some VMs refuses about a third.
+/// The number of peers that are asked to accept a submission. When the store refuses only some VMs, these are about a
+/// third.
 const MAX_SUBMIT_PEERS: usize = 2;
 
 /// The limits on requests of callers and peers.
@@ -147,7 +148,8 @@
         }
     }
 
-    /// Forwards a request about a submission to its owner. `None` if this daemon is to serve it from the store.
+    /// Forwards a request about a submission to its owner. Returns `None` if this daemon should serve it from the
+    /// store.
     async fn ask_owner(
         &self,
         submission: &str,
--- a/crates/borageshore_gateway/src/store_transport.rs
+++ b/crates/borageshore_gateway/src/store_transport.rs
@@ -105,8 +105,8 @@
         answer
     }
 
-    /// Makes a call through a peer. If none returns the store's answer, returns the least certain failure; `None`
-    /// without peers.
+    /// Makes a call through a peer. If none returns the store's answer, returns the failure that is least certain to
+    /// have had no effect; `None` if there are no peers.
     async fn call_via_peer(&self, call: &StoreCall) -> Option<CallResult> {
         let peers: Vec<Arc<str>> = self.inner.peers.borrow().clone();
         let call = StoreCall {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Tries the direct route, then peers for a call that has no answer.
+    /// Tries the direct route, then peers if the call has no answer and may be repeated.
     async fn call_direct_first(&self, call: &StoreCall) -> CallResult {
         let has_peers = !self.inner.peers.borrow().is_empty();
         let direct_call = StoreCall {
@@ -235,8 +235,8 @@
     }
 }
 
-/// The result that decides a call tried twice: an answer if there is one, else an unknown outcome before a refusal,
-/// as the attempt with the unknown outcome may have taken effect.
+/// The result of a call that was tried on two routes: an answer if there is one, else an unknown outcome before a
+/// refusal, as the attempt with the unknown outcome may have taken effect.
 fn dominant_result(first: CallResult, second: Option<CallResult>) -> CallResult {
     match second {
         Some(second) if outcome_of(&second).takes_precedence_over(outcome_of(&first)) => second,
--- a/crates/borageshore_gateway/src/submission_index.rs
+++ b/crates/borageshore_gateway/src/submission_index.rs
@@ -17,7 +17,7 @@
     store_transport::Store,
 };
 
-/// A submission that is not ended.
+/// A submission that has not been ended.
 #[derive(Debug, Clone)]
 pub(crate) struct OpenSubmission {
     pub(crate) id: Arc<str>,
@@ -53,7 +53,7 @@
         self.is_known.get()
     }
 
-    /// The submissions that are not ended.
+    /// The submissions that have not been ended.
     pub(crate) fn open_submissions(&self) -> Vec<OpenSubmission> {
         let entries = self.entries.borrow();
         let open = entries.iter().filter(|(_, entry)| !entry.is_ended);
@@ -101,7 +101,7 @@
         self.write(&submission.id, Some(&entry)).await
     }
 
-    /// Marks a submission as ended. If that fails, the submission's owner repeats it.
+    /// Marks a submission as ended. If that fails, the submission's owner retries it.
     pub(crate) async fn mark_ended(&self, id: &Arc<str>) {
         let entry = self.entries.borrow().get(id).cloned();
         let Some(entry) = entry else {
--- a/crates/borageshore_gateway/src/submissions.rs
+++ b/crates/borageshore_gateway/src/submissions.rs
@@ -18,15 +18,15 @@
     submission_index::SubmissionIndex,
 };
 
-/// The maximum age of a view from which readers are told that there is nothing. All daemons must show a result
-/// one second after the first did so; the other half of that second is for delivery of the response.
+/// The maximum age of a view from which a read is answered without results. Every daemon must show a result within one
+/// second after the first one has shown it; half of that second is left for the delivery of the response.
 const MAX_VIEW_AGE_MS: u64 = 500;
 /// The longest wait of a read for a result.
 const MAX_WAIT_MS: u64 = 5_000;
-/// Retry-after of a read that failed as the view may be too old.
+/// The retry delay given to a reader when this daemon's view may be too old.
 const READ_RETRY_AFTER_MS: u64 = 300;
-/// Retry-after of a submission that the store did not take: outages of the store last for seconds, and another
-/// daemon may reach it.
+/// The retry delay given for a submission that the store did not accept. Outages of the store last for seconds, but
+/// another daemon may reach it sooner.
 const SUBMIT_RETRY_AFTER_MS: u64 = 250;
 /// The maximum bytes of one append; the store's limit is 2 MiB.
 const MAX_APPEND_BYTES: usize = 1_500_000;
@@ -119,8 +119,8 @@
         self.view.with_loaded(id, is_accepted).unwrap_or(false)
     }
 
-    /// Appends a record whose repetition is idempotent. A large one takes several appends; it takes effect with
-    /// its last chunk.
+    /// Appends a record; appending it again has no further effect. A large record needs several appends and takes
+    /// effect with its last chunk.
     async fn append(&self, record: &LedgerRecord) -> Result<(), StoreError> {
         let shard = Shard::of(record.submission(), self.partitions);
         let mut batch: Vec<(Arc<str>, Bytes)> = Vec::new();
@@ -147,7 +147,8 @@
         appended.map(|_| ())
     }
 
-    /// Responds with the results from position `after` on; waits up to `wait_ms` if there are none yet.
+    /// Responds with the results from position `after` on; waits up to `wait_ms`, limited by `MAX_WAIT_MS`, if there
+    /// are none yet.
     ///
     /// "No such submission" is only reported after a new read of the store: the view may be older than a
     /// submission that was accepted by another daemon a moment ago.
@@ -189,7 +190,8 @@
         self.view.load(id).await && self.view.confirm(id, MAX_VIEW_AGE_MS).await
     }
 
-    /// A page of results; `None` if the submission is not loaded, or if there are none and not `allow_empty`.
+    /// A page of results; `None` if the submission is not loaded, or if there are no results and `allow_empty` is
+    /// false.
     fn page(&self, id: &str, after: usize, allow_empty: bool) -> Option<EdgeResponse> {
         let page = |state: &SubmissionState| {
             let total = state.submission()?.items.len();
--- a/crates/borageshore_gateway/src/text_cache.rs
+++ b/crates/borageshore_gateway/src/text_cache.rs
@@ -5,7 +5,7 @@
 use borageshore_base::SortedMap;
 use borageshore_batch::Text;
 
-/// The maximum number of cached items: those of two steps of three trainers, with some 9 kB of text each.
+/// The maximum number of cached items: those of two steps of three trainers, with about 9 kB of text each.
 const MAX_ITEMS: usize = 1_000;
 
 /// The cached texts of an item.
@@ -88,12 +88,12 @@
 }
 
 impl CachedText {
-    /// The text.
+    /// The text, empty if none was cached.
     pub(crate) fn text(&mut self) -> &mut Text {
         self.text.get_or_insert_default()
     }
 
-    /// Removes the text from the cache for good and returns it.
+    /// Returns the text without putting it back into the cache.
     pub(crate) fn remove(mut self) -> Text {
         self.text.take().unwrap_or_default()
     }
--- a/crates/borageshore_gateway/src/usage/counter.rs
+++ b/crates/borageshore_gateway/src/usage/counter.rs
@@ -16,8 +16,8 @@
 use super::records::{Author, total_record};
 use crate::{members::Members, store_transport::Store, true_time::SharedTime};
 
-/// The pause between two appends, for each live daemon: all together make at most 200 appends a second. A daemon that
-/// is killed loses the counts of one pause.
+/// The pause between two appends, per live daemon, so that all daemons together make at most 200 appends a second. A
+/// daemon that is killed loses the counts of one pause.
 const PAUSE_MS_PER_DAEMON: u64 = 5;
 /// The minimum pause between two appends.
 const MIN_PAUSE_MS: u64 = 50;
@@ -136,8 +136,8 @@
     }
 }
 
-/// A request of an organisation. It is counted once, when dropped, in the window in which its first attempt began that
-/// ran or may have run.
+/// A request of an organisation. It is counted once, when dropped, in the window in which the first attempt that ran or
+/// may have run began.
 #[derive(Debug)]
 pub(crate) struct RequestUsage {
     /// The counter and the organisation; `None` if the request is not counted.
--- a/crates/borageshore_gateway/src/usage/reporter.rs
+++ b/crates/borageshore_gateway/src/usage/reporter.rs
@@ -13,7 +13,7 @@
 /// The interval between checks for a due report; also the pause before a refused one is sent again.
 const POLL_INTERVAL_MS: u64 = 250;
 
-/// What the reporter needs of the rest of the daemon.
+/// Dependencies of [`Reporter`].
 #[derive(Debug)]
 pub(crate) struct ReporterParts {
     pub(crate) timing: UsageTiming,
--- a/crates/borageshore_gateway/src/usage/view.rs
+++ b/crates/borageshore_gateway/src/usage/view.rs
@@ -50,7 +50,8 @@
     }
 }
 
-/// The totals of all partitions. Only the holder follows them, as they would be most of what a daemon reads.
+/// The totals of all partitions. Only the holder of the duty follows them, because they would be most of what a daemon
+/// reads.
 #[derive(Debug)]
 pub(super) struct UsageView {
     store: Store,
@@ -98,7 +99,7 @@
         all
     }
 
-    /// Removes totals of windows before `first` from the store.
+    /// Removes totals of windows before `first` from the store, up to [`KEYS_PER_APPEND`] per partition.
     pub(super) async fn remove_before(&self, first: Window) {
         for (partition, fold) in (0..).zip(&self.folds) {
             fold.totals.borrow_mut().forget_before(first);
--- a/crates/borageshore_gateway/src/writer.rs
+++ b/crates/borageshore_gateway/src/writer.rs
@@ -21,7 +21,7 @@
 #[derive(Debug)]
 pub(crate) struct Writer {
     store: Store,
-    /// The name of this process, unique over all processes ever started.
+    /// The name of this process, unique among all processes ever started.
     author: String,
     queues: Vec<Queue>,
     partitions: u64,
