--- a/crates/borageshore_membership/src/entry.rs
+++ b/crates/borageshore_membership/src/entry.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The state of a daemon as it announces it, or as its zone declares it.
+/// The state of a daemon, as announced by itself or declared by another daemon of its zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
--- a/crates/borageshore_membership/src/gossip.rs
+++ b/crates/borageshore_membership/src/gossip.rs
@@ -13,7 +13,7 @@
 const REMOTE_FANOUT: usize = 1;
 /// The maximum number of full entries in a message before the rotating ones, including the sender's own.
 const ENTRIES_PER_MESSAGE: usize = 12;
-/// Full entries that are sent in rotation, which repairs changes whose messages were all lost.
+/// The number of full entries sent in rotation, which makes up for changes whose messages were all lost.
 const ROTATING_ENTRIES: usize = 1;
 /// The maximum number of heartbeats in a message.
 const HEARTBEATS_PER_MESSAGE: usize = 16;
--- a/crates/borageshore_membership/src/members.rs
+++ b/crates/borageshore_membership/src/members.rs
@@ -89,7 +89,7 @@
         self.own.counter += 1;
     }
 
-    /// Advances the time to `now_ms`, counts a heartbeat of this daemon and declares silent ones dead.
+    /// Advances the time to `now_ms`, counts a heartbeat of this daemon and declares silent daemons dead.
     ///
     /// Guards against declaring others dead after a pause of this process (SIGSTOP, a stalled VM): the
     /// length of the gap between two ticks is added to all deadlines.
@@ -111,8 +111,8 @@
 
     /// Declares silent daemons of this zone dead, which gossip spreads to all daemons.
     ///
-    /// Guards against an isolated observer: if more than half of the zone is silent, this daemon is the
-    /// likelier fault, so nothing is declared. `health` still reports them as dead.
+    /// Guards against an isolated observer: if more than half of the zone is silent, the fault is more likely this
+    /// daemon's own, so nothing is declared. `health` still reports them as dead.
     fn declare_dead(&mut self, now_ms: u64) {
         let zone = self.own.zone.clone();
         let in_zone =
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Extra time for heartbeats of other zones, which arrive less often the more daemons there are.
+    /// The extra time allowed for heartbeats of other zones, which arrive less often the more daemons there are.
     fn remote_slack_ms(&self, member: &Member) -> u64 {
         if member.entry.zone == self.own.zone {
             return 0;
--- a/crates/borageshore_membership/src/presence.rs
+++ b/crates/borageshore_membership/src/presence.rs
@@ -9,14 +9,14 @@
 
 /// The minimum interval between two records of a daemon whose state has not changed.
 const MIN_RECORD_INTERVAL_MS: u64 = 500;
-/// The interval grows by this with the square of the number of daemons. Every daemon reads every record, so this
-/// bounds the reads of all daemons together to 250 a second.
+/// The record interval is this times the square of the number of daemons. Every daemon reads every record, so this
+/// limits all daemons together to 250 record reads a second.
 const RECORD_INTERVAL_PER_PAIR_MS: u64 = 4;
 /// How many record intervals may pass without a record before a daemon counts as dead.
 const MAX_MISSED_RECORDS: u64 = 3;
 /// The allowance for delayed appends and for the interval between reads of the log.
 const READ_DELAY_ALLOWANCE_MS: u64 = 300;
-/// The limit by which one read of the log advances the clock that record ages are measured on.
+/// The maximum by which one read of the log advances the clock on which the age of records is measured.
 const MAX_CLOCK_STEP_MS: u64 = 600;
 /// How long a suspected daemon has to refute the suspicion before it counts as dead. Guards against work that is
 /// taken over, and done twice, because of a false suspicion.
@@ -75,9 +75,9 @@
 
 /// All known daemons, from their own records and their watchers' suspicions.
 ///
-/// A daemon counts as dead if a suspicion is not refuted within [`SUSPICION_TIMEOUT_MS`], or if its records stop.
-/// The age of records is measured on a clock that only successful reads of the log advance, by a bounded step each.
-/// Guards against declaring all daemons dead after an outage of the log or a pause of this process.
+/// A daemon counts as dead if a suspicion is not refuted within [`SUSPICION_TIMEOUT_MS`], or if its records stop. The
+/// age of records is measured on a clock that only successful reads of the log advance, by a bounded step each. This
+/// guards against declaring all daemons dead after an outage of the log or a pause of this process.
 #[derive(Debug, Default)]
 pub struct PresenceTable {
     daemons: SortedMap<Arc<str>, KnownDaemon>,
@@ -98,7 +98,7 @@
         self.advance(now_ms);
     }
 
-    /// Advances the time to `now_ms`; returns whether a suspicion has timed out since the last call.
+    /// Advances the time to `now_ms`; returns whether a suspicion has timed out since the time was last advanced.
     pub fn advance(&mut self, now_ms: u64) -> bool {
         let before_ms = std::mem::replace(&mut self.now_ms, now_ms);
         let died = |daemon: &KnownDaemon| daemon.is_dead(now_ms) && !daemon.is_dead(before_ms);
--- a/crates/borageshore_membership/src/store_failover.rs
+++ b/crates/borageshore_membership/src/store_failover.rs
@@ -1,10 +1,10 @@
-//! Failover of calls to the store: directly, or through a peer while the store does not answer this daemon.
+//! Failover of calls to the store, which go through a peer while the store does not answer this daemon directly.
 
-/// The interval at which idempotent calls probe the direct route while calls go through peers. A failed probe
-/// costs up to the time limit of a call.
+/// The interval at which idempotent calls probe the direct route while calls go through peers. A failed probe takes up
+/// to the timeout of a call.
 pub const PROBE_INTERVAL_MS: u64 = 2_000;
-/// The maximum age of the last direct success for a daemon to forward calls of peers. Exceeds the interval at
-/// which waiting reads are answered.
+/// The maximum age of the last direct success for a daemon to forward calls of peers. It exceeds the interval at which
+/// waiting reads are answered.
 const MAX_SUCCESS_AGE_MS: u64 = 1_500;
 /// Peers are asked only if the store has not answered directly for this long.
 const MIN_SILENCE_MS: u64 = 600;
@@ -92,8 +92,8 @@
 
     /// Whether a call that failed directly may be sent to a peer.
     ///
-    /// Guards against keeping an overloaded store overloaded: it rejects some calls of every daemon, and each of
-    /// them would be sent again through a peer.
+    /// Guards against extra load on an overloaded store: it rejects some calls of every daemon, and each of them would
+    /// be sent again through a peer.
     pub fn may_ask_peers(&self, now_ms: u64) -> bool {
         let is_silent = |at_ms: u64| now_ms >= at_ms + MIN_SILENCE_MS;
         self.failures >= MIN_FAILURES && self.last_success_ms.is_some_and(is_silent)
--- a/crates/borageshore_membership/src/watch.rs
+++ b/crates/borageshore_membership/src/watch.rs
@@ -14,7 +14,7 @@
 
 /// The interval between two heartbeats of a daemon to each of its watchers.
 pub const HEARTBEAT_INTERVAL_MS: u64 = 200;
-/// How many daemons watch each daemon. A new watcher is needed only if all of them fail together with it.
+/// How many daemons watch each daemon. Its failure is left to new watchers only if all of them fail together with it.
 const WATCHERS_PER_DAEMON: usize = 3;
 /// A daemon is suspected this long after its last heartbeat; up to three lost datagrams are tolerated.
 const HEARTBEAT_TIMEOUT_MS: u64 = 700;
@@ -23,17 +23,17 @@
 const WATCHER_STAGGER_MS: u64 = 80;
 /// The timeout of a new watcher for the first heartbeat, as the watched daemon may learn of the watcher later.
 const FIRST_HEARTBEAT_TIMEOUT_MS: u64 = 2_000;
-/// The upper bound of the timeout, which doubles with each suspicion that is refuted without a heartbeat. Limits
-/// false suspicions of live daemons whose datagrams are lost.
+/// The upper bound of the timeout, which doubles with each suspicion that is refuted without a heartbeat. The backoff
+/// limits false suspicions of live daemons whose datagrams are lost.
 const MAX_HEARTBEAT_TIMEOUT_MS: u64 = 30_000;
 /// Checks that are further apart than the heartbeat interval plus this mean that the watcher's process or VM was
 /// paused. Heartbeats that arrived meanwhile are still in its socket buffer.
 const STALL_THRESHOLD_MS: u64 = 200;
 
-/// A daemon stops its heartbeats after this time without an answer of the log, so that its work moves to a daemon
-/// that can store results. Leaves time for slow answers and for failover to a peer.
+/// A daemon stops its heartbeats after this time without an answer from the log, so that its work moves to a daemon
+/// that can store results. Long enough for slow answers and for failover to a peer.
 pub const HEARTBEAT_LOG_TIMEOUT_MS: u64 = 3_000;
-/// A watcher raises no suspicions after this time without an answer of the log. Exceeds the interval at which
+/// A watcher raises no suspicions after this time without an answer from the log. It exceeds the interval at which
 /// waiting reads are answered.
 pub const WATCHER_LOG_TIMEOUT_MS: u64 = 1_500;
 
--- a/crates/borageshore_membership/tests/watch.rs
+++ b/crates/borageshore_membership/tests/watch.rs
@@ -233,7 +233,7 @@
         panic!("not noticed within {within_ms} ms")
     }
 
-    /// The daemons that running ones consider dead, each with the number of these.
+    /// The daemons that running daemons consider dead, each with the number of daemons that do so.
     fn declared_dead(&self) -> BTreeMap<Arc<str>, usize> {
         let mut dead = BTreeMap::new();
         for daemon in self
