--- a/crates/borageshore_routing/src/abandoned_attempts.rs
+++ b/crates/borageshore_routing/src/abandoned_attempts.rs
@@ -43,8 +43,8 @@
         });
     }
 
-    /// Removes and returns the requests that an endpoint had recently when it ended, each with whether it was
-    /// a trial.
+    /// Removes and returns the requests whose attempts at an endpoint were abandoned shortly before it ended, each with
+    /// whether it was a trial.
     pub fn on_endpoint_ended(&mut self, instance: &str, now_ms: u64) -> Vec<(Fingerprint, bool)> {
         let is_of_instance = |attempt: &mut AbandonedAttempt| &*attempt.instance == instance;
         let ended = self.attempts.extract_if(.., is_of_instance);
--- a/crates/borageshore_routing/src/admission.rs
+++ b/crates/borageshore_routing/src/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control: which request of a service starts, waits or is refused.
+//! Admission control: which requests of a service start, wait or are refused.
 
 use std::sync::Arc;
 
--- a/crates/borageshore_routing/src/choice.rs
+++ b/crates/borageshore_routing/src/choice.rs
@@ -13,7 +13,7 @@
 /// Penalty of an endpoint in another availability zone, in percent of its slots.
 const CROSS_ZONE_COST_PERCENT: u64 = 25;
 
-/// The properties of a request that its endpoint is chosen by.
+/// The properties of a request by which its endpoint is chosen.
 #[derive(Debug, Clone, Copy)]
 pub struct ChoiceRequest<'r> {
     /// The service.
--- a/crates/borageshore_routing/src/crash_reports.rs
+++ b/crates/borageshore_routing/src/crash_reports.rs
@@ -1,4 +1,4 @@
-//! The crash reports that a daemon has not sent to the other daemons yet, with a rate limit on all daemons together.
+//! The crash reports that a daemon has not sent to the other daemons yet, with a rate limit for all daemons together.
 
 use crate::{
     fingerprint::Fingerprint,
@@ -13,11 +13,11 @@
 /// Capacity of the queue. The loss of a zone causes more reports, but most of these requests succeed
 /// elsewhere meanwhile.
 const MAX_WAITING: usize = 256;
-/// The cost of one report in tokens of a thousandth, so that the small share of each daemon adds up in a
-/// large deployment.
+/// The cost of one report in thousandths of a token, so that the small share of each daemon in a large deployment is
+/// not rounded to zero.
 const REPORT_MILLI: u64 = 1_000;
 
-/// A crash that other daemons are told of.
+/// A crash, as reported to the other daemons.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashReport {
     /// The fingerprint of the request.
@@ -73,8 +73,8 @@
         dropped.map(|report| report.crash).collect()
     }
 
-    /// Takes the reports that may be sent now, those of the requests with most crashes first. The rate limit
-    /// is divided by `daemons`.
+    /// Takes the reports that may be sent now, those of the requests with the most crashes first. The rate limit is
+    /// divided by `daemons`.
     pub fn take(&mut self, quarantine: &Quarantine, daemons: u64, now_ms: u64) -> Vec<CrashReport> {
         self.refill(daemons, now_ms);
         let count = (self.tokens_milli / REPORT_MILLI) as usize;
--- a/crates/borageshore_routing/src/endpoint.rs
+++ b/crates/borageshore_routing/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! The endpoints that a daemon observes: load, failure rate and outlier ejection.
+//! The endpoints that a daemon observes, with their load, failure rate and outlier ejection.
 
 use std::sync::Arc;
 
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Counts a request that ended without saying anything about the endpoint's health.
+    /// Counts a request that ended without evidence about the endpoint's health.
     pub fn on_cancelled(&mut self, name: &str) {
         if let Some(endpoint) = self.endpoints.get_mut(name) {
             endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
--- a/crates/borageshore_routing/src/lib.rs
+++ b/crates/borageshore_routing/src/lib.rs
@@ -1,6 +1,6 @@
 //! Routing of requests: choice of endpoint, admission, retries, request keys and outcomes.
 //!
-//! Nothing here does input or output: time and random numbers are arguments.
+//! This crate does no I/O: time and random numbers are arguments.
 //!
 //! ```
 //! use borageshore_routing::RetryBudget;
--- a/crates/borageshore_routing/src/quarantine.rs
+++ b/crates/borageshore_routing/src/quarantine.rs
@@ -10,8 +10,8 @@
 
 use crate::fingerprint::Fingerprint;
 
-/// Consecutive crashes on different endpoints after which a request is held. Two may be chance: in the loss
-/// of a zone the endpoint of a second attempt can crash as well.
+/// Consecutive crashes on different endpoints after which a request is held. Two may be a coincidence: when a zone is
+/// lost, the endpoint of a second attempt can crash as well.
 const CRASHES_TO_HOLD: usize = 3;
 /// How long a request is held before its next trial, by step. A trial advances by one step, one that crashed
 /// its endpoint by two.
@@ -34,8 +34,8 @@
 /// Reports of crashes of one endpoint less than this apart describe the same crash: an endpoint takes longer
 /// than this to restart.
 const SAME_CRASH_MS: u64 = 2_000;
-/// How many trials do not count because another request crashed the same endpoint. Bounded, so that a request
-/// that does crash endpoints cannot be tried without end.
+/// The maximum number of trials that do not count because another request crashed the same endpoint. Without a limit, a
+/// request that does crash endpoints could be tried without end.
 const MAX_UNCOUNTED_SHARED_TRIALS: u64 = 1;
 /// Capacity of the quarantine in requests. Sized for 680 daemons with 240 VM failures a day over seven hours.
 const MAX_ENTRIES: usize = 4_096;
