--- a/crates/borageshore_batch/src/group_placements.rs
+++ b/crates/borageshore_batch/src/group_placements.rs
@@ -4,7 +4,8 @@
 
 use borageshore_base::SortedMap;
 
-/// Groups that are kept: a few steps' worth, after which engines have evicted the shared prompt.
+/// The maximum number of groups that are kept: those of a few steps, after which engines have evicted the shared
+/// prompt.
 const MAX_GROUPS: usize = 256;
 
 #[derive(Debug)]
--- a/crates/borageshore_batch/src/item_rank.rs
+++ b/crates/borageshore_batch/src/item_rank.rs
@@ -17,7 +17,7 @@
 /// across groups: run group by group, a long text would wait for short texts of earlier groups.
 ///
 /// No group is deferred, although the trainer may not wait for all of them: an incomplete group is resubmitted with a
-/// later step, which waits for it, and a deferred one would start there from nothing.
+/// later step, which waits for it, and a deferred group would start there from the beginning.
 pub fn rank_items(submission: &Submission) -> Vec<ItemRank> {
     let rank = |(index, item): (usize, &Item)| ItemRank {
         inverse_length: u64::MAX - item.length_hint_tokens.unwrap_or(0),
--- a/crates/borageshore_batch/src/ledger.rs
+++ b/crates/borageshore_batch/src/ledger.rs
@@ -69,8 +69,7 @@
         !self.is_ended && self.submission.is_some() && !self.is_complete()
     }
 
-    /// When this daemon first saw the submission, in ms. Never before its acceptance, so that timeouts counted from
-    /// it do not expire early.
+    /// When this daemon began to track the submission, in ms of its clock. The timeouts of items count from it.
     pub fn first_seen_at_ms(&self) -> u64 {
         self.first_seen_at_ms
     }
--- a/crates/borageshore_batch/src/order_lease.rs
+++ b/crates/borageshore_batch/src/order_lease.rs
@@ -1,4 +1,4 @@
-//! Leases on engines for orders to load weights.
+//! Leases on engines for orders to load weights, and on the subjects of other duties.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 
 use crate::{incarnation::endpoint_id, swaps::SwapRound};
 
-/// The last holder that ordered each engine, from the rounds in the store.
+/// The last holder that sent orders to each engine, from the rounds in the store.
 ///
 /// Engines accept orders from any holder, so orders of two holders to one engine must be a lease apart. Leases are
 /// kept by endpoint id, not by incarnation: an order sent before a restart may still arrive after it.
@@ -42,7 +42,8 @@
         self.duties.may_act(holder, endpoint_id(engine), now_ms)
     }
 
-    /// The ids of the engines that `holder` may not order at `now_ms`, for [`SwapRound::others_ordered`].
+    /// The subjects that `holder` may not act on at `now_ms`, engines by endpoint id, for
+    /// [`SwapRound::others_ordered`].
     pub fn ordered_by_others(&self, holder: &str, now_ms: u64) -> Vec<Arc<str>> {
         self.duties.held_by_others(holder, now_ms)
     }
--- a/crates/borageshore_batch/src/placement.rs
+++ b/crates/borageshore_batch/src/placement.rs
@@ -34,7 +34,7 @@
     pub has_group: bool,
 }
 
-/// The requirements of an item.
+/// What an item requires of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementRequest<'r> {
     /// The oldest version that may generate its tokens.
@@ -95,8 +95,8 @@
 const LONG_TEXT_EVENTS: u64 = 16;
 /// A short text moves only to an engine that is more than this many times as fast.
 const SHORT_TEXT_GAIN: u64 = 2;
-/// A long text moves only if its engine takes more than this many percent longer per event than the other. Lies above
-/// the noise between equal engines.
+/// A long text moves only if its engine takes more than this many percent longer per event than the other. It lies
+/// above the noise between equal engines.
 const LONG_TEXT_GAIN_PERCENT: u64 = 15;
 
 /// Chooses a free engine on which a running item would finish enough earlier to justify a move; `None` if it stays.
--- a/crates/borageshore_batch/src/swaps.rs
+++ b/crates/borageshore_batch/src/swaps.rs
@@ -19,7 +19,7 @@
     pub orders: Vec<(Arc<str>, Arc<str>, u64)>,
     /// Orders of earlier rounds that have completed.
     pub done: Vec<(Arc<str>, Arc<str>, u64)>,
-    /// Engines that other holders had ordered within the lease before this round.
+    /// The subjects, engines by endpoint id, on which other holders may have acted within the lease before this round.
     #[serde(default)]
     pub others_ordered: Vec<Arc<str>>,
 }
@@ -78,7 +78,7 @@
     pub instance: Arc<str>,
     /// Whether it is loading weights.
     pub is_loading: bool,
-    /// Whether another holder may have ordered it within the lease.
+    /// Whether another holder may have sent it an order within the lease.
     pub is_leased: bool,
     /// Requests running on it.
     pub running: u64,
@@ -103,7 +103,7 @@
 /// Plans the orders to send now.
 ///
 /// A step accepts the newest version and the one before. The engines with the oldest versions load first, since the
-/// next step cannot use them; among equals the one with the fewest running requests. Models share the engines in
+/// next step cannot use them; among equals, those with the fewest running requests. Models share the engines in
 /// proportion to demand, so that an engine loads versions of one model only.
 pub fn plan_round(
     engines: &[EngineState],
--- a/crates/borageshore_batch/src/text_pieces.rs
+++ b/crates/borageshore_batch/src/text_pieces.rs
@@ -26,7 +26,7 @@
 /// The pieces written by one append.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PieceBatch {
-    /// The name of the process that wrote them, unique over all processes ever started.
+    /// The name of the process that wrote them, unique among all processes ever started.
     pub author: Arc<str>,
     /// The offset of the oldest piece that the author's unfinished texts still need.
     pub needed_from: u64,
--- a/crates/borageshore_batch/src/view_position.rs
+++ b/crates/borageshore_batch/src/view_position.rs
@@ -13,7 +13,7 @@
 }
 
 impl ViewPosition {
-    /// The offset after the last applied_until record; `None` before the first read.
+    /// The offset after the last applied record; `None` before the first read.
     pub fn next_offset(&self) -> Option<u64> {
         self.next_offset
     }
--- a/crates/borageshore_batch/tests/item_rank.rs
+++ b/crates/borageshore_batch/tests/item_rank.rs
@@ -176,7 +176,7 @@
     }
 
     // Guards against deferring the groups with the longest texts: they are resubmitted with a later step, which waits
-    // for them while they start from nothing.
+    // for them while they start from the beginning.
     #[test]
     fn steps_are_shorter_when_no_group_is_deferred() {
         let (deferred, not_deferred) = (mean_step(true), mean_step(false));
