--- a/crates/borageshore_duty/src/leases.rs
+++ b/crates/borageshore_duty/src/leases.rs
@@ -17,7 +17,7 @@
 /// which that was announced. A new holder waits only for these subjects and can act on all others at once.
 #[derive(Debug)]
 pub struct DutyLeases {
-    /// Earlier announcements may be missing: the log may have dropped them.
+    /// When reading started; earlier announcements may be missing, as the log may have dropped them.
     opened_at_ms: u64,
     takeover_delay_ms: u64,
     newest_holder: Option<Arc<str>>,
--- a/crates/borageshore_duty/src/lib.rs
+++ b/crates/borageshore_duty/src/lib.rs
@@ -1,11 +1,11 @@
-//! Mutual exclusion for duties that one daemon performs at a time, towards a receiver that checks no epochs and cannot
-//! be queried.
+//! Mutual exclusion for duties that one daemon performs at a time, for a receiver that checks no epochs and cannot be
+//! queried.
 //!
 //! Before it acts, the holder appends an announcement to the store, on the condition that it has read all earlier
 //! records; the record's offset is its epoch. A holder that was replaced during a pause therefore cannot announce
 //! anything. An action announced just before the pause is sent within a short time or not at all ([`SendWindow`]), and
 //! a successor waits for that time plus the lease on each subject that the holder may be acting on ([`DutyLeases`]).
-//! All times are of a monotonic clock that also runs during suspension.
+//! All times are on a monotonic clock that also runs during suspension.
 //!
 //! ```
 //! use borageshore_duty::{DutyLeases, DutyTiming};
--- a/crates/borageshore_time/src/true_time.rs
+++ b/crates/borageshore_time/src/true_time.rs
@@ -4,7 +4,8 @@
 
 /// The minimum number of clocks for a majority.
 const MIN_SAMPLES: usize = 3;
-/// The slew rate limit: ten times the drift of a quartz clock, and only 12 ms during a step that lasts 6 s.
+/// The slew rate limit: ten times the drift of a quartz clock, but only 12 ms in the 6 s for which a clock may be
+/// stepped.
 const SLEW_PPM: i64 = 2_000;
 /// The greatest error of a synchronized time of day; a clock that differs by more was stepped.
 const CLOCK_TOLERANCE_MS: i64 = 20;
--- a/crates/borageshore_usage/src/reports.rs
+++ b/crates/borageshore_usage/src/reports.rs
@@ -6,7 +6,7 @@
 
 /// A report is finalized after this share of its deadline, so that late counts are included.
 const FINALIZE_AFTER_PERCENT: u64 = 25;
-/// Windows are retained for this multiple of the report deadline, longer than any reader is behind.
+/// Windows are retained for this multiple of the report deadline, longer than any reader lags behind.
 const RETENTION_FACTOR: u64 = 4;
 
 /// The window length and deadline of usage reports.
