--- a/crates/borageshore_gateway/src/endpoints/mod.rs
+++ b/crates/borageshore_gateway/src/endpoints/mod.rs
@@ -245,8 +245,8 @@
     /// Whether an engine is loading weights: it was ordered to within [`LOAD_TIMEOUT_MS`] and has not reported the
     /// version.
     ///
-    /// Comparing versions guards against old orders that are read after a full stop, which would keep items away from
-    /// engines that finished loading long ago.
+    /// Comparing versions guards against old orders that are read after a stop of all daemons, which would keep items
+    /// away from engines that finished loading long ago.
     pub(crate) fn is_loading(&self, instance: &Arc<str>) -> bool {
         let loading = self.loading.borrow();
         let versions = self.versions.borrow();
--- a/crates/borageshore_gateway/src/item/mod.rs
+++ b/crates/borageshore_gateway/src/item/mod.rs
@@ -322,7 +322,7 @@
             .await
     }
 
-    /// Whether a text must restart, given that all of it has to come from one version: no engine serves its version any
+    /// Whether a text that has to come from a single version must restart, because no engine serves that version any
     /// more.
     fn must_restart(&self, text: &Text) -> bool {
         let Some(version) = text.versions().last() else {
--- a/crates/borageshore_gateway/src/members/mod.rs
+++ b/crates/borageshore_gateway/src/members/mod.rs
@@ -169,7 +169,7 @@
     pub(crate) fn set_state(&self, state: PresenceState) {
         if std::mem::replace(&mut self.own.borrow_mut().state, state) != state {
             // Applied before the record is read back from the store, but not before the records of other daemons have
-            // been read: this one would take over the work of all.
+            // been read; otherwise this one would take over the work of all.
             if self.table.borrow().is_known() {
                 let own = self.own.borrow().clone();
                 self.table.borrow_mut().on_presence(own);
--- a/crates/borageshore_gateway/src/orderer.rs
+++ b/crates/borageshore_gateway/src/orderer.rs
@@ -1,4 +1,4 @@
-//! Orders engines to load the versions that trainers name. One daemon at a time does so.
+//! Orders engines to load the model versions that trainers announce. One daemon at a time does so.
 
 use std::{cell::RefCell, pin::pin, rc::Rc, sync::Arc};
 
@@ -132,7 +132,7 @@
         endpoints.with_versions(|versions| plan_round(&engines, versions, &models, limits))
     }
 
-    /// The target of each model that engines serve; version 0 if its trainer has not named one.
+    /// The target of each model that engines serve; version 0 if its trainer has not announced one.
     fn models(&self) -> Vec<ModelTarget> {
         let named = self.parts.routes.named_versions();
         let target = |model: Arc<str>| {
--- a/crates/borageshore_gateway/src/peers.rs
+++ b/crates/borageshore_gateway/src/peers.rs
@@ -19,8 +19,7 @@
 const CONNECT_TIMEOUT_MS: u64 = 200;
 /// The time that a response may take beyond the wait that the caller asked for.
 const ANSWER_SLACK_MS: u64 = 600;
-/// How long a peer that did not respond is avoided. Longer than the detection of its death takes, which is about a
-/// second.
+/// How long a peer that did not respond is avoided. Longer than it takes to detect its death, about a second.
 const AVOID_MS: u64 = 2_000;
 
 /// The time that a peer may take to write a submission to the store.
--- a/crates/borageshore_gateway/src/progress.rs
+++ b/crates/borageshore_gateway/src/progress.rs
@@ -65,7 +65,7 @@
 
 /// Saves and restores unfinished texts.
 ///
-/// Guards against a step that takes much longer because the daemon that runs it dies. Only a new owner reads what is
+/// Guards against a step that takes much longer when the daemon that runs it dies. Only a new owner reads what is
 /// saved; texts that are missing, or that cannot be read during an outage of the store, restart.
 #[derive(Debug)]
 pub(crate) struct Progress {
--- a/crates/borageshore_gateway/src/quarantine/reporting.rs
+++ b/crates/borageshore_gateway/src/quarantine/reporting.rs
@@ -32,8 +32,8 @@
 /// Interval between messages to peers, which bounds the control traffic of a daemon.
 const PEER_MESSAGE_INTERVAL_MS: u64 = 300;
 const MAX_REPORTS_PER_MESSAGE: usize = 8;
-/// The capacity of each queue for peers. A full queue drops the oldest crash reports, as the newest are the most
-/// useful, but new clearances.
+/// The capacity of each queue for peers. A full queue of crash reports drops the oldest, as the newest are the most
+/// useful; a full queue of clearances drops new ones.
 const MAX_PENDING_PEER_REPORTS: usize = 64;
 const PEER_TIMEOUTS: Timeouts = Timeouts {
     connect_ms: 200,
--- a/crates/borageshore_gateway/src/rewards.rs
+++ b/crates/borageshore_gateway/src/rewards.rs
@@ -19,8 +19,8 @@
     routes::Routes,
 };
 
-/// Reward calls are limited to this share of a service's slots: callers use the same endpoints, and their calls are
-/// much shorter.
+/// Reward calls are limited to this share of a service's slots, in percent: callers use the same endpoints, and their
+/// calls are much shorter.
 const SLOTS_PERCENT: u64 = 60;
 /// Delay before a call is repeated.
 const RETRY_MS: u64 = 60;
--- a/crates/borageshore_gateway/src/routes.rs
+++ b/crates/borageshore_gateway/src/routes.rs
@@ -1,4 +1,4 @@
-//! The operator's routes, and the model versions that trainers request.
+//! The operator's routes, and the model versions that trainers announce.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,7 +17,7 @@
 /// The largest priority value that engines accept; 0 is the highest priority.
 const MAX_PRIORITY: u64 = 9;
 
-/// The routes in force and the requested model versions.
+/// The routes in force and the announced model versions.
 #[derive(Debug, Default)]
 pub(crate) struct Routes {
     table: RefCell<Rc<RouteTable>>,
@@ -25,7 +25,7 @@
     /// Whether a record since the routes in force could not be decoded: it may have changed keys.
     is_unreadable: Cell<bool>,
     named_versions: RefCell<Vec<ModelVersion>>,
-    /// Notified when a trainer requests a version.
+    /// Notified when a trainer announces a version.
     pub(crate) version_named: Notify,
 }
 
@@ -69,7 +69,7 @@
         self.table.borrow().names_service(service)
     }
 
-    /// The newest requested version of each model, ordered by model.
+    /// The newest announced version of each model, ordered by model.
     pub(crate) fn named_versions(&self) -> Vec<ModelVersion> {
         self.named_versions.borrow().clone()
     }
--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -41,8 +41,8 @@
 /// The size limit of a request body, as on the platform.
 const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
 
-/// The number of peers that are asked to accept a submission. When the store refuses only some VMs, these are about a
-/// third.
+/// The number of peers that are asked to accept a submission. When the store refuses only some of the VMs, these are
+/// about a third of all.
 const MAX_SUBMIT_PEERS: usize = 2;
 
 /// The limits on requests of callers and peers.
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Accepts a submission, through a peer if the store does not take it from this VM.
+    /// Accepts a submission, through a peer if the store does not accept it from this VM.
     async fn submit(
         &self,
         submission: Submission,
--- a/crates/borageshore_gateway/src/store_transport.rs
+++ b/crates/borageshore_gateway/src/store_transport.rs
@@ -105,8 +105,8 @@
         answer
     }
 
-    /// Makes a call through a peer. If none returns the store's answer, returns the failure that is least certain to
-    /// have had no effect; `None` if there are no peers.
+    /// Makes a call through a peer. If none returns the store's answer, returns the failure that [`dominant_result`]
+    /// selects; `None` if there are no peers.
     async fn call_via_peer(&self, call: &StoreCall) -> Option<CallResult> {
         let peers: Vec<Arc<str>> = self.inner.peers.borrow().clone();
         let call = StoreCall {
--- a/crates/borageshore_gateway/src/watch.rs
+++ b/crates/borageshore_gateway/src/watch.rs
@@ -14,7 +14,7 @@
 /// Delay after a failed read of the socket.
 const RECEIVE_RETRY_MS: u64 = 10;
 
-/// Sends this daemon's heartbeats to its watchers and suspects the daemons that it watches when they fall silent.
+/// Sends this daemon's heartbeats to its watchers and suspects the daemons that it watches when their heartbeats stop.
 #[derive(Debug)]
 pub(crate) struct Watch {
     members: Rc<Members>,
