--- a/crates/borageshore_gateway/src/endpoints/mod.rs
+++ b/crates/borageshore_gateway/src/endpoints/mod.rs
@@ -184,7 +184,7 @@
             .collect()
     }
 
-    /// The live engines of services that a route uses, ordered by id.
+    /// The live engines of services in use by a route, ordered by id.
     pub(crate) fn engine_targets(&self) -> Vec<EndpointTarget> {
         let registry = self.registry.borrow();
         let live = registry.values().filter(|entry| {
@@ -195,7 +195,7 @@
         live.map(target).collect()
     }
 
-    /// The models that these engines serve, ordered by name.
+    /// The models that engines of services in use by a route serve, ordered by name.
     pub(crate) fn models(&self) -> Vec<Arc<str>> {
         let registry = self.registry.borrow();
         let named = |entry: &&EndpointEntry| self.routes.names_service(&entry.listing.service);
