--- a/crates/borageshore_gateway/src/rewards.rs
+++ b/crates/borageshore_gateway/src/rewards.rs
@@ -19,8 +19,8 @@
     routes::Routes,
 };
 
-/// Reward calls are limited to this share of a service's slots: callers use the same endpoints, and their calls are
-/// much shorter.
+/// Reward calls are limited to this share of a service's slots, in percent: callers use the same endpoints, and their
+/// calls are much shorter.
 const SLOTS_PERCENT: u64 = 60;
 /// Delay before a call is repeated.
 const RETRY_MS: u64 = 60;
@@ -32,7 +32,7 @@
 pub(crate) enum Reward {
     /// The score: the signature in the endpoint's response.
     Score(Arc<str>),
-    /// Every permitted attempt failed.
+    /// Every permitted attempt failed, or the call was still held at its deadline.
     Failed,
 }
 
@@ -122,7 +122,7 @@
         }
     }
 
-    /// One attempt: the score, the status of a response without one, or `None` if there was no response.
+    /// Makes one attempt. Returns the score, the status of a response without a score, or `None` without a response.
     async fn attempt(
         &self,
         route: &Route,
--- a/crates/borageshore_gateway/src/routes.rs
+++ b/crates/borageshore_gateway/src/routes.rs
@@ -1,4 +1,4 @@
-//! The operator's routes, and the model versions that trainers request.
+//! The operator's routes, and the model versions that trainers announce.
 
 use std::{
     cell::{Cell, RefCell},
@@ -17,15 +17,15 @@
 /// The largest priority value that engines accept; 0 is the highest priority.
 const MAX_PRIORITY: u64 = 9;
 
-/// The routes in force and the requested model versions.
+/// The routes in force and the announced model versions.
 #[derive(Debug, Default)]
 pub(crate) struct Routes {
     table: RefCell<Rc<RouteTable>>,
     is_known: Cell<bool>,
-    /// Whether the newest record could not be decoded: its changes to keys are then unknown.
+    /// Whether a record since the routes in force could not be decoded: it may have changed keys.
     is_unreadable: Cell<bool>,
     named_versions: RefCell<Vec<ModelVersion>>,
-    /// Notified when a trainer requests a version.
+    /// Notified when a trainer announces a version.
     pub(crate) version_named: Notify,
 }
 
@@ -35,7 +35,7 @@
         self.is_known.get()
     }
 
-    /// Whether the newest routes could be decoded.
+    /// Whether routes are in force and no later record failed to decode.
     pub(crate) fn is_latest_readable(&self) -> bool {
         self.is_known() && !self.is_unreadable.get()
     }
@@ -69,7 +69,7 @@
         self.table.borrow().names_service(service)
     }
 
-    /// The newest requested version of each model, ordered by model.
+    /// The newest announced version of each model, ordered by model.
     pub(crate) fn named_versions(&self) -> Vec<ModelVersion> {
         self.named_versions.borrow().clone()
     }
