--- a/crates/borageshore_batch/src/order_lease.rs
+++ b/crates/borageshore_batch/src/order_lease.rs
@@ -16,11 +16,11 @@
 }
 
 impl OrderLeases {
-    /// Creates the table of a process that starts to read rounds at `now_ms`. `wait_ms` is the lease plus the longest
+    /// Creates the table of a process that starts to read rounds at `now_ms`. `takeover_delay_ms` is the lease plus the longest
     /// time from the announcement of an order to its arrival. The clock must count time spent suspended.
-    pub fn open(now_ms: u64, wait_ms: u64) -> Self {
+    pub fn open(now_ms: u64, takeover_delay_ms: u64) -> Self {
         Self {
-            duties: DutyLeases::open(now_ms, wait_ms),
+            duties: DutyLeases::open(now_ms, takeover_delay_ms),
         }
     }
 
@@ -43,12 +43,12 @@
     }
 
     /// The ids of the engines that `holder` may not order at `now_ms`, for [`SwapRound::others_ordered`].
-    pub fn ordered_by_others(&self, holder: &str, now_ms: u64) -> Vec<Arc<str>> {
+    pub fn held_by_others(&self, holder: &str, now_ms: u64) -> Vec<Arc<str>> {
         self.duties.held_by_others(holder, now_ms)
     }
 
     /// Resets the table after rounds were missed.
-    pub fn begin_again(&mut self, now_ms: u64) {
+    pub fn reset(&mut self, now_ms: u64) {
         self.duties.reset(now_ms);
     }
 
--- a/crates/borageshore_batch/tests/order_lease.rs
+++ b/crates/borageshore_batch/tests/order_lease.rs
@@ -55,22 +55,22 @@
     a_holder_that_starts_again_remembers_what_others_had_ordered => {
         let mut before = OrderLeases::open(0, WAIT_MS);
         before.on_round(&round("vm-1", &["e0"], &[]), 10_000);
-        let others = before.ordered_by_others("vm-2", 10_100);
+        let others = before.held_by_others("vm-2", 10_100);
         assert_eq!(others, ["e0".into()]);
         let own = round("vm-2", &["e1"], &["e0"]);
         let mut after = OrderLeases::open(10_500, WAIT_MS);
         after.on_round(&own, 10_501);
         assert!(!after.may_order("vm-2", "e0", 10_502));
         assert!(after.may_order("vm-2", "e2", 10_502));
-        assert_eq!(after.ordered_by_others("vm-2", 10_502), ["e0".into()]);
+        assert_eq!(after.held_by_others("vm-2", 10_502), ["e0".into()]);
         assert!(after.may_order("vm-2", "e0", 14_300));
-        assert!(after.ordered_by_others("vm-2", 14_300).is_empty());
+        assert!(after.held_by_others("vm-2", 14_300).is_empty());
     }
 
     after_a_gap_every_engine_of_another_holder_waits => {
         let mut leases = OrderLeases::open(0, WAIT_MS);
         leases.on_round(&round("vm-1", &["e1"], &[]), 10_000);
-        leases.begin_again(12_000);
+        leases.reset(12_000);
         assert!(!leases.may_order("vm-2", "e0", 15_799));
         assert!(leases.may_order("vm-2", "e0", 15_800));
     }
--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -83,7 +83,7 @@
     }
 
     fn on_gap(&self) {
-        self.leases.borrow_mut().begin_again(boot_time_ms());
+        self.leases.borrow_mut().reset(boot_time_ms());
     }
 }
 
@@ -182,7 +182,7 @@
     /// The subjects that other holders may be acting on.
     pub(crate) fn held_by_others(&self) -> Vec<Arc<str>> {
         let leases = self.announcements.leases.borrow();
-        leases.ordered_by_others(&self.members.own_name(), boot_time_ms())
+        leases.held_by_others(&self.members.own_name(), boot_time_ms())
     }
 
     /// Announces a round of orders.
