--- a/crates/borageshore_access/src/organisations.rs
+++ b/crates/borageshore_access/src/organisations.rs
@@ -32,14 +32,14 @@
         }
         table.by_key.sort_by_key(|(key, _)| *key);
         table.by_key.dedup_by(|one, other| *one == *other);
-        table.drop_shared_keys();
+        table.remove_shared_keys();
         table
             .by_name
             .sort_by(|one, other| one.name.cmp(&other.name));
         table
     }
 
-    fn drop_shared_keys(&mut self) {
+    fn remove_shared_keys(&mut self) {
         let keys: Vec<KeyDigest> = self.by_key.iter().map(|(key, _)| *key).collect();
         let is_shared = |key: &KeyDigest| {
             let from = keys.partition_point(|known| known < key);
--- a/crates/borageshore_daemon/src/generation.rs
+++ b/crates/borageshore_daemon/src/generation.rs
@@ -259,7 +259,7 @@
     loop {
         match chunks.next_chunk(chunk_timeout_ms).await {
             Err(error) => {
-                daemon.http.discard_idle(&address);
+                daemon.http.discard_idle_connections(&address);
                 return AttemptEnd::Failed(error);
             }
             Ok(None) => {
--- a/crates/borageshore_daemon/src/jobs.rs
+++ b/crates/borageshore_daemon/src/jobs.rs
@@ -295,7 +295,7 @@
     let usable = membership.usable(daemon.now_ms());
     let names: Vec<&str> = usable.map(|entry| &*entry.name).collect();
     let mut placement = runtime.placement.borrow_mut();
-    placement.forget_below(runtime.controller.borrow().oldest_group());
+    placement.remove_below(runtime.controller.borrow().oldest_group());
     let name = placement.place(order.group, order.attempt, &names)?;
     let address = membership.entry(&name)?.peer_address.clone();
     Some((name, address))
--- a/crates/borageshore_daemon/src/platform/engine.rs
+++ b/crates/borageshore_daemon/src/platform/engine.rs
@@ -162,7 +162,7 @@
             .map_err(|error| CallError::NotSent(error.to_string()))?;
         let mut sender = self.http.connect(address, timeouts).await?;
         let response = self.http.send(&mut sender, request, timeouts).await;
-        let response = response.inspect_err(|_| self.http.discard_idle(address))?;
+        let response = response.inspect_err(|_| self.http.discard_idle_connections(address))?;
         if response.status() != StatusCode::OK {
             return Err(CallError::NotSent(format!(
                 "refused with status {}",
--- a/crates/borageshore_daemon/src/platform/plain.rs
+++ b/crates/borageshore_daemon/src/platform/plain.rs
@@ -68,7 +68,7 @@
     if !matches!(sent, Err(CallError::NotSent(_))) {
         attempt.on_event(AttemptEvent::Sent);
     }
-    let response = sent.inspect_err(|_| http.discard_idle(address))?;
+    let response = sent.inspect_err(|_| http.discard_idle_connections(address))?;
     let status = response.status().as_u16();
     let is_refusal = response.headers().contains_key(NOT_RUN_HEADER);
     let content_type = response
--- a/crates/borageshore_gateway/src/endpoints/listing.rs
+++ b/crates/borageshore_gateway/src/endpoints/listing.rs
@@ -25,7 +25,7 @@
             EntryEffect::Restarted => {
                 let old_address = known.as_ref().map_or("", |known| &*known.listing.address);
                 log::info!(id = &**id, started_at_ms = entry.started_at_ms; "endpoint started again");
-                self.client.drop_idle_connections(old_address);
+                self.client.discard_idle_connections(old_address);
                 if let Some(known) = &known {
                     self.note_ended(&known.listing);
                 }
--- a/crates/borageshore_gateway/src/ledger_view.rs
+++ b/crates/borageshore_gateway/src/ledger_view.rs
@@ -242,12 +242,12 @@
                 is_used
             });
             for shard in released {
-                self.evict(shard);
+                self.remove_shard(shard);
             }
         }
     }
 
-    fn evict(&self, shard: Shard) {
+    fn remove_shard(&self, shard: Shard) {
         let is_of_shard = |id: &str| self.shard_of(id) == shard;
         self.ledger.borrow_mut().remove_if(is_of_shard);
         self.changed.notify_waiters();
@@ -300,6 +300,6 @@
     }
 
     fn on_gap(&self) {
-        self.view.evict(self.shard);
+        self.view.remove_shard(self.shard);
     }
 }
--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -222,7 +222,7 @@
         let Some(mut crashes) = self.table.borrow_mut().on_success(&content) else {
             return;
         };
-        let unwritten = self.reports.borrow_mut().drop_content(&content);
+        let unwritten = self.reports.borrow_mut().remove_content(&content);
         let is_announced = |crash: &Crash| {
             let announced = self.announced_to_peers.borrow();
             let mut announced = announced.iter().filter(|report| report.content == content);
@@ -321,7 +321,7 @@
 
     /// Applies a clearance from another daemon; returns whether the request was suspected here.
     fn clear(&self, content: &Fingerprint) -> bool {
-        self.reports.borrow_mut().drop_content(content);
+        self.reports.borrow_mut().remove_content(content);
         self.table.borrow_mut().on_success(content).is_some()
     }
 }
--- a/crates/borageshore_gateway/src/usage/counter.rs
+++ b/crates/borageshore_gateway/src/usage/counter.rs
@@ -106,7 +106,7 @@
 
     async fn flush(&self) -> Result<(), StoreError> {
         let oldest = self.timing.first_reportable(self.time.unix_ms());
-        self.counts.borrow_mut().forget_before(oldest);
+        self.counts.borrow_mut().expire_before(oldest);
         let dirty = self.counts.borrow_mut().take_dirty();
         let (name, incarnation) = self.members.own_identity();
         let author = Author {
--- a/crates/borageshore_gateway/src/usage/records.rs
+++ b/crates/borageshore_gateway/src/usage/records.rs
@@ -82,7 +82,7 @@
     pub(crate) fn on_removed(&self, key: &str) {
         let number = key.strip_prefix(REPORT_PREFIX);
         if let Some(window) = number.and_then(|number| number.parse().ok()) {
-            self.reports.borrow_mut().forget(Window(window));
+            self.reports.borrow_mut().remove(Window(window));
         }
     }
 
--- a/crates/borageshore_gateway/src/usage/reporter.rs
+++ b/crates/borageshore_gateway/src/usage/reporter.rs
@@ -42,7 +42,7 @@
 
     async fn run(self) {
         let mut view = None;
-        let mut removed_before = Window(0);
+        let mut expired_before = Window(0);
         loop {
             sleep_ms(POLL_INTERVAL_MS).await;
             let Some(at) = self.parts.duties.offset_if_holder() else {
@@ -57,8 +57,8 @@
                 self.report_next(at, view).await;
             }
             let first = parts.timing.first_retained(parts.time.unix_ms());
-            if std::mem::replace(&mut removed_before, first) < first {
-                view.remove_before(first).await;
+            if std::mem::replace(&mut expired_before, first) < first {
+                view.expire_before(first).await;
             }
         }
     }
--- a/crates/borageshore_gateway/src/usage/view.rs
+++ b/crates/borageshore_gateway/src/usage/view.rs
@@ -99,9 +99,9 @@
     }
 
     /// Removes totals of windows before `first` from the store.
-    pub(super) async fn remove_before(&self, first: Window) {
+    pub(super) async fn expire_before(&self, first: Window) {
         for (partition, fold) in (0..).zip(&self.folds) {
-            fold.totals.borrow_mut().forget_before(first);
+            fold.totals.borrow_mut().expire_before(first);
             let expired: Vec<(Arc<str>, Bytes)> = {
                 let keys = fold.keys.borrow();
                 let expired = keys.iter().filter(|(_, window)| **window < first);
--- a/crates/borageshore_lease/src/table.rs
+++ b/crates/borageshore_lease/src/table.rs
@@ -84,7 +84,7 @@
 }
 
 impl LeaseTable {
-    /// The session of this name, unless it ended or was evicted.
+    /// The session of this name, unless it ended or expired.
     pub fn session(&self, session: &str) -> Option<&Session> {
         self.sessions.get(session)
     }
@@ -118,11 +118,11 @@
             renewed_at_ms: at_ms,
         };
         if self.sessions.insert(session.clone(), renewed).is_none() {
-            self.evict_idle_sessions(at_ms);
+            self.expire_idle_sessions(at_ms);
         }
     }
 
-    fn evict_idle_sessions(&mut self, at_ms: u64) {
+    fn expire_idle_sessions(&mut self, at_ms: u64) {
         let shards = &self.shards;
         self.sessions.retain(|name, session| {
             session.renewed_at_ms + IDLE_SESSION_RETENTION_MS >= at_ms
--- a/crates/borageshore_log/src/envelope.rs
+++ b/crates/borageshore_log/src/envelope.rs
@@ -11,8 +11,8 @@
 /// later.
 const WRITER_TTL_MS: u64 = 3_600_000;
 
-/// The number of admitted records between two prunings of inactive writers.
-const PRUNE_INTERVAL_RECORDS: u64 = 1_024;
+/// The number of admitted records between two expiries of inactive writers.
+const EXPIRY_INTERVAL_RECORDS: u64 = 1_024;
 
 /// A record body with the writer and sequence number that identify it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -34,8 +34,8 @@
 /// The last sequence number of each writer, for deduplicating retried appends.
 ///
 /// A writer has one append in flight and retries it with the same sequence number, so a number at or
-/// below the last one seen is always a duplicate. Pruning depends only on the timestamps in the
-/// records, so every fold prunes at the same offset.
+/// below the last one seen is always a duplicate. Expiry depends only on the timestamps in the
+/// records, so every fold expires them at the same offset.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriterTable {
     writers: SortedMap<Arc<str>, WriterEntry>,
@@ -57,7 +57,7 @@
         entry.last_sequence = sequence;
         entry.last_at_ms = at_ms;
         self.admitted += 1;
-        if self.admitted.is_multiple_of(PRUNE_INTERVAL_RECORDS) {
+        if self.admitted.is_multiple_of(EXPIRY_INTERVAL_RECORDS) {
             self.writers
                 .retain(|_, entry| entry.last_at_ms + WRITER_TTL_MS >= at_ms);
         }
--- a/crates/borageshore_net/src/client.rs
+++ b/crates/borageshore_net/src/client.rs
@@ -69,7 +69,8 @@
 
 /// An HTTP client with a pool of idle connections per address.
 ///
-/// After a timeout, all idle connections to the address are dropped ([`HttpClient::discard_idle`]),
+/// After a timeout, all idle connections to the address are discarded
+/// ([`HttpClient::discard_idle_connections`]),
 /// so that the next request does not reuse a dead one.
 #[derive(Debug, Clone, Default)]
 pub struct HttpClient {
@@ -82,8 +83,8 @@
         Self::default()
     }
 
-    /// Drops the idle connections to an address.
-    pub fn discard_idle(&self, address: &str) {
+    /// Discards the idle connections to an address.
+    pub fn discard_idle_connections(&self, address: &str) {
         self.idle.borrow_mut().remove(address);
     }
 
@@ -189,7 +190,7 @@
             .await
             .inspect_err(|error| {
                 if !matches!(error, CallError::NotSent(_)) {
-                    self.discard_idle(address);
+                    self.discard_idle_connections(address);
                 }
             })?;
         let status = response.status();
--- a/crates/borageshore_rollout/src/controller.rs
+++ b/crates/borageshore_rollout/src/controller.rs
@@ -190,7 +190,7 @@
     ) -> Vec<SampleOrder> {
         self.cadence.on_target_version(versions.target, plan);
         self.open_groups(plan, now_ms);
-        self.drop_soon_stale(plan, versions.target, now_ms);
+        self.remove_soon_stale(plan, versions.target, now_ms);
         let straggler_threshold_ms = self.straggler_threshold_ms();
         let mut orders = Vec::new();
         for (position, (group, state)) in self.groups.iter_mut().enumerate() {
@@ -393,7 +393,7 @@
         pull: PullView,
         now_ms: u64,
     ) -> PullDecision {
-        self.drop_stale(plan, pull.target_version, now_ms);
+        self.remove_stale(plan, pull.target_version, now_ms);
         let complete: Vec<u64> = self
             .groups
             .iter()
@@ -422,13 +422,13 @@
         })
     }
 
-    /// Drops finished samples that will be stale when the trainer pulls their step, so that they are
+    /// Removes finished samples that will be stale when the trainer pulls their step, so that they are
     /// generated again.
     ///
     /// Guards against a trainer that waits for a whole step: samples generated ahead are within the
-    /// bound now, but not after the publications that precede their step. A sample is dropped early
+    /// bound now, but not after the publications that precede their step. A sample is removed early
     /// only if an engine has served a newer version, so that generating it again helps.
-    fn drop_soon_stale(&mut self, plan: &JobPlan, target_version: u64, now_ms: u64) {
+    fn remove_soon_stale(&mut self, plan: &JobPlan, target_version: u64, now_ms: u64) {
         let newest_version_seen = self.newest_version_seen;
         let mut dropped = 0;
         for (position, (_, group)) in self.groups.iter_mut().enumerate() {
@@ -453,8 +453,8 @@
         self.counts.stale += dropped;
     }
 
-    /// Drops finished samples that became stale before they were numbered, so that they are generated again.
-    fn drop_stale(&mut self, plan: &JobPlan, target_version: u64, now_ms: u64) {
+    /// Removes finished samples that became stale before they were numbered, so that they are generated again.
+    fn remove_stale(&mut self, plan: &JobPlan, target_version: u64, now_ms: u64) {
         let mut dropped = 0;
         for (_, group) in self.groups.iter_mut() {
             for slot in &mut group.slots {
--- a/crates/borageshore_rollout/src/placement.rs
+++ b/crates/borageshore_rollout/src/placement.rs
@@ -48,7 +48,7 @@
     }
 
     /// Removes the assignments of groups below `group`, the oldest open one.
-    pub fn forget_below(&mut self, group: u64) {
+    pub fn remove_below(&mut self, group: u64) {
         self.daemon_by_group.retain(|known, _| *known >= group);
     }
 
--- a/crates/borageshore_routing/src/crash_reports.rs
+++ b/crates/borageshore_routing/src/crash_reports.rs
@@ -67,7 +67,7 @@
     }
 
     /// Removes the reports of a request that has succeeded; returns their crashes.
-    pub fn drop_content(&mut self, content: &Fingerprint) -> Vec<Crash> {
+    pub fn remove_content(&mut self, content: &Fingerprint) -> Vec<Crash> {
         let of_content = |report: &mut CrashReport| report.content == *content;
         let dropped = self.waiting.extract_if(.., of_content);
         dropped.map(|report| report.crash).collect()
--- a/crates/borageshore_routing/src/keys.rs
+++ b/crates/borageshore_routing/src/keys.rs
@@ -82,7 +82,7 @@
 /// The keys of one daemon incarnation.
 ///
 /// Guards against running a non-idempotent request twice. A repeat within the window finds its key. A later
-/// one has an evicted slot and is refused as expired, as it may have run. A full table refuses new keys
+/// one has an expired slot and is refused, as it may have run. A full table refuses new keys
 /// instead of evicting old ones.
 #[derive(Debug)]
 pub struct KeyTable {
@@ -91,8 +91,8 @@
     window_ms: u64,
     max_bytes: usize,
     bytes: usize,
-    /// Keys of slots below this were evicted and are refused, even if the window grows later.
-    evicted_below: u64,
+    /// Keys of slots below this have expired and are refused, even if the window grows later.
+    expired_below: u64,
     entries: SortedMap<Arc<str>, KeyEntry>,
 }
 
@@ -105,7 +105,7 @@
             window_ms,
             max_bytes,
             bytes: 0,
-            evicted_below: 0,
+            expired_below: 0,
             entries: SortedMap::default(),
         }
     }
@@ -141,9 +141,9 @@
             Some(KeyEntry { answer: None, .. }) => return KeyDecision::Wait,
             None => {}
         }
-        self.evict_old_slots(now_ms);
+        self.expire_old_slots(now_ms);
         let is_future = prefix.slot > now_ms / SLOT_MS;
-        if prefix.slot < self.evicted_below || is_future {
+        if prefix.slot < self.expired_below || is_future {
             return KeyDecision::Refuse(ResultCode::KeyExpired);
         }
         if self.bytes + key.len() > self.max_bytes {
@@ -185,12 +185,12 @@
         self.entries.is_empty()
     }
 
-    fn evict_old_slots(&mut self, now_ms: u64) {
+    fn expire_old_slots(&mut self, now_ms: u64) {
         let oldest_slot = now_ms.saturating_sub(self.window_ms) / SLOT_MS;
-        if oldest_slot <= self.evicted_below {
+        if oldest_slot <= self.expired_below {
             return;
         }
-        self.evicted_below = oldest_slot;
+        self.expired_below = oldest_slot;
         let mut freed = 0;
         self.entries.retain(|key, entry| {
             let keep = entry.slot >= oldest_slot || entry.answer.is_none();
--- a/crates/borageshore_routing/src/quarantine.rs
+++ b/crates/borageshore_routing/src/quarantine.rs
@@ -21,10 +21,10 @@
 /// that keeps crashing endpoints to one trial a day.
 const HOLD_STEPS_MS: [u64; 6] = [1_000, 10_000, 600_000, HOUR_MS, 6 * HOUR_MS, 24 * HOUR_MS];
 const HOUR_MS: u64 = 3_600_000;
-/// Time after the last crash at which a suspected request is forgotten. Callers repeat a failed request
+/// Time after the last crash at which a suspicion expires. Callers repeat a failed request
 /// within minutes.
 const SUSPICION_MS: u64 = HOUR_MS;
-/// Time after the end of its hold at which a held request that was not sent again is forgotten. The software that it
+/// Time after the end of its hold at which the entry of a request that was not sent again expires. The software that it
 /// crashed is assumed to be replaced by then.
 const HELD_RETENTION_MS: u64 = 24 * HOUR_MS;
 /// Time after which a trial without a result is over. Longer than any call may take.
--- a/crates/borageshore_routing/tests/quarantine.rs
+++ b/crates/borageshore_routing/tests/quarantine.rs
@@ -255,7 +255,7 @@
         for number in 0..100 {
             reports.push(CrashReport { content: content(number), crash: crash(9, 2_000) });
         }
-        reports.drop_content(&content(3));
+        reports.remove_content(&content(3));
         let first = reports.take(&quarantine, 680, 2_000);
         assert_eq!(first.len(), 8);
         assert_eq!(first[0].content, content(7));
--- a/crates/borageshore_settings/src/fold.rs
+++ b/crates/borageshore_settings/src/fold.rs
@@ -19,8 +19,8 @@
 const MAX_SNAPSHOT_AUDIT_ENTRIES: usize = 50;
 /// How long an unset key is kept, so that a change concurrent with the unset is rejected.
 const UNSET_TTL_MS: u64 = 86_400_000;
-/// The number of records between two prunings of unset keys.
-const PRUNE_INTERVAL_RECORDS: u64 = 1_024;
+/// The number of records between two expiries of unset keys.
+const EXPIRY_INTERVAL_RECORDS: u64 = 1_024;
 
 /// A serializable copy of the state of a [`SettingsFold`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -65,7 +65,7 @@
         apply_change(&mut copy, change, u64::MAX, 0)
     }
 
-    fn prune(&mut self, at_ms: u64) {
+    fn expire_unset(&mut self, at_ms: u64) {
         for (_, node) in self.tree.nodes.iter_mut() {
             node.retain(|_, entry| entry.value.is_some() || entry.at_ms + UNSET_TTL_MS >= at_ms);
         }
@@ -92,8 +92,8 @@
             return;
         }
         self.records += 1;
-        if self.records.is_multiple_of(PRUNE_INTERVAL_RECORDS) {
-            self.prune(at_ms);
+        if self.records.is_multiple_of(EXPIRY_INTERVAL_RECORDS) {
+            self.expire_unset(at_ms);
         }
         let SettingsRecord::Change(change) = &envelope.body else {
             return;
--- a/crates/borageshore_usage/src/own_counts.rs
+++ b/crates/borageshore_usage/src/own_counts.rs
@@ -44,7 +44,7 @@
         dirty
     }
 
-    /// Marks windows as unpublished again after a failed write; windows that were dropped are ignored.
+    /// Marks windows as unpublished again after a failed write; expired windows are ignored.
     pub fn mark_dirty<Windows>(&mut self, windows: Windows)
     where
         Windows: IntoIterator<Item = Window>,
@@ -57,7 +57,7 @@
     }
 
     /// Removes the windows before `first`.
-    pub fn forget_before(&mut self, first: Window) {
+    pub fn expire_before(&mut self, first: Window) {
         self.windows.retain(|window, _| *window >= first);
     }
 }
--- a/crates/borageshore_usage/src/reports.rs
+++ b/crates/borageshore_usage/src/reports.rs
@@ -99,8 +99,8 @@
         windows.take_while(|window| *window < first).collect()
     }
 
-    /// Drops a window's report after its record was removed.
-    pub fn forget(&mut self, window: Window) {
+    /// Removes a window's report after its record was removed.
+    pub fn remove(&mut self, window: Window) {
         self.finalized.remove(&window);
     }
 }
--- a/crates/borageshore_usage/src/totals.rs
+++ b/crates/borageshore_usage/src/totals.rs
@@ -39,7 +39,7 @@
     }
 
     /// Removes the windows before `first`.
-    pub fn forget_before(&mut self, first: Window) {
+    pub fn expire_before(&mut self, first: Window) {
         self.windows.retain(|window, _| *window >= first);
     }
 }
--- a/crates/borageshore_usage/tests/usage.rs
+++ b/crates/borageshore_usage/tests/usage.rs
@@ -52,7 +52,7 @@
         let again = own.take_dirty();
         assert_eq!(again.len(), 1);
         assert_eq!(again[0].1.get("mill"), Some(&2));
-        own.forget_before(Window(4));
+        own.expire_before(Window(4));
         own.mark_dirty([Window(3)]);
         assert!(!own.is_dirty());
     }
@@ -87,7 +87,7 @@
     }
 
     // Guards against unbounded memory in daemons that only read the reports of another holder.
-    a_report_is_forgotten_once_its_record_is_removed => {
+    a_report_is_removed_with_its_record => {
         let mut reports = Reports::default();
         for window in 1..=3 {
             reports.on_finalized(Window(window), &counts(&[("mill", 1)]));
@@ -95,7 +95,7 @@
         }
         let old = reports.windows_before(Window(3));
         assert_eq!(old, [Window(1), Window(2)]);
-        old.into_iter().for_each(|window| reports.forget(window));
+        old.into_iter().for_each(|window| reports.remove(window));
         assert_eq!(reports.accepted_from(Window(0)), [Window(3)]);
         assert!(reports.windows_before(Window(3)).is_empty());
     }
