--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -20,7 +20,7 @@
 use borageshore_platform::KeyedRecord;
 use borageshore_routing::{
     AbandonedAttempts, Crash, CrashEffect, CrashReport, CrashReports, Fingerprint,
-    Quarantine as Table, Verdict,
+    Quarantine as Table, QuarantineDecision,
 };
 use bytes::Bytes;
 use tokio::sync::Notify;
@@ -142,10 +142,10 @@
             return Ok(Permit { trial: None });
         }
         let content = content();
-        match self.verdict(&content) {
-            Verdict::Allowed => Ok(Permit { trial: None }),
-            Verdict::Held { retry_after_ms } => Err(Held { retry_after_ms }),
-            Verdict::TrialDue => self.claim(content).await,
+        match self.decision(&content) {
+            QuarantineDecision::Allowed => Ok(Permit { trial: None }),
+            QuarantineDecision::Held { retry_after_ms } => Err(Held { retry_after_ms }),
+            QuarantineDecision::TrialDue => self.claim(content).await,
         }
     }
 
@@ -156,8 +156,8 @@
         sleep_ms(held.retry_after_ms.min(CLAIM_TIMEOUT_MS).min(max_wait_ms)).await;
         loop {
             let left_ms = until_ms.saturating_sub(self.clock.now_ms());
-            match self.verdict(&content) {
-                Verdict::Held { retry_after_ms } if left_ms > 0 => {
+            match self.decision(&content) {
+                QuarantineDecision::Held { retry_after_ms } if left_ms > 0 => {
                     within_ms(retry_after_ms.min(left_ms), self.changed.notified()).await;
                 }
                 _ => return,
@@ -170,7 +170,7 @@
     where
         Content: FnOnce() -> Fingerprint,
     {
-        self.table.borrow().is_empty() || self.verdict(&content()) == Verdict::Allowed
+        self.table.borrow().is_empty() || self.decision(&content()) == QuarantineDecision::Allowed
     }
 
     /// Follows endpoints that end unannounced: attempts abandoned there shortly before are suspects.
@@ -218,7 +218,7 @@
             return;
         }
         let content = content();
-        let was_held = self.verdict(&content) != Verdict::Allowed;
+        let was_held = self.decision(&content) != QuarantineDecision::Allowed;
         let Some(mut crashes) = self.table.borrow_mut().on_success(&content) else {
             return;
         };
@@ -262,8 +262,8 @@
         self.start_unix_ms + self.clock.now_ms()
     }
 
-    fn verdict(&self, content: &Fingerprint) -> Verdict {
-        self.table.borrow().verdict(content, self.unix_ms())
+    fn decision(&self, content: &Fingerprint) -> QuarantineDecision {
+        self.table.borrow().decision(content, self.unix_ms())
     }
 
     fn on_crash(&self, report: CrashReport) -> CrashEffect {
@@ -274,7 +274,7 @@
         let effect = self.table.borrow_mut().on_crash(content, crash);
         if effect == CrashEffect::Held {
             let crashes = self.table.borrow().crashes(&content);
-            log::warn!(content:%, instance = &*instance, crashes, verdict:? = self.verdict(&content); "a request is held back");
+            log::warn!(content:%, instance = &*instance, crashes, verdict:? = self.decision(&content); "a request is held back");
             self.instruments.count("quarantine", "held");
         }
         if effect != CrashEffect::Known {
--- a/crates/borageshore_net/src/client.rs
+++ b/crates/borageshore_net/src/client.rs
@@ -70,8 +70,7 @@
 /// An HTTP client with a pool of idle connections per address.
 ///
 /// After a timeout, all idle connections to the address are discarded
-/// ([`HttpClient::discard_idle_connections`]),
-/// so that the next request does not reuse a dead one.
+/// ([`HttpClient::discard_idle_connections`]), so that the next request does not reuse a dead one.
 #[derive(Debug, Clone, Default)]
 pub struct HttpClient {
     idle: Rc<RefCell<SortedMap<Arc<str>, Vec<Connection>>>>,
--- a/crates/borageshore_routing/src/lib.rs
+++ b/crates/borageshore_routing/src/lib.rs
@@ -34,7 +34,7 @@
     endpoint::{Endpoint, EndpointListing, EndpointState, EndpointTable, LoadReport},
     fingerprint::{Fingerprint, ParseFingerprintError, RequestContent},
     keys::{KeyDecision, KeyPrefix, KeyTable, StoredAnswer},
-    quarantine::{Crash, CrashEffect, Quarantine, Verdict},
+    quarantine::{Crash, CrashEffect, Quarantine, QuarantineDecision},
     registry::{EndpointRegistry, EntryEffect},
     request_attempts::RequestAttempts,
     routes::{Route, RouteKind, RouteTable, RouteTarget},
