--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     endpoints::Endpoints,
-    follow::{Fold, FollowSpec, Follower, ONLY_PARTITION},
+    follow::{FollowSpec, Follower, ONLY_PARTITION, RecordView},
     members::Members,
     store_transport::Store,
     usage::{ReportRecord, USAGE_SUBJECT, UsageReports},
@@ -27,7 +27,7 @@
 /// Margin for the latency of a call and of the successor's reads.
 const MARGIN_MS: u64 = 300;
 
-/// Folds the announcements; the same on all daemons.
+/// The announcements that have been read; the same on all daemons.
 #[derive(Debug)]
 struct Announcements {
     endpoints: Rc<Endpoints>,
@@ -65,7 +65,7 @@
     }
 }
 
-impl Fold for Announcements {
+impl RecordView for Announcements {
     fn apply(&self, records: &[KeyedRecord]) {
         for record in records {
             let Some(value) = &record.value else {
--- a/crates/borageshore_gateway/src/endpoints/listing.rs
+++ b/crates/borageshore_gateway/src/endpoints/listing.rs
@@ -6,7 +6,7 @@
 use borageshore_routing::{EntryEffect, LoadReport};
 
 use super::{Endpoints, target};
-use crate::follow::Fold;
+use crate::follow::RecordView;
 
 /// How long entries that lapsed around a store outage are kept: live endpoints are listed again within this time.
 const LAPSE_GRACE_MS: u64 = 2_300;
@@ -146,7 +146,7 @@
     }
 }
 
-impl Fold for Endpoints {
+impl RecordView for Endpoints {
     fn apply(&self, records: &[KeyedRecord]) {
         for record in records {
             let Some(value) = &record.value else {
--- a/crates/borageshore_gateway/src/fleet_records.rs
+++ b/crates/borageshore_gateway/src/fleet_records.rs
@@ -7,7 +7,7 @@
 use borageshore_platform::KeyedRecord;
 
 use crate::{
-    follow::Fold,
+    follow::RecordView,
     members::Members,
     quarantine::{self, Quarantine},
 };
@@ -19,7 +19,7 @@
     pub(crate) quarantine: Rc<Quarantine>,
 }
 
-impl Fold for FleetRecords {
+impl RecordView for FleetRecords {
     fn apply(&self, records: &[KeyedRecord]) {
         let is_crash = |record: &KeyedRecord| record.key.starts_with(quarantine::KEY_PREFIX);
         let (crashes, members): (Vec<KeyedRecord>, Vec<KeyedRecord>) =
--- a/crates/borageshore_gateway/src/follow.rs
+++ b/crates/borageshore_gateway/src/follow.rs
@@ -24,7 +24,7 @@
 pub(crate) const ONLY_PARTITION: u64 = 0;
 
 /// A view that is built from the records of a partition.
-pub(crate) trait Fold {
+pub(crate) trait RecordView {
     /// Applies records, in the order of their offsets.
     fn apply(&self, records: &[KeyedRecord]);
     /// Called when a read reached the end of the partition, before its records are applied.
@@ -56,26 +56,26 @@
 
 /// Follows a partition and applies its records to a view.
 #[derive(Debug)]
-pub(crate) struct Follower<Folded> {
+pub(crate) struct Follower<View> {
     spec: FollowSpec,
     position: RefCell<ViewPosition>,
     is_failing: Cell<bool>,
     is_stopped: Cell<bool>,
-    fold: Rc<Folded>,
+    view: Rc<View>,
 }
 
-impl<Folded> Follower<Folded>
+impl<View> Follower<View>
 where
-    Folded: Fold + 'static,
+    View: RecordView + 'static,
 {
     /// Starts to follow a partition on the current thread's event loop.
-    pub(crate) fn spawn(spec: FollowSpec, fold: Rc<Folded>) -> Rc<Self> {
+    pub(crate) fn spawn(spec: FollowSpec, view: Rc<View>) -> Rc<Self> {
         let follower = Rc::new(Self {
             spec,
             position: RefCell::default(),
             is_failing: Cell::new(false),
             is_stopped: Cell::new(false),
-            fold,
+            view,
         });
         monoio::spawn(follower.clone().run());
         follower
@@ -142,7 +142,7 @@
                 Err(StoreError::Expired { first }) => {
                     log::info!(topic:? = self.spec.topic, partition = self.spec.partition, first; "records expired before they were read; restarting the view");
                     self.position.borrow_mut().reset();
-                    self.fold.on_gap();
+                    self.view.on_gap();
                 }
                 Err(error) => {
                     self.on_store_error(&error);
@@ -199,13 +199,13 @@
         let after_last = page.records.last().map_or(from, |last| last.offset + 1);
         let is_current = self.move_to(after_last, page.end);
         if is_current {
-            self.fold.on_caught_up();
+            self.view.on_caught_up();
         }
         if self.is_failing.replace(false) {
             log::info!(topic:? = self.spec.topic, partition = self.spec.partition; "store regained");
         }
         if !records.is_empty() {
-            self.fold.apply(records);
+            self.view.apply(records);
         }
         if is_current {
             self.position.borrow_mut().on_response(requested_at_ms);
--- a/crates/borageshore_gateway/src/ledger_view.rs
+++ b/crates/borageshore_gateway/src/ledger_view.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Notify;
 
 use crate::{
-    follow::{Fold, FollowSpec, Follower, StartFrom},
+    follow::{FollowSpec, Follower, RecordView, StartFrom},
     store_transport::Store,
 };
 
@@ -76,7 +76,7 @@
 
 #[derive(Debug)]
 struct Followed {
-    follower: Rc<Follower<ShardFold>>,
+    follower: Rc<Follower<ShardView>>,
     used_at_ms: Cell<u64>,
 }
 
@@ -165,7 +165,7 @@
     }
 
     /// Waits until a shard is being followed: records loaded before that could leave a gap.
-    async fn wait_until_started(&self, follower: &Follower<ShardFold>) -> bool {
+    async fn wait_until_started(&self, follower: &Follower<ShardView>) -> bool {
         let started = async {
             loop {
                 let changed = self.changed.notified();
@@ -202,11 +202,11 @@
     }
 
     /// Returns the shard's follower; starts one at the end of the shard if there is none.
-    fn follow(self: &Rc<Self>, shard: Shard) -> Rc<Follower<ShardFold>> {
+    fn follow(self: &Rc<Self>, shard: Shard) -> Rc<Follower<ShardView>> {
         let now_ms = self.clock.now_ms();
         let mut shards = self.shards.borrow_mut();
         let followed = shards.get_or_insert_with(shard, || {
-            let fold = ShardFold {
+            let shard_view = ShardView {
                 view: self.clone(),
                 shard,
             };
@@ -218,7 +218,7 @@
                 clock: self.clock,
                 pause_ms: FOLLOW_PAUSE_MS,
             };
-            let follower = Follower::spawn(spec, Rc::new(fold));
+            let follower = Follower::spawn(spec, Rc::new(shard_view));
             Followed {
                 follower,
                 used_at_ms: Cell::new(now_ms),
@@ -280,12 +280,12 @@
 
 /// Applies the records of one shard to the view.
 #[derive(Debug)]
-pub(crate) struct ShardFold {
+pub(crate) struct ShardView {
     view: Rc<LedgerView>,
     shard: Shard,
 }
 
-impl Fold for ShardFold {
+impl RecordView for ShardView {
     fn apply(&self, records: &[KeyedRecord]) {
         let mut ledger = self.view.ledger.borrow_mut();
         for entry in records.iter().cloned().filter_map(entry) {
--- a/crates/borageshore_gateway/src/members/mod.rs
+++ b/crates/borageshore_gateway/src/members/mod.rs
@@ -17,7 +17,7 @@
 use borageshore_platform::KeyedRecord;
 use tokio::sync::Notify;
 
-use crate::{follow::Fold, store_transport::FailoverTransport};
+use crate::{follow::RecordView, store_transport::FailoverTransport};
 
 /// The prefix of a suspicion's key; the name of the suspected daemon follows.
 const SUSPICION_PREFIX: &str = "suspect/";
@@ -321,7 +321,7 @@
     }
 }
 
-impl Fold for Members {
+impl RecordView for Members {
     fn apply(&self, records: &[KeyedRecord]) {
         for record in records {
             self.on_own_record(record);
--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -32,7 +32,7 @@
     sent::SentRequest,
     trials::Permit,
 };
-use crate::{endpoints::Endpoints, follow::Fold, members::Members, store_transport::Store};
+use crate::{endpoints::Endpoints, follow::RecordView, members::Members, store_transport::Store};
 
 /// How long a caller waits for a trial claim to be stored and read back.
 const CLAIM_TIMEOUT_MS: u64 = 400;
@@ -326,7 +326,7 @@
     }
 }
 
-impl Fold for Quarantine {
+impl RecordView for Quarantine {
     fn apply(&self, records: &[KeyedRecord]) {
         if self.has_gap.take() {
             // Keys that were removed during the gap are missing from the newest records.
--- a/crates/borageshore_gateway/src/routes.rs
+++ b/crates/borageshore_gateway/src/routes.rs
@@ -12,7 +12,7 @@
 use borageshore_routing::{Route, RouteTable};
 use tokio::sync::Notify;
 
-use crate::follow::Fold;
+use crate::follow::RecordView;
 
 /// The largest priority value that engines accept; 0 is the highest priority.
 const MAX_PRIORITY: u64 = 9;
@@ -97,7 +97,7 @@
     }
 }
 
-impl Fold for Routes {
+impl RecordView for Routes {
     fn apply(&self, records: &[KeyedRecord]) {
         for record in records {
             match decode_operator_record(record) {
--- a/crates/borageshore_gateway/src/submission_index.rs
+++ b/crates/borageshore_gateway/src/submission_index.rs
@@ -13,7 +13,7 @@
 use tokio::sync::Notify;
 
 use crate::{
-    follow::{Fold, ONLY_PARTITION},
+    follow::{ONLY_PARTITION, RecordView},
     store_transport::Store,
 };
 
@@ -135,7 +135,7 @@
     jiff::Timestamp::now().as_millisecond() as u64
 }
 
-impl Fold for SubmissionIndex {
+impl RecordView for SubmissionIndex {
     fn apply(&self, records: &[KeyedRecord]) {
         for record in records {
             let Some(value) = &record.value else {
--- a/crates/borageshore_gateway/src/usage/records.rs
+++ b/crates/borageshore_gateway/src/usage/records.rs
@@ -52,7 +52,7 @@
     taken: Vec<u64>,
 }
 
-/// The state of reports, folded from their announcements.
+/// The state of reports according to their announcements.
 #[derive(Debug, Default)]
 pub(crate) struct UsageReports {
     reports: RefCell<Reports>,
--- a/crates/borageshore_gateway/src/usage/view.rs
+++ b/crates/borageshore_gateway/src/usage/view.rs
@@ -11,7 +11,7 @@
 
 use super::records::{total_counts, total_key};
 use crate::{
-    follow::{Fold, FollowSpec, Follower, StartFrom},
+    follow::{FollowSpec, Follower, RecordView, StartFrom},
     store_transport::Store,
 };
 
@@ -20,14 +20,14 @@
 /// The maximum number of keys that one append removes.
 const KEYS_PER_APPEND: usize = 500;
 
-/// Folds the totals of one partition.
+/// The totals of one partition.
 #[derive(Debug, Default)]
-struct TotalsFold {
+struct TotalsView {
     totals: RefCell<Totals>,
     keys: RefCell<SortedMap<Arc<str>, Window>>,
 }
 
-impl Fold for TotalsFold {
+impl RecordView for TotalsView {
     fn apply(&self, records: &[KeyedRecord]) {
         for record in records {
             let Some((window, incarnation)) = total_key(&record.key) else {
@@ -54,13 +54,13 @@
 #[derive(Debug)]
 pub(super) struct UsageView {
     store: Store,
-    partitions: Vec<Rc<Follower<TotalsFold>>>,
-    folds: Vec<Rc<TotalsFold>>,
+    partitions: Vec<Rc<Follower<TotalsView>>>,
+    views: Vec<Rc<TotalsView>>,
 }
 
 impl UsageView {
     pub(super) fn spawn(store: &Store, clock: Clock, partitions: u64) -> Self {
-        let folds: Vec<Rc<TotalsFold>> = (0..partitions.max(1)).map(|_| Rc::default()).collect();
+        let views: Vec<Rc<TotalsView>> = (0..partitions.max(1)).map(|_| Rc::default()).collect();
         let spec = |partition| FollowSpec {
             store: store.clone(),
             topic: Topic::Usage,
@@ -69,12 +69,12 @@
             clock,
             pause_ms: PAUSE_MS,
         };
-        let numbered = (0..).zip(&folds);
-        let partitions = numbered.map(|(number, fold)| Follower::spawn(spec(number), fold.clone()));
+        let numbered = (0..).zip(&views);
+        let partitions = numbered.map(|(number, view)| Follower::spawn(spec(number), view.clone()));
         Self {
             store: store.clone(),
             partitions: partitions.collect(),
-            folds,
+            views,
         }
     }
 
@@ -90,8 +90,8 @@
     /// The counts of all daemons in a window.
     pub(super) fn counts_of(&self, window: Window) -> Counts {
         let mut all = Counts::default();
-        for fold in &self.folds {
-            for (organisation, count) in fold.totals.borrow().window_total(window).iter() {
+        for view in &self.views {
+            for (organisation, count) in view.totals.borrow().window_total(window).iter() {
                 *all.get_or_insert_with(organisation.clone(), || 0) += count;
             }
         }
@@ -100,10 +100,10 @@
 
     /// Removes totals of windows before `first` from the store.
     pub(super) async fn expire_before(&self, first: Window) {
-        for (partition, fold) in (0..).zip(&self.folds) {
-            fold.totals.borrow_mut().expire_before(first);
+        for (partition, view) in (0..).zip(&self.views) {
+            view.totals.borrow_mut().expire_before(first);
             let expired: Vec<(Arc<str>, Bytes)> = {
-                let keys = fold.keys.borrow();
+                let keys = view.keys.borrow();
                 let expired = keys.iter().filter(|(_, window)| **window < first);
                 expired
                     .map(|(key, _)| (key.clone(), Bytes::new()))
