--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -19,8 +19,8 @@
 use borageshore_net::{Clock, sleep_ms, within_ms};
 use borageshore_platform::KeyedRecord;
 use borageshore_routing::{
-    AbandonedAttempts, Crash, CrashEffect, CrashReport, CrashReports, Fingerprint,
-    Quarantine as Table, QuarantineDecision,
+    AbandonedAttempts, Crash, CrashEffect, CrashReport, CrashReports, Fingerprint, HoldDecision,
+    Quarantine as Table,
 };
 use bytes::Bytes;
 use tokio::sync::Notify;
@@ -143,9 +143,9 @@
         }
         let content = content();
         match self.decision(&content) {
-            QuarantineDecision::Allowed => Ok(Permit { trial: None }),
-            QuarantineDecision::Held { retry_after_ms } => Err(Held { retry_after_ms }),
-            QuarantineDecision::TrialDue => self.claim(content).await,
+            HoldDecision::Allowed => Ok(Permit { trial: None }),
+            HoldDecision::Held { retry_after_ms } => Err(Held { retry_after_ms }),
+            HoldDecision::TrialDue => self.claim(content).await,
         }
     }
 
@@ -157,7 +157,7 @@
         loop {
             let left_ms = until_ms.saturating_sub(self.clock.now_ms());
             match self.decision(&content) {
-                QuarantineDecision::Held { retry_after_ms } if left_ms > 0 => {
+                HoldDecision::Held { retry_after_ms } if left_ms > 0 => {
                     within_ms(retry_after_ms.min(left_ms), self.changed.notified()).await;
                 }
                 _ => return,
@@ -170,7 +170,7 @@
     where
         Content: FnOnce() -> Fingerprint,
     {
-        self.table.borrow().is_empty() || self.decision(&content()) == QuarantineDecision::Allowed
+        self.table.borrow().is_empty() || self.decision(&content()) == HoldDecision::Allowed
     }
 
     /// Follows endpoints that end unannounced: attempts abandoned there shortly before are suspects.
@@ -218,7 +218,7 @@
             return;
         }
         let content = content();
-        let was_held = self.decision(&content) != QuarantineDecision::Allowed;
+        let was_held = self.decision(&content) != HoldDecision::Allowed;
         let Some(mut crashes) = self.table.borrow_mut().on_success(&content) else {
             return;
         };
@@ -262,7 +262,7 @@
         self.start_unix_ms + self.clock.now_ms()
     }
 
-    fn decision(&self, content: &Fingerprint) -> QuarantineDecision {
+    fn decision(&self, content: &Fingerprint) -> HoldDecision {
         self.table.borrow().decision(content, self.unix_ms())
     }
 
--- a/crates/borageshore_gateway/src/quarantine/trials.rs
+++ b/crates/borageshore_gateway/src/quarantine/trials.rs
@@ -4,7 +4,7 @@
 
 use borageshore_net::within_ms;
 use borageshore_platform::{StoreError, Topic};
-use borageshore_routing::{Fingerprint, QuarantineDecision};
+use borageshore_routing::{Fingerprint, HoldDecision};
 
 use super::{
     CLAIM_TIMEOUT_MS, Held, Quarantine,
@@ -75,7 +75,7 @@
             self.store
                 .append(Topic::Members, ONLY_PARTITION, &records, None)
                 .await?;
-            while self.decision(&content) == QuarantineDecision::TrialDue {
+            while self.decision(&content) == HoldDecision::TrialDue {
                 self.changed.notified().await;
             }
             Ok::<(), StoreError>(())
@@ -87,12 +87,12 @@
             return Ok(Permit { trial: Some(trial) });
         }
         match self.decision(&content) {
-            QuarantineDecision::Allowed => Ok(Permit { trial: None }),
-            QuarantineDecision::Held { retry_after_ms } => Err(Held { retry_after_ms }),
-            QuarantineDecision::TrialDue if self.members.is_first_for(&content.to_string()) => {
+            HoldDecision::Allowed => Ok(Permit { trial: None }),
+            HoldDecision::Held { retry_after_ms } => Err(Held { retry_after_ms }),
+            HoldDecision::TrialDue if self.members.is_first_for(&content.to_string()) => {
                 Ok(self.start_trial_without_store(trial))
             }
-            QuarantineDecision::TrialDue => {
+            HoldDecision::TrialDue => {
                 log::info!(content:%, claimed:?; "the trial of a request cannot be claimed");
                 Err(Held {
                     retry_after_ms: CLAIM_TIMEOUT_MS,
--- a/crates/borageshore_routing/src/lib.rs
+++ b/crates/borageshore_routing/src/lib.rs
@@ -34,7 +34,7 @@
     endpoint::{Endpoint, EndpointListing, EndpointState, EndpointTable, LoadReport},
     fingerprint::{Fingerprint, ParseFingerprintError, RequestContent},
     keys::{KeyDecision, KeyPrefix, KeyTable, StoredAnswer},
-    quarantine::{Crash, CrashEffect, Quarantine, QuarantineDecision},
+    quarantine::{Crash, CrashEffect, HoldDecision, Quarantine},
     registry::{EndpointRegistry, EntryEffect},
     request_attempts::RequestAttempts,
     routes::{Route, RouteKind, RouteTable, RouteTarget},
--- a/crates/borageshore_routing/src/quarantine.rs
+++ b/crates/borageshore_routing/src/quarantine.rs
@@ -55,7 +55,7 @@
 
 /// Whether a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum QuarantineDecision {
+pub enum HoldDecision {
     /// It may be sent.
     Allowed,
     /// It is held and may not be sent.
@@ -197,12 +197,12 @@
     }
 
     /// Returns whether a request may be sent now.
-    pub fn decision(&self, content: &Fingerprint, now_ms: u64) -> QuarantineDecision {
+    pub fn decision(&self, content: &Fingerprint, now_ms: u64) -> HoldDecision {
         let entry = self.entries.get(content);
         let held_until_ms =
             entry.map(|entry| entry.held_until_ms(self.shared_trials(content, entry)));
         let Some(until_ms) = held_until_ms.flatten() else {
-            return QuarantineDecision::Allowed;
+            return HoldDecision::Allowed;
         };
         // A trial in progress, also that of another request, delays all others.
         let trial = self
@@ -210,10 +210,8 @@
             .as_ref()
             .map_or(0, |trial| trial.began_ms + TRIAL_TIMEOUT_MS);
         match until_ms.max(trial).checked_sub(now_ms) {
-            Some(retry_after_ms) if retry_after_ms > 0 => {
-                QuarantineDecision::Held { retry_after_ms }
-            }
-            _ => QuarantineDecision::TrialDue,
+            Some(retry_after_ms) if retry_after_ms > 0 => HoldDecision::Held { retry_after_ms },
+            _ => HoldDecision::TrialDue,
         }
     }
 
@@ -225,7 +223,7 @@
 
     /// Records that a daemon claims trial `number` of a request. The first of several claims wins.
     pub fn on_claim(&mut self, content: Fingerprint, claim: Arc<str>, number: u64, now_ms: u64) {
-        if self.decision(&content, now_ms) != QuarantineDecision::TrialDue {
+        if self.decision(&content, now_ms) != HoldDecision::TrialDue {
             return;
         }
         let entry = self.entries.get(&content);
--- a/crates/borageshore_routing/tests/quarantine.rs
+++ b/crates/borageshore_routing/tests/quarantine.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 
 use borageshore_routing::{
-    AbandonedAttempts, Crash, CrashEffect, CrashReport, CrashReports, Fingerprint, Quarantine,
-    QuarantineDecision, RequestContent,
+    AbandonedAttempts, Crash, CrashEffect, CrashReport, CrashReports, Fingerprint, HoldDecision,
+    Quarantine, RequestContent,
 };
 
 const FIRST_HOLD_MS: u64 = 1_000;
@@ -49,18 +49,18 @@
 cases! {
     the_third_endpoint_that_crashes_holds_a_request_back => {
         let mut quarantine = crashed(1, 2);
-        assert_eq!(quarantine.decision(&content(1), 1_010), QuarantineDecision::Allowed);
+        assert_eq!(quarantine.decision(&content(1), 1_010), HoldDecision::Allowed);
         assert_eq!(quarantine.on_crash(content(1), crash(2, 1_015)), CrashEffect::Known);
         assert_eq!(quarantine.on_crash(content(1), crash(3, 1_020)), CrashEffect::Held);
-        assert_eq!(quarantine.decision(&content(1), 1_020), QuarantineDecision::Held { retry_after_ms: FIRST_HOLD_MS });
-        assert_eq!(quarantine.decision(&content(2), 1_020), QuarantineDecision::Allowed);
+        assert_eq!(quarantine.decision(&content(1), 1_020), HoldDecision::Held { retry_after_ms: FIRST_HOLD_MS });
+        assert_eq!(quarantine.decision(&content(2), 1_020), HoldDecision::Allowed);
     }
 
     // Guards against a long hold of a popular request that several endpoints were running when a zone failed:
     // simultaneous crashes prove no more than one, only a trial does.
     many_crashes_at_once_hold_a_request_back_no_longer_than_three => {
         let mut quarantine = crashed(1, 8);
-        assert_eq!(quarantine.decision(&content(1), 1_070 + FIRST_HOLD_MS), QuarantineDecision::TrialDue);
+        assert_eq!(quarantine.decision(&content(1), 1_070 + FIRST_HOLD_MS), HoldDecision::TrialDue);
         assert_eq!(quarantine.on_success(&content(1)).map(|crashes| crashes.len()), Some(8));
         assert!(quarantine.is_empty());
     }
@@ -73,7 +73,7 @@
         let failed = Crash { is_trial: true, ..crash(4, due_ms + 20) };
         assert_eq!(quarantine.on_crash(content(1), failed), CrashEffect::Held);
         assert!(!quarantine.has_trial("vm-1"));
-        let held = QuarantineDecision::Held { retry_after_ms: SECOND_HOLD_MS };
+        let held = HoldDecision::Held { retry_after_ms: SECOND_HOLD_MS };
         assert_eq!(quarantine.decision(&content(1), due_ms + 20), held);
     }
 
@@ -94,12 +94,12 @@
         let due_ms = 1_020 + FIRST_HOLD_MS;
         quarantine.on_claim(content(1), "vm-1".into(), 1, due_ms);
         quarantine.on_trial_finished(&content(1), "vm-1", 1, due_ms + 5);
-        let held = QuarantineDecision::Held { retry_after_ms: UNDECIDED_HOLD_MS };
+        let held = HoldDecision::Held { retry_after_ms: UNDECIDED_HOLD_MS };
         assert_eq!(quarantine.decision(&content(1), due_ms + 5), held);
         let due_ms = due_ms + 5 + UNDECIDED_HOLD_MS;
         quarantine.on_claim(content(1), "vm-2".into(), 2, due_ms);
         quarantine.on_trial_finished(&content(1), "vm-2", 2, due_ms + 5);
-        let held = QuarantineDecision::Held { retry_after_ms: SECOND_HOLD_MS };
+        let held = HoldDecision::Held { retry_after_ms: SECOND_HOLD_MS };
         assert_eq!(quarantine.decision(&content(1), due_ms + 5), held);
     }
 
@@ -111,9 +111,9 @@
         quarantine.on_claim(content(1), "vm-1".into(), 1, due_ms);
         quarantine.on_trial_cancelled(&content(1), "vm-1", due_ms + 5);
         assert_eq!(quarantine.trials(&content(1)), 0);
-        let held = QuarantineDecision::Held { retry_after_ms: CANCELLED_TRIAL_DELAY_MS };
+        let held = HoldDecision::Held { retry_after_ms: CANCELLED_TRIAL_DELAY_MS };
         assert_eq!(quarantine.decision(&content(1), due_ms + 5), held);
-        assert_eq!(quarantine.decision(&content(1), due_ms + 5 + CANCELLED_TRIAL_DELAY_MS), QuarantineDecision::TrialDue);
+        assert_eq!(quarantine.decision(&content(1), due_ms + 5 + CANCELLED_TRIAL_DELAY_MS), HoldDecision::TrialDue);
     }
 
     // Guards against a second send while a trial is in progress: a losing claim or a late report must not end it.
@@ -132,7 +132,7 @@
         let mut quarantine = crashed(1, 3);
         quarantine.on_trial_finished(&content(1), "vm-2", 2, 20_000);
         assert_eq!(quarantine.trials(&content(1)), 2);
-        let held = QuarantineDecision::Held { retry_after_ms: SECOND_HOLD_MS };
+        let held = HoldDecision::Held { retry_after_ms: SECOND_HOLD_MS };
         assert_eq!(quarantine.decision(&content(1), 20_000), held);
     }
 
@@ -145,9 +145,9 @@
         let lost = Crash { is_trial: true, ..crash(4, due_ms + 20) };
         quarantine.on_crash(content(1), lost);
         quarantine.on_trial_finished(&content(1), "vm-1", 1, due_ms + 20);
-        let held = QuarantineDecision::Held { retry_after_ms: FIRST_HOLD_MS };
+        let held = HoldDecision::Held { retry_after_ms: FIRST_HOLD_MS };
         assert_eq!(quarantine.decision(&content(1), due_ms + 20), held);
-        assert_eq!(quarantine.decision(&content(1), due_ms + 20 + FIRST_HOLD_MS), QuarantineDecision::TrialDue);
+        assert_eq!(quarantine.decision(&content(1), due_ms + 20 + FIRST_HOLD_MS), HoldDecision::TrialDue);
     }
 
     // Guards against discounting a failed trial although the other request on the endpoint succeeded later.
@@ -157,9 +157,9 @@
         quarantine.on_claim(content(1), "vm-1".into(), 1, due_ms);
         quarantine.on_crash(content(1), Crash { is_trial: true, ..crash(4, due_ms + 20) });
         quarantine.on_crash(content(2), crash(4, due_ms + 25));
-        assert_eq!(quarantine.decision(&content(1), due_ms + 20 + FIRST_HOLD_MS), QuarantineDecision::TrialDue);
+        assert_eq!(quarantine.decision(&content(1), due_ms + 20 + FIRST_HOLD_MS), HoldDecision::TrialDue);
         quarantine.on_success(&content(2));
-        let held = QuarantineDecision::Held { retry_after_ms: SECOND_HOLD_MS };
+        let held = HoldDecision::Held { retry_after_ms: SECOND_HOLD_MS };
         assert_eq!(quarantine.decision(&content(1), due_ms + 20), held);
     }
 
@@ -170,7 +170,7 @@
         let mut trials = 0;
         while now_ms < SECOND_HOLD_MS {
             now_ms += match quarantine.decision(&content(1), now_ms) {
-                QuarantineDecision::Held { retry_after_ms } => retry_after_ms,
+                HoldDecision::Held { retry_after_ms } => retry_after_ms,
                 _ => {
                     trials += 1;
                     quarantine.on_claim(content(1), "vm-1".into(), trials, now_ms);
@@ -201,9 +201,9 @@
         quarantine.on_claim(content(2), "vm-2".into(), 1, due_ms);
         quarantine.on_claim(content(1), "vm-1".into(), 1, due_ms + 1);
         assert!(quarantine.has_trial("vm-2") && !quarantine.has_trial("vm-1"));
-        assert!(matches!(quarantine.decision(&content(1), due_ms + 1), QuarantineDecision::Held { .. }));
+        assert!(matches!(quarantine.decision(&content(1), due_ms + 1), HoldDecision::Held { .. }));
         quarantine.on_success(&content(2));
-        assert_eq!(quarantine.decision(&content(1), due_ms + 2), QuarantineDecision::TrialDue);
+        assert_eq!(quarantine.decision(&content(1), due_ms + 2), HoldDecision::TrialDue);
     }
 
     // Guards against blocking all trials after the daemon that claimed one was killed.
