--- a/crates/borageshore_daemon/src/control.rs
+++ b/crates/borageshore_daemon/src/control.rs
@@ -83,8 +83,8 @@
     let SettingsRecord::Change(change) = &envelope.body else {
         return;
     };
-    let wall_ms = jiff::Timestamp::now().as_millisecond() as u64;
-    let lag_ms = wall_ms.saturating_sub(record.at_ms);
+    let unix_ms = jiff::Timestamp::now().as_millisecond() as u64;
+    let lag_ms = unix_ms.saturating_sub(record.at_ms);
     let SettingsChange { actor, reason, .. } = change;
     log::info!(
         "processed settings record {} by {actor}, {lag_ms} ms after it was appended: {reason}",
--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -103,7 +103,7 @@
         route: &Route,
         body: Bytes,
     ) -> EdgeResponse {
-        let started_ms = self.clock.now_ms();
+        let started_at_ms = self.clock.now_ms();
         let wait_ms = head.deadline_ms.min(route.timeout_ms);
         let deadline = Deadline::after(self.clock, wait_ms.saturating_sub(RESPONSE_MARGIN_MS));
         let outbound = OutboundRequest {
@@ -132,7 +132,7 @@
         let mut outcome = CallOutcome::default();
         let attempts = self.run_attempts(route, service, &call, &permit, deadline, &mut outcome);
         let endpoint_response = attempts.await.or(outcome.error_response.take());
-        let took_ms = self.clock.now_ms() - started_ms;
+        let took_ms = self.clock.now_ms() - started_at_ms;
         self.instruments.record_ms("call", took_ms);
         let response = match endpoint_response {
             Some(endpoint_response) => forwarded_response(endpoint_response),
--- a/crates/borageshore_gateway/src/lifecycle.rs
+++ b/crates/borageshore_gateway/src/lifecycle.rs
@@ -137,16 +137,16 @@
 /// and closes idle connections near the end of the grace period.
 pub(crate) async fn drain(gateway: &Gateway, servers: &[HttpServer], timing: DrainTiming) {
     gateway.enter_draining();
-    let started_ms = gateway.now_ms();
-    let close_idle_at_ms = started_ms + timing.grace_ms.saturating_sub(CLOSE_MARGIN_MS);
+    let started_at_ms = gateway.now_ms();
+    let close_idle_at_ms = started_at_ms + timing.grace_ms.saturating_sub(CLOSE_MARGIN_MS);
     while gateway.now_ms() < close_idle_at_ms {
         sleep_ms(POLL_MS).await;
     }
     for server in servers {
         server.stop_gracefully();
     }
-    let end_ms = started_ms + timing.grace_ms.saturating_sub(EXIT_MARGIN_MS);
-    let listed_until_ms = started_ms + UNLIST_DELAY_MS + timing.address_retention_ms;
+    let end_ms = started_at_ms + timing.grace_ms.saturating_sub(EXIT_MARGIN_MS);
+    let listed_until_ms = started_at_ms + UNLIST_DELAY_MS + timing.address_retention_ms;
     let is_needed = || gateway.now_ms() < listed_until_ms || !gateway.is_idle();
     while gateway.now_ms() < end_ms && is_needed() {
         sleep_ms(POLL_MS).await;
@@ -156,7 +156,7 @@
     }
     within_ms(CLOSE_TIMEOUT_MS, wait_for_connections(servers)).await;
     within_ms(LEAVE_TIMEOUT_MS, gateway.leave()).await;
-    log::info!(took_ms = gateway.now_ms() - started_ms, is_idle = gateway.is_idle(); "daemon stopped");
+    log::info!(took_ms = gateway.now_ms() - started_at_ms, is_idle = gateway.is_idle(); "daemon stopped");
 }
 
 /// Waits until no connection is open.
--- a/crates/borageshore_gateway/src/progress.rs
+++ b/crates/borageshore_gateway/src/progress.rs
@@ -264,7 +264,7 @@
         if !self.is_enabled {
             return Vec::new();
         }
-        let started_ms = self.clock.now_ms();
+        let started_at_ms = self.clock.now_ms();
         match within_ms(
             timeout_ms,
             self.read_texts(Shard::of(submission, self.partitions)),
@@ -272,7 +272,7 @@
         .await
         {
             Some(Ok(texts)) => {
-                let took_ms = self.clock.now_ms() - started_ms;
+                let took_ms = self.clock.now_ms() - started_at_ms;
                 log::info!(submission, texts = texts.len(), took_ms; "texts under way restored");
                 texts
             }
--- a/crates/borageshore_gateway/src/submissions.rs
+++ b/crates/borageshore_gateway/src/submissions.rs
@@ -75,7 +75,7 @@
             log::info!(submission = &*id; "submission accepted before");
             return accepted_response();
         }
-        let started_ms = self.clock.now_ms();
+        let started_at_ms = self.clock.now_ms();
         let items = submission.items.len();
         let slots = self.endpoints.slots_of(service);
         let indexed = self.index.add(&submission, service, slots).await;
@@ -86,7 +86,7 @@
         };
         match appended {
             Ok(()) => {
-                let took_ms = self.clock.now_ms() - started_ms;
+                let took_ms = self.clock.now_ms() - started_at_ms;
                 self.instruments.count("submission", "accepted");
                 self.instruments.record_ms("accept", took_ms);
                 log::info!(submission = &*id, items, took_ms; "submission accepted");
--- a/crates/borageshore_routing/src/quarantine.rs
+++ b/crates/borageshore_routing/src/quarantine.rs
@@ -83,7 +83,7 @@
     /// The crashes of different endpoints since the last success.
     crashes: Vec<Crash>,
     trials: u64,
-    /// When the last trial began or ended.
+    /// When the last trial started or ended.
     last_trial_ms: u64,
     /// The earliest time of the next trial.
     no_trial_before_ms: u64,
@@ -133,8 +133,8 @@
 struct Trial {
     content: Fingerprint,
     claim: Arc<str>,
-    began_ms: u64,
-    /// When the trial before this one began or ended.
+    started_at_ms: u64,
+    /// When the trial before this one started or ended.
     previous_trial_ms: u64,
 }
 
@@ -208,7 +208,7 @@
         let trial = self
             .trial
             .as_ref()
-            .map_or(0, |trial| trial.began_ms + TRIAL_TIMEOUT_MS);
+            .map_or(0, |trial| trial.started_at_ms + TRIAL_TIMEOUT_MS);
         match until_ms.max(trial).checked_sub(now_ms) {
             Some(retry_after_ms) if retry_after_ms > 0 => HoldDecision::Held { retry_after_ms },
             _ => HoldDecision::TrialDue,
@@ -230,7 +230,7 @@
         self.trial = Some(Trial {
             content,
             claim,
-            began_ms: now_ms,
+            started_at_ms: now_ms,
             previous_trial_ms: entry.map_or(0, |entry| entry.last_trial_ms),
         });
         self.count_trial(&content, number, now_ms);
--- a/crates/borageshore_standins/src/callers.rs
+++ b/crates/borageshore_standins/src/callers.rs
@@ -228,7 +228,7 @@
         );
         let max_tokens = self.shared.options.max_tokens;
         let body = serde_json::json!({"prompt": prompt, "max_tokens": max_tokens, "stream": true});
-        let started_ms = self.shared.clock.now_ms();
+        let started_at_ms = self.shared.clock.now_ms();
         // Tries the next address if a daemon cannot be reached.
         for _ in 0..self.address_list.addresses.len().max(1) {
             let address = self.next_address();
@@ -236,7 +236,7 @@
             match self.open_stream(&address, &path, body.to_string()).await {
                 Ok((sender, response)) if response.status() == StatusCode::OK => {
                     let outcome = read_stream(response, &prompt, max_tokens).await;
-                    self.record_stream(outcome, started_ms);
+                    self.record_stream(outcome, started_at_ms);
                     self.shared.http.return_to_pool(&address, sender);
                     return;
                 }
@@ -274,12 +274,12 @@
         Ok((sender, response))
     }
 
-    fn record_stream(&self, outcome: StreamOutcome, started_ms: u64) {
+    fn record_stream(&self, outcome: StreamOutcome, started_at_ms: u64) {
         let mut summary = self.shared.summary.borrow_mut();
         match outcome {
             StreamOutcome::Complete => {
                 summary.streams_whole += 1;
-                let latency_ms = self.shared.clock.now_ms() - started_ms;
+                let latency_ms = self.shared.clock.now_ms() - started_at_ms;
                 self.shared
                     .latencies_ms
                     .borrow_mut()
--- a/crates/borageshore_standins/src/trainer.rs
+++ b/crates/borageshore_standins/src/trainer.rs
@@ -124,9 +124,9 @@
     /// Runs until all steps are completed or the time limit is reached.
     pub async fn run(mut self) -> TrainerSummary {
         while self.summary.steps < self.options.steps && self.has_time_left() {
-            let started_ms = self.clock.now_ms();
+            let started_at_ms = self.clock.now_ms();
             let is_complete = self.collect_step().await;
-            self.summary.idle_ms += self.clock.now_ms() - started_ms;
+            self.summary.idle_ms += self.clock.now_ms() - started_at_ms;
             if !is_complete {
                 break;
             }
