--- a/crates/borageshore_standins/src/platform/duties.rs
+++ b/crates/borageshore_standins/src/platform/duties.rs
@@ -35,7 +35,7 @@
     pub at_ms: u64,
     /// The duty holder that sent it.
     pub holder: String,
-    /// The holder's fencing epoch.
+    /// The holder's fencing token.
     pub epoch: u64,
     /// The id of the reported window.
     pub window: u64,
--- a/crates/borageshore_standins/src/platform/engine.rs
+++ b/crates/borageshore_standins/src/platform/engine.rs
@@ -83,7 +83,7 @@
     pub at_ms: u64,
     /// The holder that sent it.
     pub holder: String,
-    /// The holder's fencing epoch.
+    /// The holder's fencing token.
     pub epoch: u64,
     /// The requested weight version.
     pub version: u64,
