--- a/crates/borageshore_daemon/src/platform/log_service.rs
+++ b/crates/borageshore_daemon/src/platform/log_service.rs
@@ -51,7 +51,7 @@
         };
         let answer = self.http.call(&self.address, request, timeouts).await;
         answer.map_err(|error| match error {
-            CallError::NotSent(reason) => LogError::Refused(reason),
+            CallError::NotSent(reason) => LogError::NotDone(reason),
             CallError::NoAnswer(reason) | CallError::Disconnected(reason) => {
                 LogError::Unknown(reason)
             }
@@ -66,10 +66,10 @@
             .on_control_bytes("log", Direction::Sent, body.len());
         let request = Request::post(format!("/streams/{stream}"))
             .body(Full::new(body.into()))
-            .map_err(|error| LogError::Refused(error.to_string()))?;
+            .map_err(|error| LogError::NotDone(error.to_string()))?;
         let (status, body) = self.call(request, APPEND_TIMEOUT_MS).await?;
         if status == StatusCode::TOO_MANY_REQUESTS {
-            return Err(LogError::Refused("append rate limit exceeded".into()));
+            return Err(LogError::NotDone("append rate limit exceeded".into()));
         }
         if !status.is_success() {
             return Err(LogError::Unknown(format!(
@@ -90,12 +90,12 @@
         let uri = format!("/streams/{stream}?from={from_offset}&wait_ms={wait_ms}");
         let request = Request::get(uri)
             .body(Full::default())
-            .map_err(|error| LogError::Refused(error.to_string()))?;
+            .map_err(|error| LogError::NotDone(error.to_string()))?;
         let (status, body) = self.call(request, wait_ms + READ_SLACK_MS).await?;
         self.metrics
             .on_control_bytes("log", Direction::Received, body.len());
         if !status.is_success() {
-            return Err(LogError::Refused(format!(
+            return Err(LogError::NotDone(format!(
                 "the log service answered with status {status}"
             )));
         }
--- a/crates/borageshore_daemon/src/stream.rs
+++ b/crates/borageshore_daemon/src/stream.rs
@@ -369,7 +369,7 @@
     let mut proposer = stream.proposer.borrow_mut();
     match appended {
         Ok(_) => proposer.on_acknowledged(),
-        Err(LogError::Refused(reason)) => {
+        Err(LogError::NotDone(reason)) => {
             log::debug!(
                 "append to stream {} refused, retrying later: {reason}",
                 stream.name
--- a/crates/borageshore_gateway/src/item/attempt.rs
+++ b/crates/borageshore_gateway/src/item/attempt.rs
@@ -110,7 +110,7 @@
                 place.in_flight.on_load(*load);
                 AttemptOutcome::Retry { is_refused: true }
             }
-            AttemptError::NotSent(_) | AttemptError::Lost(_) | AttemptError::Broken(_) => {
+            AttemptError::NotSent(_) | AttemptError::Unknown(_) | AttemptError::Disconnected(_) => {
                 place.in_flight.fail();
                 AttemptOutcome::Retry { is_refused: false }
             }
@@ -165,7 +165,7 @@
                 }
             }
             if let Err(fault) = pushed {
-                let error = AttemptError::Lost(format!("event {}: {fault:?}", event.id));
+                let error = AttemptError::Unknown(format!("event {}: {fault:?}", event.id));
                 return self.on_attempt_error(place, &error, sent);
             }
             let now_us = self.context.clock.now_us();
--- a/crates/borageshore_gateway/src/quarantine/sent.rs
+++ b/crates/borageshore_gateway/src/quarantine/sent.rs
@@ -79,12 +79,12 @@
         }
         self.mark_sent();
         match error {
-            AttemptError::Broken(_) => {
+            AttemptError::Disconnected(_) => {
                 let content = (self.content)();
                 self.quarantine
                     .on_broken(content, &self.instance, self.trial.is_some());
             }
-            AttemptError::Lost(_) => self.record_abandoned(),
+            AttemptError::Unknown(_) => self.record_abandoned(),
             AttemptError::NotSent(_) | AttemptError::Refused { .. } => {}
         }
     }
--- a/crates/borageshore_gateway/src/submissions.rs
+++ b/crates/borageshore_gateway/src/submissions.rs
@@ -103,7 +103,7 @@
         log::warn!(submission = id, error:% = error; "submission not accepted");
         self.instruments.count("submission", "not_accepted");
         match error {
-            StoreError::Uncertain(why) => {
+            StoreError::Unknown(why) => {
                 let fault = Fault::new(ResultCode::AcceptanceUnknown, why.clone());
                 refusal(&fault, None)
             }
@@ -249,7 +249,7 @@
             Err(error) => {
                 log::warn!(submission = &**id, error:% = error; "submission not ended");
                 match error {
-                    StoreError::Uncertain(_) => {
+                    StoreError::Unknown(_) => {
                         refusal(&Fault::new(ResultCode::EndUnknown, &**id), None)
                     }
                     _ => view_too_old(id),
--- a/crates/borageshore_gateway/src/usage/counter.rs
+++ b/crates/borageshore_gateway/src/usage/counter.rs
@@ -126,7 +126,7 @@
             .append(Topic::Usage, partition, &records, None)
             .await;
         if let Err(error) = &appended {
-            if let StoreError::Uncertain(_) = error {
+            if let StoreError::Unknown(_) = error {
                 self.generation.set(self.generation.get() + 1);
             }
             let windows = dirty.iter().map(|(window, _)| *window);
--- a/crates/borageshore_log/src/service.rs
+++ b/crates/borageshore_log/src/service.rs
@@ -29,8 +29,8 @@
 /// Why a call to the log service failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LogError {
-    /// The log service refused the call; it had no effect.
-    Refused(String),
+    /// The call had no effect.
+    NotDone(String),
     /// No valid response; whether the call took effect is unknown.
     Unknown(String),
 }
@@ -38,7 +38,7 @@
 impl fmt::Display for LogError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LogError::Refused(why) => write!(f, "refused: {why}"),
+            LogError::NotDone(why) => write!(f, "refused: {why}"),
             LogError::Unknown(why) => write!(f, "outcome unknown: {why}"),
         }
     }
