--- a/crates/borageshore_daemon/src/gate.rs
+++ b/crates/borageshore_daemon/src/admission.rs
@@ -17,7 +17,7 @@
 
 /// The admission state of one service and the tasks that wait for its slots.
 #[derive(Debug)]
-pub(crate) struct Gate {
+pub(crate) struct AdmissionQueue {
     admission: RefCell<Admission>,
     waiters: RefCell<SortedMap<TicketId, oneshot::Sender<()>>>,
     next_id: Cell<TicketId>,
@@ -25,7 +25,7 @@
 
 /// A request for a slot.
 #[derive(Debug, Clone)]
-pub(crate) struct GateRequest {
+pub(crate) struct AdmissionRequest {
     pub(crate) node: Arc<str>,
     pub(crate) importance: u64,
     pub(crate) workload: Workload,
@@ -35,7 +35,7 @@
 /// An occupied slot; dropping it frees the slot.
 #[derive(Debug)]
 pub(crate) struct Slot {
-    gate: Rc<Gate>,
+    queue: Rc<AdmissionQueue>,
     daemon: Rc<Daemon>,
     workload: Workload,
     started_at_ms: u64,
@@ -44,24 +44,24 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         let service_ms = self.daemon.now_ms().saturating_sub(self.started_at_ms);
-        self.gate
+        self.queue
             .admission
             .borrow_mut()
             .finish(self.workload, service_ms);
-        self.gate.start_waiting();
+        self.queue.start_waiting();
     }
 }
 
 /// A rejected request for a slot; nothing was run.
 #[derive(Debug, Clone)]
-pub(crate) struct GateRefusal {
+pub(crate) struct AdmissionRefusal {
     pub(crate) fault: Fault,
     /// The time after which the caller may retry.
     pub(crate) retry_after_ms: u64,
 }
 
-impl Gate {
-    /// Creates a gate without running or waiting requests.
+impl AdmissionQueue {
+    /// Creates a queue without running or waiting requests.
     pub(crate) fn open(limits: AdmissionLimits) -> Rc<Self> {
         Rc::new(Self {
             admission: RefCell::new(Admission::open(limits)),
@@ -80,11 +80,11 @@
     pub(crate) async fn acquire(
         self: &Rc<Self>,
         daemon: &Rc<Daemon>,
-        request: GateRequest,
-    ) -> Result<Slot, GateRefusal> {
+        request: AdmissionRequest,
+    ) -> Result<Slot, AdmissionRefusal> {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
-        let GateRequest {
+        let AdmissionRequest {
             node,
             importance,
             workload,
@@ -100,7 +100,7 @@
         let admitted = self.admission.borrow_mut().offer(ticket);
         match admitted {
             AdmissionDecision::Start => Ok(self.slot(daemon, workload)),
-            AdmissionDecision::Refused { retry_after_ms } => Err(GateRefusal {
+            AdmissionDecision::Refused { retry_after_ms } => Err(AdmissionRefusal {
                 fault: Fault::new(ResultCode::QueueFull, &*node),
                 retry_after_ms,
             }),
@@ -118,11 +118,11 @@
         workload: Workload,
         node: Arc<str>,
         deadline_ms: u64,
-    ) -> Result<Slot, GateRefusal> {
+    ) -> Result<Slot, AdmissionRefusal> {
         let (sender, receiver) = oneshot::channel();
         self.waiters.borrow_mut().insert(id, sender);
         let mut queued = QueuedRequest {
-            gate: self.clone(),
+            queue: self.clone(),
             id,
             workload,
             receiver: Some(receiver),
@@ -134,7 +134,7 @@
             return Ok(self.slot(daemon, workload));
         }
         let fault = Fault::new(ResultCode::DeadlineBeforeStart, &*node);
-        Err(GateRefusal {
+        Err(AdmissionRefusal {
             fault,
             retry_after_ms: remaining_ms,
         })
@@ -148,7 +148,7 @@
     fn slot(self: &Rc<Self>, daemon: &Rc<Daemon>, workload: Workload) -> Slot {
         let started_at_ms = daemon.now_ms();
         Slot {
-            gate: self.clone(),
+            queue: self.clone(),
             daemon: daemon.clone(),
             workload,
             started_at_ms,
@@ -177,12 +177,12 @@
 
 /// A request in the queue; dropping it removes the request.
 ///
-/// Guards against a leaked slot: if the caller disconnects or the deadline passes after the gate
+/// Guards against a leaked slot: if the caller disconnects or the deadline passes after the queue
 /// granted the slot and before this task runs again, the grant is still in the channel, and `drop`
 /// frees the slot.
 #[derive(Debug)]
 struct QueuedRequest {
-    gate: Rc<Gate>,
+    queue: Rc<AdmissionQueue>,
     id: TicketId,
     workload: Workload,
     receiver: Option<oneshot::Receiver<()>>,
@@ -206,10 +206,10 @@
         let Some(mut receiver) = self.receiver.take() else {
             return;
         };
-        self.gate.leave_queue(self.id);
+        self.queue.leave_queue(self.id);
         if receiver.try_recv().is_ok() {
-            self.gate.admission.borrow_mut().finish(self.workload, 0);
-            self.gate.start_waiting();
+            self.queue.admission.borrow_mut().finish(self.workload, 0);
+            self.queue.start_waiting();
         }
     }
 }
--- a/crates/borageshore_daemon/src/calls.rs
+++ b/crates/borageshore_daemon/src/calls.rs
@@ -13,8 +13,8 @@
 use bytes::Bytes;
 
 use crate::{
+    admission::AdmissionRequest,
     daemon::Daemon,
-    gate::GateRequest,
     generation::EndpointRequestGuard,
     peer_server::failed_call,
     platform::plain::{ConnectionUse, PlainCall, call_plain},
@@ -263,13 +263,17 @@
 
 /// Runs a call at an endpoint and retries at others where a repetition is safe.
 async fn run(daemon: &Rc<Daemon>, call: &ServiceCall) -> CallAnswer {
-    let request = GateRequest {
+    let request = AdmissionRequest {
         node: call.node.clone(),
         importance: daemon.setting(&call.node, "importance"),
         workload: Workload::Live,
         deadline_ms: call.deadline_ms,
     };
-    let _slot = match daemon.gate(&call.service).acquire(daemon, request).await {
+    let _slot = match daemon
+        .admission_queue(&call.service)
+        .acquire(daemon, request)
+        .await
+    {
         Ok(slot) => slot,
         Err(refusal) => {
             let answer = CallAnswer::fault(refusal.fault, Outcome::NotRun);
--- a/crates/borageshore_daemon/src/control.rs
+++ b/crates/borageshore_daemon/src/control.rs
@@ -296,7 +296,7 @@
             training_slots: (slots * percent).div_ceil(100),
             queue_limit_requests: daemon.setting(&service, "queue_limit_requests"),
         };
-        daemon.gate(&service).set_limits(limits);
+        daemon.admission_queue(&service).set_limits(limits);
     }
     daemon
         .retry_budget
--- a/crates/borageshore_daemon/src/daemon.rs
+++ b/crates/borageshore_daemon/src/daemon.rs
@@ -18,10 +18,10 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::{
+    admission::AdmissionQueue,
     config::Config,
     control, drain,
     edge::Edge,
-    gate::Gate,
     gossip::{self, MemberSync},
     jobs::JobRuntime,
     metrics::Metrics,
@@ -62,7 +62,7 @@
     pub(crate) lease_agent: RefCell<LeaseAgent>,
     pub(crate) membership: RefCell<Membership>,
     pub(crate) endpoints: RefCell<EndpointTable>,
-    pub(crate) gates: RefCell<SortedMap<Arc<str>, Rc<Gate>>>,
+    pub(crate) admission_queues: RefCell<SortedMap<Arc<str>, Rc<AdmissionQueue>>>,
     pub(crate) keys: RefCell<KeyTable>,
     pub(crate) keys_answered: tokio::sync::Notify,
     pub(crate) retry_budget: RefCell<RetryBudget>,
@@ -133,7 +133,7 @@
             lease_agent: RefCell::new(LeaseAgent::open(session.clone())),
             membership: RefCell::new(Membership::open(own, seeds, 0)),
             endpoints: RefCell::default(),
-            gates: RefCell::default(),
+            admission_queues: RefCell::default(),
             keys: RefCell::new(keys),
             keys_answered: tokio::sync::Notify::new(),
             retry_budget: RefCell::new(RetryBudget::open(20)),
@@ -210,16 +210,16 @@
         self.settings.with_fold(|fold| fold.tree().text(node, key))
     }
 
-    /// The admission gate of a service, created on first use.
-    pub(crate) fn gate(&self, service: &Arc<str>) -> Rc<Gate> {
-        let mut gates = self.gates.borrow_mut();
+    /// The admission queue of a service, created on first use.
+    pub(crate) fn admission_queue(&self, service: &Arc<str>) -> Rc<AdmissionQueue> {
+        let mut queues = self.admission_queues.borrow_mut();
         let initial_limits = AdmissionLimits {
             slots: 1,
             training_slots: 0,
             queue_limit_requests: 256,
         };
-        gates
-            .get_or_insert_with(service.clone(), || Gate::open(initial_limits))
+        queues
+            .get_or_insert_with(service.clone(), || AdmissionQueue::open(initial_limits))
             .clone()
     }
 
--- a/crates/borageshore_daemon/src/generation.rs
+++ b/crates/borageshore_daemon/src/generation.rs
@@ -9,8 +9,8 @@
 };
 
 use crate::{
+    admission::AdmissionRequest,
     daemon::Daemon,
-    gate::GateRequest,
     platform::engine::{ChunkStream, Engine, EngineChunk, EngineRequest},
 };
 
@@ -143,15 +143,15 @@
 async fn acquire_slot(
     daemon: &Rc<Daemon>,
     generation: &Generation,
-) -> Result<crate::gate::Slot, GenerationFailure> {
-    let request = GateRequest {
+) -> Result<crate::admission::Slot, GenerationFailure> {
+    let request = AdmissionRequest {
         node: generation.node.clone(),
         importance: daemon.setting(&generation.node, "importance"),
         workload: generation.workload,
         deadline_ms: generation.deadline_ms,
     };
     let acquired = daemon
-        .gate(&generation.service)
+        .admission_queue(&generation.service)
         .acquire(daemon, request)
         .await;
     acquired.map_err(|refusal| GenerationFailure {
--- a/crates/borageshore_daemon/src/lib.rs
+++ b/crates/borageshore_daemon/src/lib.rs
@@ -13,13 +13,13 @@
 
 mod addresses;
 mod admin;
+mod admission;
 mod calls;
 mod config;
 mod control;
 mod daemon;
 mod drain;
 mod edge;
-mod gate;
 mod generation;
 mod gossip;
 mod jobs;
