--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -310,7 +310,7 @@
 ) -> Option<EndpointResponse> {
     let event = match &result {
         Ok(_) => AttemptEvent::Answered,
-        Err(AttemptError::Unknown(_) | AttemptError::Disconnected(_)) => AttemptEvent::Lost,
+        Err(AttemptError::Unknown(_) | AttemptError::Broken(_)) => AttemptEvent::Lost,
         Err(AttemptError::NotSent(_) | AttemptError::Refused { .. }) => AttemptEvent::Refused,
     };
     outcome.attempts.on_event(number, event);
--- a/crates/borageshore_gateway/src/item/attempt.rs
+++ b/crates/borageshore_gateway/src/item/attempt.rs
@@ -110,7 +110,7 @@
                 place.in_flight.on_load(*load);
                 AttemptOutcome::Retry { is_refused: true }
             }
-            AttemptError::NotSent(_) | AttemptError::Unknown(_) | AttemptError::Disconnected(_) => {
+            AttemptError::NotSent(_) | AttemptError::Unknown(_) | AttemptError::Broken(_) => {
                 place.in_flight.fail();
                 AttemptOutcome::Retry { is_refused: false }
             }
--- a/crates/borageshore_gateway/src/quarantine/sent.rs
+++ b/crates/borageshore_gateway/src/quarantine/sent.rs
@@ -79,7 +79,7 @@
         }
         self.mark_sent();
         match error {
-            AttemptError::Disconnected(_) => {
+            AttemptError::Broken(_) => {
                 let content = (self.content)();
                 self.quarantine
                     .on_broken(content, &self.instance, self.trial.is_some());
