--- a/crates/borageshore_gateway/src/item/attempt.rs
+++ b/crates/borageshore_gateway/src/item/attempt.rs
@@ -48,8 +48,8 @@
     /// Sends the item to an engine and reads events until the attempt ends.
     pub(super) async fn attempt(
         &self,
-        place: EngineSlot,
-        leave: &Permit,
+        slot: EngineSlot,
+        permit: &Permit,
         route: &Route,
         request: &SlotRequest,
         text: &mut Text,
@@ -63,27 +63,27 @@
             priority: self.context.routes.priority(route, organisation),
             first_byte_ms: FIRST_BYTE_TIMEOUT_MS,
         };
-        let instance = place.target.instance.clone();
+        let instance = slot.target.instance.clone();
         let mut sent = self
             .context
             .quarantine
-            .track_send(|| self.content(), &instance, leave);
+            .track_send(|| self.content(), &instance, permit);
         let started = self
             .context
             .client
-            .generate(&place.target, &generation_request)
+            .generate(&slot.target, &generation_request)
             .await;
         let outcome = match started {
-            Ok(generation) => self.read(place, generation, request, text, &mut sent).await,
+            Ok(generation) => self.read(slot, generation, request, text, &mut sent).await,
             Err(GenerationError::Failed) => {
-                place.in_flight.fail();
+                slot.in_flight.fail();
                 AttemptOutcome::Failed
             }
             Err(GenerationError::Invalid) => {
-                place.in_flight.succeed();
+                slot.in_flight.succeed();
                 AttemptOutcome::Invalid
             }
-            Err(GenerationError::Attempt(error)) => self.on_attempt_error(place, &error, &mut sent),
+            Err(GenerationError::Attempt(error)) => self.on_attempt_error(slot, &error, &mut sent),
         };
         sent.on_end();
         outcome
@@ -91,7 +91,7 @@
 
     fn on_attempt_error<Content>(
         &self,
-        place: EngineSlot,
+        slot: EngineSlot,
         error: &AttemptError,
         sent: &mut SentRequest<Content>,
     ) -> AttemptOutcome
@@ -99,19 +99,19 @@
         Content: Fn() -> Fingerprint,
     {
         self.context.instruments.count("item", "goes_on_elsewhere");
-        log::info!(item = &*self.item.id, content:% = self.content(), instance = &*place.target.instance, error:% = error; "item goes on elsewhere");
+        log::info!(item = &*self.item.id, content:% = self.content(), instance = &*slot.target.instance, error:% = error; "item goes on elsewhere");
         sent.on_error(error);
         match error {
             AttemptError::Refused { status: 421, .. } => {
-                place.in_flight.fail();
+                slot.in_flight.fail();
                 AttemptOutcome::Retry { is_refused: true }
             }
             AttemptError::Refused { load, .. } => {
-                place.in_flight.on_load(*load);
+                slot.in_flight.on_load(*load);
                 AttemptOutcome::Retry { is_refused: true }
             }
             AttemptError::NotSent(_) | AttemptError::Unknown(_) | AttemptError::Broken(_) => {
-                place.in_flight.fail();
+                slot.in_flight.fail();
                 AttemptOutcome::Retry { is_refused: false }
             }
         }
@@ -120,7 +120,7 @@
     /// Reads events until the text is complete, the engine fails or a better one has a slot.
     async fn read<Content>(
         &self,
-        place: EngineSlot,
+        slot: EngineSlot,
         mut generation: Generation,
         request: &SlotRequest,
         text: &mut Text,
@@ -129,8 +129,8 @@
     where
         Content: Fn() -> Fingerprint,
     {
-        let instance = place.in_flight.instance().clone();
-        place.in_flight.on_load(generation.load);
+        let instance = slot.in_flight.instance().clone();
+        slot.in_flight.on_load(generation.load);
         let mut version = generation.version;
         let mut event_at_us = None;
         let crash_free_at = text.last_event() + CRASH_FREE_EVENTS;
@@ -147,10 +147,10 @@
                     text.mark_complete();
                     sent.on_success();
                     generation.release(&self.context.client);
-                    place.in_flight.succeed();
+                    slot.in_flight.succeed();
                     return AttemptOutcome::Complete;
                 }
-                Err(error) => return self.on_attempt_error(place, &error, sent),
+                Err(error) => return self.on_attempt_error(slot, &error, sent),
             };
             version = event.version.or(version);
             if version.is_some_and(|version| version > request.max_version) {
@@ -166,7 +166,7 @@
             }
             if let Err(fault) = pushed {
                 let error = AttemptError::Unknown(format!("event {}: {fault:?}", event.id));
-                return self.on_attempt_error(place, &error, sent);
+                return self.on_attempt_error(slot, &error, sent);
             }
             let now_us = self.context.clock.now_us();
             if let Some(before_us) = event_at_us.replace(now_us) {
--- a/crates/borageshore_gateway/src/item/mod.rs
+++ b/crates/borageshore_gateway/src/item/mod.rs
@@ -195,32 +195,32 @@
         self.start_saving(text);
         let mut failures = 0;
         let mut avoid = Vec::new();
-        let mut next_place = None;
+        let mut next_slot = None;
         loop {
             let route = self.route().await;
             if self.context.clock.now_ms() >= self.seen_at_ms.saturating_add(route.retention_ms) {
                 return false;
             }
-            let Some(leave) = self.admit(&route).await else {
-                next_place = None;
+            let Some(permit) = self.admit(&route).await else {
+                next_slot = None;
                 continue;
             };
-            let request = self.place_request(&route, text, std::mem::take(&mut avoid));
-            let place = match next_place.take() {
-                Some(place) => place,
-                None => self.place(request.clone()).await,
+            let request = self.slot_request(&route, text, std::mem::take(&mut avoid));
+            let slot = match next_slot.take() {
+                Some(slot) => slot,
+                None => self.acquire_slot(request.clone()).await,
             };
             // The request may have been quarantined during the wait for a slot.
-            if !leave.is_trial() && !self.context.quarantine.may_repeat(|| self.content()) {
+            if !permit.is_trial() && !self.context.quarantine.may_repeat(|| self.content()) {
                 continue;
             }
-            let instance = place.target.instance.clone();
+            let instance = slot.target.instance.clone();
             if self.timing.attempts.replace(self.timing.attempts.get() + 1) == 0 {
                 self.timing.placed_ms.set(self.waited_ms());
             }
-            match self.attempt(place, &leave, &route, &request, text).await {
+            match self.attempt(slot, &permit, &route, &request, text).await {
                 AttemptOutcome::Complete => return true,
-                AttemptOutcome::Move(place) => next_place = Some(place),
+                AttemptOutcome::Move(slot) => next_slot = Some(slot),
                 AttemptOutcome::Invalid => return false,
                 AttemptOutcome::Failed => {
                     failures += 1;
@@ -247,7 +247,7 @@
     async fn admit(&self, route: &Route) -> Option<Permit> {
         let context = self.context;
         match context.quarantine.admit(|| self.content()).await {
-            Ok(leave) => Some(leave),
+            Ok(permit) => Some(permit),
             Err(held) => {
                 let deadline_ms = self.seen_at_ms.saturating_add(route.retention_ms);
                 let remaining_ms = deadline_ms.saturating_sub(context.clock.now_ms());
@@ -286,7 +286,7 @@
         }
     }
 
-    fn place_request(&self, route: &Route, text: &Text, avoid: Vec<Arc<str>>) -> SlotRequest {
+    fn slot_request(&self, route: &Route, text: &Text, avoid: Vec<Arc<str>>) -> SlotRequest {
         let version = text.versions().last().copied();
         let pinned_version = version.filter(|_| route.is_single_version);
         let service = route.service_for(self.context.endpoints.random()).cloned();
@@ -301,7 +301,7 @@
         }
     }
 
-    async fn place(&self, request: SlotRequest) -> EngineSlot {
+    async fn acquire_slot(&self, request: SlotRequest) -> EngineSlot {
         let dispatch = &self.context.dispatch;
         let is_enabled = self.context.mechanisms.is_enabled(Mechanism::Avoidance);
         if request.avoid.is_empty() || !is_enabled {
@@ -311,10 +311,10 @@
             };
             return dispatch.wait_for_slot(request).await;
         }
-        if let Some(place) =
+        if let Some(slot) =
             within_ms(AVOID_TIMEOUT_MS, dispatch.wait_for_slot(request.clone())).await
         {
-            return place;
+            return slot;
         }
         let avoid = Vec::new();
         dispatch
--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -128,11 +128,11 @@
             key,
             is_public: self.routes.has_public_batch(host),
         };
-        let pass = match self.access.admit(credentials).await {
-            Ok(pass) => pass,
+        let caller = match self.access.admit(credentials).await {
+            Ok(caller) => caller,
             Err(denial) => return denial.response(),
         };
-        let Some(id) = scoped(pass.organisation().map(|name| &**name), id) else {
+        let Some(id) = scoped(caller.organisation().map(|name| &**name), id) else {
             return refusal(&Fault::new(ResultCode::UnknownSubmission, &**id), None);
         };
         if let Some(answer) = self.ask_owner(&id, request, head).await {
@@ -200,8 +200,8 @@
             is_public: route.is_public,
         };
         // Before the body is read, so that a refused caller need not send it.
-        let pass = match self.access.admit(credentials).await {
-            Ok(pass) => pass,
+        let caller = match self.access.admit(credentials).await {
+            Ok(caller) => caller,
             Err(denial) => return denial.response(),
         };
         if self
@@ -212,12 +212,12 @@
         }
         let body = match read_body(body, server_limits()).await {
             Ok(body) => body,
-            Err(fault) => return refusal(&body_fault(fault), None),
+            Err(error) => return refusal(&body_fault(error), None),
         };
         if route.kind != RouteKind::Batch {
-            return self.calls.forward(call, pass, &route, body).await;
+            return self.calls.forward(call, caller, &route, body).await;
         }
-        let organisation = pass.organisation();
+        let organisation = caller.organisation();
         match decode_submission(organisation, &call.id, &call.host, &call.path, &body) {
             Ok(submission) => {
                 let service = route.main_service().cloned().unwrap_or_default();
@@ -264,8 +264,8 @@
     refusal(&fault, Some(NOT_READY_RETRY_MS))
 }
 
-fn body_fault(fault: BodyError) -> Fault {
-    match fault {
+fn body_fault(error: BodyError) -> Fault {
+    match error {
         BodyError::TooLarge => Fault::new(ResultCode::BodyTooLarge, ""),
         BodyError::TooSlow => Fault::new(ResultCode::MalformedRequest, "the body took too long"),
         BodyError::Malformed(why) => Fault::new(ResultCode::MalformedRequest, why),
--- a/crates/borageshore_gateway/src/watch.rs
+++ b/crates/borageshore_gateway/src/watch.rs
@@ -39,13 +39,13 @@
     async fn check_members(self: Rc<Self>) {
         let mut counter = 0;
         loop {
-            let look = self.members.check_watched();
+            let check = self.members.check_watched();
             counter += 1;
-            self.send_heartbeats(&look.watchers, counter).await;
-            if !look.silent.is_empty() {
+            self.send_heartbeats(&check.watchers, counter).await;
+            if !check.silent.is_empty() {
                 let watch = self.clone();
                 monoio::spawn(
-                    async move { watch.members.suspect(&watch.store, &look.silent).await },
+                    async move { watch.members.suspect(&watch.store, &check.silent).await },
                 );
             }
             sleep_ms(HEARTBEAT_INTERVAL_MS).await;
