--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -212,7 +212,7 @@
         }
         let body = match read_body(body, server_limits()).await {
             Ok(body) => body,
-            Err(error) => return refusal(&body_fault(error), None),
+            Err(body_error) => return refusal(&body_fault(body_error), None),
         };
         if route.kind != RouteKind::Batch {
             return self.calls.forward(call, caller, &route, body).await;
@@ -264,8 +264,8 @@
     refusal(&fault, Some(NOT_READY_RETRY_MS))
 }
 
-fn body_fault(error: BodyError) -> Fault {
-    match error {
+fn body_fault(body_error: BodyError) -> Fault {
+    match body_error {
         BodyError::TooLarge => Fault::new(ResultCode::BodyTooLarge, ""),
         BodyError::TooSlow => Fault::new(ResultCode::MalformedRequest, "the body took too long"),
         BodyError::Malformed(why) => Fault::new(ResultCode::MalformedRequest, why),
