--- a/crates/borageshore_usage/src/totals.rs
+++ b/crates/borageshore_usage/src/totals.rs
@@ -16,10 +16,10 @@
 }
 
 impl Totals {
-    /// Merges the total that `author`, a daemon incarnation, published for a window.
-    pub fn merge(&mut self, window: Window, author: &Arc<str>, counts: &Counts) {
-        let authors = self.windows.get_or_insert_with(window, SortedMap::default);
-        let known = authors.get_or_insert_with(author.clone(), Counts::default);
+    /// Merges the total that a daemon incarnation published for a window.
+    pub fn merge(&mut self, window: Window, incarnation: &Arc<str>, counts: &Counts) {
+        let incarnations = self.windows.get_or_insert_with(window, SortedMap::default);
+        let known = incarnations.get_or_insert_with(incarnation.clone(), Counts::default);
         for (organisation, count) in counts.iter() {
             let largest = known.get_or_insert_with(organisation.clone(), || 0);
             *largest = (*largest).max(*count);
@@ -29,8 +29,8 @@
     /// The sum over all daemons for a window.
     pub fn window_total(&self, window: Window) -> Counts {
         let mut all = Counts::default();
-        let authors = self.windows.get(&window).into_iter();
-        for counts in authors.flat_map(SortedMap::values) {
+        let incarnations = self.windows.get(&window).into_iter();
+        for counts in incarnations.flat_map(SortedMap::values) {
             for (organisation, count) in counts.iter() {
                 *all.get_or_insert_with(organisation.clone(), || 0) += count;
             }
--- a/crates/borageshore_usage/tests/usage.rs
+++ b/crates/borageshore_usage/tests/usage.rs
@@ -34,9 +34,9 @@
     // Guards against underbilling when the store applies a daemon's older total after a newer one.
     a_total_that_comes_late_takes_nothing_back => {
         let mut totals = Totals::default();
-        let author: Arc<str> = "vm-1.5".into();
-        totals.merge(Window(3), &author, &counts(&[("mill", 7), ("farm", 1)]));
-        totals.merge(Window(3), &author, &counts(&[("mill", 5)]));
+        let incarnation: Arc<str> = "vm-1.5".into();
+        totals.merge(Window(3), &incarnation, &counts(&[("mill", 7), ("farm", 1)]));
+        totals.merge(Window(3), &incarnation, &counts(&[("mill", 5)]));
         totals.merge(Window(3), &"vm-1.6".into(), &counts(&[("mill", 2)]));
         assert_eq!(listed(&totals.window_total(Window(3))), [("farm".into(), 1), ("mill".into(), 9)]);
         assert!(totals.window_total(Window(4)).is_empty());
@@ -114,15 +114,15 @@
                     incarnations[incarnation].add(Window(1), &"mill".into(), u64::from(*count));
                     unpublished[incarnation] += u64::from(*count);
                 } else {
-                    let author: Arc<str> = format!("vm.{incarnation}").into();
+                    let name: Arc<str> = format!("vm.{incarnation}").into();
                     let totals = incarnations[incarnation].take_dirty();
-                    records.extend(totals.into_iter().map(|(window, counts)| (window, author.clone(), counts)));
+                    records.extend(totals.into_iter().map(|(window, counts)| (window, name.clone(), counts)));
                     published += std::mem::take(&mut unpublished[incarnation]);
                 }
             }
             let mut totals = Totals::default();
-            for (window, author, counts) in records.iter().chain(records.iter().rev()) {
-                totals.merge(*window, author, counts);
+            for (window, name, counts) in records.iter().chain(records.iter().rev()) {
+                totals.merge(*window, name, counts);
             }
             assert_eq!(totals.window_total(Window(1)).get("mill").copied().unwrap_or(0), published);
         });
