--- a/crates/borageshore_daemon/src/gossip.rs
+++ b/crates/borageshore_daemon/src/gossip.rs
@@ -2,7 +2,7 @@
 
 use std::{io, net::SocketAddr, rc::Rc, sync::Arc};
 
-use borageshore_membership::{GossipMessage, TICK_MS};
+use borageshore_membership::{GOSSIP_INTERVAL_MS, GossipMessage};
 use borageshore_net::sleep_ms;
 use borageshore_wire::{
     MembersReply, MembersRequest, PeerReply, PeerRequest, WireGossip, decode, encode,
@@ -38,7 +38,7 @@
             membership.gossip(seed, now_ms)
         };
         send_all(&daemon, &socket, &key, messages).await;
-        sleep_ms(TICK_MS).await;
+        sleep_ms(GOSSIP_INTERVAL_MS).await;
     }
 }
 
--- a/crates/borageshore_gateway/src/orderer.rs
+++ b/crates/borageshore_gateway/src/orderer.rs
@@ -27,7 +27,7 @@
 /// An order that its engine has not carried out by then is dropped and may be sent again.
 const ORDER_TIMEOUT_MS: u64 = 2_600;
 /// The longest pause between two rounds without pending orders.
-const IDLE_MS: u64 = 1_000;
+const MAX_IDLE_PAUSE_MS: u64 = 1_000;
 
 #[derive(Debug, Clone)]
 struct SentOrder {
@@ -75,7 +75,7 @@
             if is_busy {
                 sleep_ms(POLL_MS).await;
             } else {
-                within_ms(IDLE_MS, select(named, round)).await;
+                within_ms(MAX_IDLE_PAUSE_MS, select(named, round)).await;
             }
         }
     }
--- a/crates/borageshore_gateway/src/peers.rs
+++ b/crates/borageshore_gateway/src/peers.rs
@@ -20,7 +20,7 @@
 /// The time that a response may take beyond the wait that the caller asked for.
 const RESPONSE_SLACK_MS: u64 = 600;
 /// How long a peer that did not respond is avoided. Longer than the second or so in which its death is detected.
-const AVOID_MS: u64 = 2_000;
+const AVOIDANCE_MS: u64 = 2_000;
 
 /// The time that a peer may take to write a submission to the store.
 const SUBMIT_TIMEOUT_MS: u64 = 1_000;
@@ -135,7 +135,7 @@
 
     fn avoid(&self, address: &Arc<str>, error: &CallError) {
         log::info!(peer = &**address, error:% = error; "call to peer failed; avoiding it for a while");
-        let until_ms = self.clock.now_ms() + AVOID_MS;
+        let until_ms = self.clock.now_ms() + AVOIDANCE_MS;
         let mut avoided = self.avoided_until_ms.borrow_mut();
         avoided.insert(address.clone(), until_ms);
     }
--- a/crates/borageshore_membership/src/lib.rs
+++ b/crates/borageshore_membership/src/lib.rs
@@ -35,7 +35,7 @@
 
 pub use self::{
     entry::{GossipMessage, Heartbeat, MemberEntry, MemberState},
-    members::{Health, Membership, TICK_MS},
+    members::{GOSSIP_INTERVAL_MS, Health, Membership},
     presence::{Presence, PresenceState, PresenceTable, SUSPICION_TIMEOUT_MS},
     relay::{RelaySource, relay_source},
     store_failover::{PROBE_INTERVAL_MS, StoreCallOutcome, StoreFailover, StoreRoute},
--- a/crates/borageshore_membership/src/members.rs
+++ b/crates/borageshore_membership/src/members.rs
@@ -7,13 +7,13 @@
 use crate::entry::{GossipMessage, Heartbeat, MemberEntry, MemberState};
 
 /// The interval between two heartbeats.
-pub const TICK_MS: u64 = 1_000;
+pub const GOSSIP_INTERVAL_MS: u64 = 1_000;
 /// A daemon of this zone is suspected, and gets no new work, this long after its last heartbeat.
-const SUSPECT_MS: u64 = 4_000;
+const SUSPECT_AFTER_MS: u64 = 4_000;
 /// A daemon of this zone counts as dead this long after its last heartbeat.
-const DEAD_MS: u64 = 10_000;
+const DEAD_AFTER_MS: u64 = 10_000;
 /// A longer gap between two ticks means that this process was paused.
-const PAUSE_THRESHOLD_MS: u64 = 3 * TICK_MS;
+const PAUSE_THRESHOLD_MS: u64 = 3 * GOSSIP_INTERVAL_MS;
 /// How long a dead daemon is kept in the list, so that old gossip does not revive it.
 const DEAD_RETENTION_MS: u64 = 120_000;
 /// The minimum number of entries of other zones that a daemon receives in one tick; see `gossip`.
@@ -122,7 +122,7 @@
             .members
             .values()
             .filter(in_zone)
-            .filter(|member| now_ms >= member.advanced_at_ms + DEAD_MS)
+            .filter(|member| now_ms >= member.advanced_at_ms + DEAD_AFTER_MS)
             .map(|member| member.entry.name.clone())
             .collect();
         if silent.len() * 2 > zone_size && zone_size > 2 {
@@ -216,10 +216,10 @@
         }
         let silent_ms = now_ms.saturating_sub(member.advanced_at_ms);
         let slack_ms = self.remote_slack_ms(member);
-        if silent_ms >= DEAD_MS + slack_ms {
+        if silent_ms >= DEAD_AFTER_MS + slack_ms {
             return Health::Dead;
         }
-        if silent_ms >= SUSPECT_MS + slack_ms {
+        if silent_ms >= SUSPECT_AFTER_MS + slack_ms {
             Health::Suspect
         } else {
             Health::Alive
@@ -231,7 +231,7 @@
         if member.entry.zone == self.own.zone {
             return 0;
         }
-        let refresh_ms = self.members.len() as u64 * TICK_MS / REMOTE_ENTRIES_PER_TICK;
+        let refresh_ms = self.members.len() as u64 * GOSSIP_INTERVAL_MS / REMOTE_ENTRIES_PER_TICK;
         refresh_ms * MAX_MISSED_REMOTE_REFRESHES
     }
 
--- a/crates/borageshore_membership/tests/detector.rs
+++ b/crates/borageshore_membership/tests/detector.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use borageshore_base::SortedMap;
-use borageshore_membership::{Health, MemberEntry, MemberState, Membership, TICK_MS};
+use borageshore_membership::{GOSSIP_INTERVAL_MS, Health, MemberEntry, MemberState, Membership};
 
 /// Daemons that receive messages without delay, except those that are disconnected or paused.
 struct Cluster {
@@ -54,7 +54,7 @@
 
     fn run(&mut self, seconds: u64) {
         for _ in 0..seconds {
-            self.now_ms += TICK_MS;
+            self.now_ms += GOSSIP_INTERVAL_MS;
             self.round();
         }
     }
--- a/crates/borageshore_settings/src/schema.rs
+++ b/crates/borageshore_settings/src/schema.rs
@@ -100,7 +100,7 @@
 
 use Inheritance::{Inherited, NodeOnly, RootOnly};
 
-const MAX_MS: u64 = 86_400_000;
+const MAX_DURATION_MS: u64 = 86_400_000;
 
 /// All keys, sorted by name; [`key_spec`] relies on the order.
 pub const SCHEMA: &[KeySpec] = &[
@@ -113,14 +113,14 @@
     ),
     key(
         "address_ttl_ms",
-        range(500, MAX_MS),
+        range(500, MAX_DURATION_MS),
         RootOnly,
         Some("10000"),
         "How long a caller may keep an address list.",
     ),
     key(
         "chunk_timeout_ms",
-        range(10, MAX_MS),
+        range(10, MAX_DURATION_MS),
         Inherited,
         Some("2000"),
         "The longest silence between two chunks of a stream before the connection counts as lost.",
@@ -134,7 +134,7 @@
     ),
     key(
         "first_byte_timeout_ms",
-        range(10, MAX_MS),
+        range(10, MAX_DURATION_MS),
         Inherited,
         Some("5000"),
         "The longest wait for the first byte of an answer.",
@@ -169,7 +169,7 @@
     ),
     key(
         "lease_ttl_ms",
-        range(500, MAX_MS),
+        range(500, MAX_DURATION_MS),
         RootOnly,
         Some("5000"),
         "How long a lease holds without renewal.",
@@ -218,7 +218,7 @@
     ),
     key(
         "queue_deadline_ms",
-        range(1, MAX_MS),
+        range(1, MAX_DURATION_MS),
         Inherited,
         Some("10000"),
         "The longest wait for an endpoint when the request names no deadline.",
@@ -232,7 +232,7 @@
     ),
     key(
         "request_key_window_ms",
-        range(1_000, MAX_MS),
+        range(1_000, MAX_DURATION_MS),
         RootOnly,
         Some("600000"),
         "How long a daemon remembers the request keys that it ran.",
@@ -267,7 +267,7 @@
     ),
     key(
         "staleness_bound_ms",
-        range(1, MAX_MS),
+        range(1, MAX_DURATION_MS),
         Inherited,
         Some("600000"),
         "The greatest age of a sample at hand-over.",
--- a/crates/borageshore_standins/src/platform/crash.rs
+++ b/crates/borageshore_standins/src/platform/crash.rs
@@ -13,7 +13,7 @@
 /// Body prefix of requests that crash the endpoint that runs them.
 pub const CRASH_MARK: &str = "crash";
 /// Time from the crash until the request ends, in which the connection can be closed.
-const CRASH_MS: u64 = 20;
+const EXIT_DELAY_MS: u64 = 20;
 
 /// A crashing request that reached an endpoint.
 #[derive(Debug, Clone)]
@@ -66,7 +66,7 @@
             sleep_ms(after_ms).await;
             crashes.go_down(index);
         });
-        sleep_ms(after_ms + CRASH_MS).await;
+        sleep_ms(after_ms + EXIT_DELAY_MS).await;
         status(500)
     }
 
