--- a/crates/borageshore_gateway/src/endpoints/listing.rs
+++ b/crates/borageshore_gateway/src/endpoints/listing.rs
@@ -94,25 +94,25 @@
         self.changed.notify_waiters();
     }
 
-    fn on_removed(&self, instance: &Arc<str>) {
+    fn on_removed(&self, id: &Arc<str>) {
         let now_ms = self.clock.now_ms();
         let grace_until_ms = self.outage_ended_at_ms.get().map(|at| at + LAPSE_GRACE_MS);
         match grace_until_ms {
             Some(until_ms) if now_ms < until_ms => {
-                log::info!(instance = &**instance, until_ms; "entry lapsed around a store outage; kept for now");
-                self.lapsed.borrow_mut().insert(instance.clone(), until_ms);
+                log::info!(instance = &**id, until_ms; "entry lapsed around a store outage; kept for now");
+                self.lapsed.borrow_mut().insert(id.clone(), until_ms);
             }
-            _ => self.remove(instance),
+            _ => self.remove(id),
         }
     }
 
-    fn remove(&self, instance: &Arc<str>) {
-        let known = self.registry.borrow().get(instance).cloned();
+    fn remove(&self, id: &Arc<str>) {
+        let known = self.registry.borrow().get(id).cloned();
         if let Some(known) = &known {
             self.note_ended(&known.listing);
         }
-        if self.registry.borrow_mut().remove(instance) {
-            log::info!(instance = &**instance; "endpoint gone");
+        if self.registry.borrow_mut().remove(id) {
+            log::info!(instance = &**id; "endpoint gone");
             self.has_changed_entries.set(true);
         }
     }
@@ -120,10 +120,10 @@
     /// After a gap, the next batch holds the newest record of each key; ids that are missing from it were removed.
     fn remove_unconfirmed(&self, newest: &[KeyedRecord]) {
         let unconfirmed = self.unconfirmed.take().unwrap_or_default();
-        let is_listed = |instance: &Arc<str>| newest.iter().any(|record| record.key == *instance);
-        for instance in unconfirmed {
-            if !is_listed(&instance) {
-                self.on_removed(&instance);
+        let is_listed = |id: &Arc<str>| newest.iter().any(|record| record.key == *id);
+        for id in unconfirmed {
+            if !is_listed(&id) {
+                self.on_removed(&id);
             }
         }
     }
@@ -132,15 +132,15 @@
     pub(crate) fn expire_lapsed(&self) {
         let now_ms = self.clock.now_ms();
         let mut gone = Vec::new();
-        self.lapsed.borrow_mut().retain(|instance, until_ms| {
+        self.lapsed.borrow_mut().retain(|id, until_ms| {
             let is_over = now_ms >= *until_ms;
             if is_over {
-                gone.push(instance.clone());
+                gone.push(id.clone());
             }
             !is_over
         });
-        for instance in gone {
-            self.remove(&instance);
+        for id in gone {
+            self.remove(&id);
         }
         self.rebuild_table();
     }
