--- a/crates/borageshore_batch/src/incarnation.rs
+++ b/crates/borageshore_batch/src/instance.rs
@@ -1,20 +1,20 @@
-//! Names of endpoint incarnations.
+//! Names of endpoint instances.
 
 use std::sync::Arc;
 
-/// Separates the endpoint id from the start time in an incarnation name.
+/// Separates the endpoint id from the start time in an instance name.
 const SEPARATOR: char = '@';
 
-/// The name of an incarnation, which differs for each start under the same id, so that state kept under it (load,
+/// The name of an instance, which differs for each start under the same id, so that state kept under it (load,
 /// latency, weight versions, pending orders) does not survive a restart.
-pub fn incarnation_name(id: &str, started_at_ms: Option<u64>) -> Arc<str> {
+pub fn instance_name(id: &str, started_at_ms: Option<u64>) -> Arc<str> {
     match started_at_ms {
         Some(started_at_ms) => format!("{id}{SEPARATOR}{started_at_ms}").into(),
         None => id.into(),
     }
 }
 
-/// Returns the endpoint id in an incarnation name.
+/// Returns the endpoint id in an instance name.
 pub(crate) fn endpoint_id(name: &str) -> &str {
     name.rsplit_once(SEPARATOR).map_or(name, |(id, _)| id)
 }
--- a/crates/borageshore_batch/src/lib.rs
+++ b/crates/borageshore_batch/src/lib.rs
@@ -17,8 +17,8 @@
 
 mod event_latencies;
 mod group_placements;
-mod incarnation;
 mod index_entry;
+mod instance;
 mod item_rank;
 mod ledger;
 mod order_lease;
@@ -36,8 +36,8 @@
 pub use self::{
     event_latencies::EventLatencies,
     group_placements::GroupPlacements,
-    incarnation::incarnation_name,
     index_entry::{Demand, IndexEntry},
+    instance::instance_name,
     item_rank::{ItemRank, rank_items},
     ledger::{Ledger, LedgerEntry, SubmissionState},
     order_lease::OrderLeases,
--- a/crates/borageshore_batch/src/order_lease.rs
+++ b/crates/borageshore_batch/src/order_lease.rs
@@ -4,7 +4,7 @@
 
 use borageshore_duty::DutyLeases;
 
-use crate::{incarnation::endpoint_id, swaps::SwapRound};
+use crate::{instance::endpoint_id, swaps::SwapRound};
 
 /// The last holder that ordered each engine, from the rounds in the store.
 ///
