--- a/crates/borageshore_gateway/src/gateway.rs
+++ b/crates/borageshore_gateway/src/gateway.rs
@@ -254,7 +254,7 @@
             .into_iter()
             .map(|address| bind(address))
             .collect::<io::Result<Vec<HttpServer>>>()?;
-        let relay = PeerHandler {
+        let peer_handler = PeerHandler {
             path: transport,
             quarantine,
             time,
@@ -262,7 +262,7 @@
         servers.push(HttpServer::bind(
             &config.peer_address,
             server_limits(),
-            relay,
+            peer_handler,
         )?);
         let metrics_page = MetricsPage {
             instruments,
--- a/crates/borageshore_gateway/src/members/mod.rs
+++ b/crates/borageshore_gateway/src/members/mod.rs
@@ -240,9 +240,9 @@
     /// Peer addresses of up to `count` other daemons, in an order that varies with time.
     pub(crate) fn pick_peer_addresses(&self, count: usize) -> Vec<Arc<str>> {
         let own = self.own.borrow();
-        let relays = self.table.borrow().peer_addresses(&own.name, &own.zone);
+        let peers = self.table.borrow().peer_addresses(&own.name, &own.zone);
         let salt = self.clock.now_us().to_string();
-        let ranked = rank_by_rendezvous(&salt, relays.iter().map(|relay| &**relay));
+        let ranked = rank_by_rendezvous(&salt, peers.iter().map(|peer| &**peer));
         ranked.into_iter().take(count).map(Into::into).collect()
     }
 
