--- a/crates/borageshore_daemon/src/control.rs
+++ b/crates/borageshore_daemon/src/control.rs
@@ -230,9 +230,9 @@
         let jobs = fold
             .tree()
             .nodes_of_kind(NodeKind::Job)
-            .map(|job| jobs::shard_of(job));
+            .map(|job| jobs::shard_of_job(job));
         let services = fold.tree().nodes_of_kind(NodeKind::Service);
-        jobs.chain(services.map(|service| swaps::shard_of(service)))
+        jobs.chain(services.map(|service| swaps::shard_of_service(service)))
             .collect()
     })
 }
--- a/crates/borageshore_daemon/src/jobs.rs
+++ b/crates/borageshore_daemon/src/jobs.rs
@@ -48,7 +48,7 @@
 }
 
 /// Name of the lease shard of a job.
-pub(crate) fn shard_of(job: &str) -> Arc<str> {
+pub(crate) fn shard_of_job(job: &str) -> Arc<str> {
     format!("job/{job}").into()
 }
 
@@ -93,7 +93,7 @@
     let agent = daemon.lease_agent.borrow();
     daemon
         .leases
-        .with_fold(|table| agent.owned_epoch(table, &shard_of(job)))
+        .with_fold(|table| agent.owned_epoch(table, &shard_of_job(job)))
 }
 
 /// The epoch of a job's lease if this daemon holds it and it has not expired.
@@ -101,7 +101,7 @@
     let agent = daemon.lease_agent.borrow();
     daemon
         .leases
-        .with_fold(|table| agent.epoch(table, &shard_of(job), daemon.now_ms()))
+        .with_fold(|table| agent.epoch(table, &shard_of_job(job), daemon.now_ms()))
 }
 
 fn open_job(daemon: &Rc<Daemon>, job: &Arc<str>, epoch: u64) {
@@ -372,7 +372,7 @@
 fn owner_address(daemon: &Daemon, job: &str) -> Option<Arc<str>> {
     let owner = daemon
         .leases
-        .with_fold(|table| table.shard(&shard_of(job))?.owner.clone())?;
+        .with_fold(|table| table.shard(&shard_of_job(job))?.owner.clone())?;
     let (name, incarnation) = owner.rsplit_once('.')?;
     if name == &*daemon.config.name {
         return None;
--- a/crates/borageshore_daemon/src/swaps.rs
+++ b/crates/borageshore_daemon/src/swaps.rs
@@ -22,7 +22,7 @@
 const WATCH_TIMEOUT_MS: u64 = 5_000;
 
 /// Name of the lease shard of a service's weights.
-pub(crate) fn shard_of(service: &str) -> Arc<str> {
+pub(crate) fn shard_of_service(service: &str) -> Arc<str> {
     format!("weights/{service}").into()
 }
 
@@ -63,7 +63,7 @@
     let agent = daemon.lease_agent.borrow();
     daemon
         .leases
-        .with_fold(|table| agent.epoch(table, &shard_of(service), daemon.now_ms()))
+        .with_fold(|table| agent.epoch(table, &shard_of_service(service), daemon.now_ms()))
 }
 
 fn owned_services(daemon: &Daemon) -> Vec<Arc<str>> {
