--- a/crates/borageshore_daemon/src/swaps.rs
+++ b/crates/borageshore_daemon/src/swaps.rs
@@ -45,16 +45,16 @@
 /// Orders engines to load the target versions, for the services whose weights this daemon owns.
 pub(crate) async fn swap_loop(daemon: Rc<Daemon>) {
     loop {
-        let mut progress = Progress::Settled;
+        let mut progress = SwapProgress::Settled;
         for service in owned_services(&daemon) {
-            if swap_service(&daemon, &service).await == Progress::Swapping {
-                progress = Progress::Swapping;
+            if swap_service(&daemon, &service).await == SwapProgress::Swapping {
+                progress = SwapProgress::Swapping;
             }
         }
         match progress {
             // A new version arrives as a settings change, which ends the wait early.
-            Progress::Settled => daemon.settings.wait_progress(SETTLED_TICK_MS).await,
-            Progress::Swapping => sleep_ms(SWAPPING_TICK_MS).await,
+            SwapProgress::Settled => daemon.settings.wait_progress(SETTLED_TICK_MS).await,
+            SwapProgress::Swapping => sleep_ms(SWAPPING_TICK_MS).await,
         }
     }
 }
@@ -100,17 +100,17 @@
 
 /// Whether all replicas that answered serve their target versions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Progress {
+enum SwapProgress {
     Settled,
     Swapping,
 }
 
-async fn swap_service(daemon: &Rc<Daemon>, service: &Arc<str>) -> Progress {
+async fn swap_service(daemon: &Rc<Daemon>, service: &Arc<str>) -> SwapProgress {
     let targets = targets(daemon, service);
     if targets.is_empty() {
-        return Progress::Settled;
+        return SwapProgress::Settled;
     }
-    let mut progress = Progress::Settled;
+    let mut progress = SwapProgress::Settled;
     let replicas = read_replicas(daemon, service).await;
     for target in targets {
         let views: Vec<ReplicaView> = replicas
@@ -121,7 +121,7 @@
             .iter()
             .any(|view| view.version.is_some_and(|version| version < target.version))
         {
-            progress = Progress::Swapping;
+            progress = SwapProgress::Swapping;
         }
         for name in plan_swaps(&views, target.version, target.limits) {
             let Some(replica) = replicas.iter().find(|replica| replica.name == name) else {
