--- a/crates/borageshore_daemon/src/drain.rs
+++ b/crates/borageshore_daemon/src/drain.rs
@@ -18,7 +18,7 @@
 };
 
 /// Interval between checks of the stop signal, of in-flight requests and of released leases.
-const POLL_MS: u64 = 50;
+const POLL_INTERVAL_MS: u64 = 50;
 /// Timeout after which in-flight work is abandoned; longer than the deadlines of callers.
 const DRAIN_TIMEOUT_MS: u64 = 180_000;
 /// Upper bound on the time in which the leave reaches every daemon of the zone.
@@ -33,7 +33,7 @@
         signal_hook::flag::register(signal, signalled.clone())?;
     }
     while !signalled.load(Ordering::Relaxed) && daemon.phase() != Phase::Draining {
-        sleep_ms(POLL_MS).await;
+        sleep_ms(POLL_INTERVAL_MS).await;
     }
     Ok(())
 }
@@ -82,7 +82,7 @@
     });
     let until_ms = daemon.now_ms() + RELEASE_TIMEOUT_MS;
     while daemon.leases.is_pending(sequence) && daemon.now_ms() < until_ms {
-        sleep_ms(POLL_MS).await;
+        sleep_ms(POLL_INTERVAL_MS).await;
     }
 }
 
@@ -95,6 +95,6 @@
             .map_or(0, |server| server.open_connections());
         let is_idle = daemon.in_flight.get() == 0 && connections == 0;
         idle_polls = if is_idle { idle_polls + 1 } else { 0 };
-        sleep_ms(POLL_MS).await;
+        sleep_ms(POLL_INTERVAL_MS).await;
     }
 }
--- a/crates/borageshore_gateway/src/dispatch.rs
+++ b/crates/borageshore_gateway/src/dispatch.rs
@@ -13,7 +13,7 @@
 use crate::endpoints::{Endpoints, InFlight};
 
 /// Waiting items are reconsidered at this interval, as load reports age and ejections end without a notification.
-const RECHECK_MS: u64 = 100;
+const RECHECK_INTERVAL_MS: u64 = 100;
 
 /// The requirements of an item.
 #[derive(Debug, Clone)]
@@ -101,7 +101,7 @@
             if self.waiting.borrow().is_empty() {
                 changed.await;
             } else {
-                within_ms(RECHECK_MS, changed).await;
+                within_ms(RECHECK_INTERVAL_MS, changed).await;
             }
             self.endpoints.expire_lapsed();
             self.assign_slots();
--- a/crates/borageshore_gateway/src/lifecycle.rs
+++ b/crates/borageshore_gateway/src/lifecycle.rs
@@ -16,7 +16,7 @@
 use crate::{gateway::Gateway, members::Members};
 
 /// The interval at which signals and the drain are polled.
-const POLL_MS: u64 = 100;
+const POLL_INTERVAL_MS: u64 = 100;
 /// The polling interval while the daemon starts, shorter so that it becomes ready soon.
 const STARTING_POLL_MS: u64 = 20;
 /// The time before the end of the grace period at which idle connections are closed.
@@ -64,7 +64,7 @@
     pub(crate) fn poll_ms(&self) -> u64 {
         match self.state() {
             PresenceState::Starting => STARTING_POLL_MS,
-            _ => POLL_MS,
+            _ => POLL_INTERVAL_MS,
         }
     }
 
@@ -140,7 +140,7 @@
     let started_at_ms = gateway.now_ms();
     let close_idle_at_ms = started_at_ms + timing.grace_ms.saturating_sub(CLOSE_MARGIN_MS);
     while gateway.now_ms() < close_idle_at_ms {
-        sleep_ms(POLL_MS).await;
+        sleep_ms(POLL_INTERVAL_MS).await;
     }
     for server in servers {
         server.stop_gracefully();
@@ -149,7 +149,7 @@
     let listed_until_ms = started_at_ms + UNLIST_DELAY_MS + timing.address_retention_ms;
     let is_needed = || gateway.now_ms() < listed_until_ms || !gateway.is_idle();
     while gateway.now_ms() < end_ms && is_needed() {
-        sleep_ms(POLL_MS).await;
+        sleep_ms(POLL_INTERVAL_MS).await;
     }
     for server in servers {
         server.close();
--- a/crates/borageshore_gateway/src/orderer.rs
+++ b/crates/borageshore_gateway/src/orderer.rs
@@ -21,7 +21,7 @@
 };
 
 /// The interval at which engines with pending orders are polled; their reports are 100 to 200 ms old.
-const POLL_MS: u64 = 80;
+const POLL_INTERVAL_MS: u64 = 80;
 /// The delay of the first poll after an order, a little less than the 0.9 s that a load takes.
 const FIRST_POLL_MS: u64 = 800;
 /// An order that its engine has not carried out by then is dropped and may be sent again.
@@ -73,7 +73,7 @@
                 None => false,
             };
             if is_busy {
-                sleep_ms(POLL_MS).await;
+                sleep_ms(POLL_INTERVAL_MS).await;
             } else {
                 within_ms(MAX_IDLE_PAUSE_MS, select(named, round)).await;
             }
--- a/crates/borageshore_membership/src/members.rs
+++ b/crates/borageshore_membership/src/members.rs
@@ -6,7 +6,7 @@
 
 use crate::entry::{GossipMessage, Heartbeat, MemberEntry, MemberState};
 
-/// The interval between two heartbeats.
+/// The interval between two rounds of gossip, which carry the heartbeats.
 pub const GOSSIP_INTERVAL_MS: u64 = 1_000;
 /// A daemon of this zone is suspected, and gets no new work, this long after its last heartbeat.
 const SUSPECT_AFTER_MS: u64 = 4_000;
