--- a/crates/borageshore_batch/src/order_lease.rs
+++ b/crates/borageshore_batch/src/order_lease.rs
@@ -9,7 +9,7 @@
 /// The last holder that ordered each engine, from the rounds in the store.
 ///
 /// Engines accept orders from any holder, so orders of two holders to one engine must be a lease apart. Leases are
-/// kept by endpoint id, not by incarnation: an order sent before a restart may still arrive after it.
+/// kept by endpoint id, not by instance: an order sent before a restart may still arrive after it.
 #[derive(Debug)]
 pub struct OrderLeases {
     duties: DutyLeases,
--- a/crates/borageshore_routing/src/registry.rs
+++ b/crates/borageshore_routing/src/registry.rs
@@ -1,4 +1,4 @@
-//! The registry of endpoints, which ignores entries of earlier incarnations and of other writers.
+//! The registry of endpoints, which ignores entries of earlier instances and of other writers.
 
 use std::sync::Arc;
 
@@ -11,11 +11,11 @@
 /// The effect of an entry on the registry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryEffect {
-    /// It is the current entry now, as the first one or in place of one of the same incarnation.
+    /// It is the current entry now, as the first one or in place of one of the same instance.
     Accepted,
     /// It is the current entry now, and the endpoint has restarted since the previous one.
     Restarted,
-    /// It belongs to an earlier incarnation than a known one and is ignored.
+    /// It belongs to an earlier instance than a known one and is ignored.
     Stale,
     /// It has no start time although earlier entries of the endpoint had one, so another writer wrote it. It
     /// is ignored.
