--- a/crates/borageshore_gateway/src/access.rs
+++ b/crates/borageshore_gateway/src/access.rs
@@ -130,12 +130,13 @@
     }
 
     fn view(&self) -> KeyView {
-        let asked_at_ms = self
+        let requested_at_ms = self
             .follow
             .requested_at_ms()
             .filter(|_| self.routes.is_latest_readable());
         KeyView {
-            age_ms: asked_at_ms.map(|asked_at_ms| boot_time_ms().saturating_sub(asked_at_ms)),
+            age_ms: requested_at_ms
+                .map(|requested_at_ms| boot_time_ms().saturating_sub(requested_at_ms)),
             max_age_ms: self.max_age_ms,
         }
     }
--- a/crates/borageshore_gateway/src/store_transport.rs
+++ b/crates/borageshore_gateway/src/store_transport.rs
@@ -51,7 +51,7 @@
     peers: RefCell<Vec<Arc<str>>>,
     next_peer: Cell<usize>,
     /// When the store last answered, on either route.
-    answered_at_ms: Cell<u64>,
+    responded_at_ms: Cell<u64>,
     /// Notified when calls switch from the direct route to peers.
     switched_to_peers: Notify,
 }
@@ -67,7 +67,7 @@
                 failover: RefCell::default(),
                 peers: RefCell::default(),
                 next_peer: Cell::default(),
-                answered_at_ms: Cell::new(clock.now_ms()),
+                responded_at_ms: Cell::new(clock.now_ms()),
                 switched_to_peers: Notify::new(),
             }),
         }
@@ -83,7 +83,7 @@
     /// The time since the store last answered, on either route.
     pub(crate) fn silent_ms(&self) -> u64 {
         let now_ms = self.inner.clock.now_ms();
-        now_ms - self.inner.answered_at_ms.get()
+        now_ms - self.inner.responded_at_ms.get()
     }
 
     /// Whether calls go through peers first.
@@ -212,7 +212,7 @@
             StoreRoute::Peer => self.call_via_peer_first(&call).await,
         };
         if is_answered(&answer) {
-            self.inner.answered_at_ms.set(self.inner.clock.now_ms());
+            self.inner.responded_at_ms.set(self.inner.clock.now_ms());
         }
         answer
     }
--- a/crates/borageshore_gateway/src/true_time.rs
+++ b/crates/borageshore_gateway/src/true_time.rs
@@ -95,7 +95,7 @@
 
     async fn ask(&self, peer: &Arc<str>) -> Option<ClockSample> {
         let request = Request::get(CLOCK_PATH).body(Full::default()).ok()?;
-        let asked_at_ms = boot_time_ms();
+        let requested_at_ms = boot_time_ms();
         let (status, body) = match self.http.call(peer, request, TIMEOUTS).await {
             Ok(answer) => answer,
             Err(error) => {
@@ -103,11 +103,11 @@
                 return None;
             }
         };
-        let answered_at_ms = boot_time_ms();
+        let responded_at_ms = boot_time_ms();
         let reading: ClockReading = serde_json::from_slice(&body).ok()?;
         (status == StatusCode::OK).then_some(ClockSample {
-            asked_at_ms,
-            answered_at_ms,
+            requested_at_ms,
+            responded_at_ms,
             estimate_ms: reading.estimate_ms,
             time_of_day_ms: reading.time_of_day_ms,
         })
--- a/crates/borageshore_time/src/lib.rs
+++ b/crates/borageshore_time/src/lib.rs
@@ -8,7 +8,7 @@
 //!
 //! let mut time = TrueTime::new(1_000_000, 5_000);
 //! assert_eq!(time.unix_ms(6_000), 1_001_000);
-//! let peer = ClockSample { asked_at_ms: 6_000, answered_at_ms: 6_002, estimate_ms: 1_004_001, time_of_day_ms: 1_004_001 };
+//! let peer = ClockSample { requested_at_ms: 6_000, responded_at_ms: 6_002, estimate_ms: 1_004_001, time_of_day_ms: 1_004_001 };
 //! time.sync_to_peers(&[peer; 3]);
 //! assert_eq!(time.unix_ms(6_001), 1_004_001);
 //! ```
--- a/crates/borageshore_time/src/true_time.rs
+++ b/crates/borageshore_time/src/true_time.rs
@@ -13,9 +13,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClockSample {
     /// When the request was sent, on the requester's monotonic clock.
-    pub asked_at_ms: u64,
+    pub requested_at_ms: u64,
     /// When the response was received, on the same clock.
-    pub answered_at_ms: u64,
+    pub responded_at_ms: u64,
     /// The peer's estimate of true time, in Unix milliseconds.
     pub estimate_ms: u64,
     /// The peer's time of day, in Unix milliseconds.
@@ -27,8 +27,8 @@
     /// round-trip time between request and response.
     fn offset_of(&self, shown_ms: u64) -> Interval {
         Interval {
-            low: shown_ms as i64 - self.answered_at_ms as i64,
-            high: shown_ms as i64 - self.asked_at_ms as i64,
+            low: shown_ms as i64 - self.responded_at_ms as i64,
+            high: shown_ms as i64 - self.requested_at_ms as i64,
         }
     }
 }
--- a/crates/borageshore_time/tests/time.rs
+++ b/crates/borageshore_time/tests/time.rs
@@ -7,8 +7,8 @@
 fn sample(at_ms: u64, estimate_error_ms: i64, time_of_day_error_ms: i64) -> ClockSample {
     let true_ms = (UNIX_MS + at_ms) as i64;
     ClockSample {
-        asked_at_ms: at_ms,
-        answered_at_ms: at_ms + 2,
+        requested_at_ms: at_ms,
+        responded_at_ms: at_ms + 2,
         estimate_ms: (true_ms + 1 + estimate_error_ms) as u64,
         time_of_day_ms: (true_ms + 1 + time_of_day_error_ms) as u64,
     }
