--- a/crates/borageshore_duty/src/holder.rs
+++ b/crates/borageshore_duty/src/holder.rs
@@ -8,7 +8,7 @@
 ///
 /// The previous holder stays while it is a candidate, so that the duty does not move back and forth when a daemon
 /// returns; otherwise rendezvous hashing selects.
-pub fn select_holder<'a>(
+pub fn choose_holder<'a>(
     duty: &str,
     previous: Option<&'a Arc<str>>,
     candidates: &'a [Arc<str>],
--- a/crates/borageshore_duty/src/lib.rs
+++ b/crates/borageshore_duty/src/lib.rs
@@ -23,7 +23,7 @@
 mod timing;
 
 pub use self::{
-    holder::select_holder,
+    holder::choose_holder,
     leases::DutyLeases,
     timing::{DutyTiming, SendWindow},
 };
--- a/crates/borageshore_duty/tests/duty.rs
+++ b/crates/borageshore_duty/tests/duty.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use borageshore_duty::{DutyLeases, DutyTiming, select_holder};
+use borageshore_duty::{DutyLeases, DutyTiming, choose_holder};
 
 const TIMING: DutyTiming = DutyTiming {
     lease_ms: 3_000,
@@ -76,11 +76,11 @@
     the_last_holder_goes_on_while_it_takes_work => {
         let (all, some) = (names(&["vm-1", "vm-2", "vm-3"]), names(&["vm-1", "vm-3"]));
         let last: Arc<str> = "vm-2".into();
-        assert_eq!(select_holder("duties", Some(&last), &all), Some("vm-2"));
-        let next = select_holder("duties", Some(&last), &some);
+        assert_eq!(choose_holder("duties", Some(&last), &all), Some("vm-2"));
+        let next = choose_holder("duties", Some(&last), &some);
         assert!(next.is_some_and(|next| next != "vm-2"));
-        assert_eq!(next, select_holder("duties", None, &some), "all agree on the successor");
-        assert_eq!(select_holder("duties", None, &[]), None);
+        assert_eq!(next, choose_holder("duties", None, &some), "all agree on the successor");
+        assert_eq!(choose_holder("duties", None, &[]), None);
     }
 
     // Daemons announce, pause, restart and send late, in any order: a subject never receives a lower epoch after a
--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -4,7 +4,7 @@
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
 use borageshore_batch::{ModelVersion, OrderLeases, SwapRound};
-use borageshore_duty::{DutyTiming, SendWindow, select_holder};
+use borageshore_duty::{DutyTiming, SendWindow, choose_holder};
 use borageshore_net::boot_time_ms;
 use borageshore_platform::{KeyedRecord, StoreError, Topic};
 use bytes::Bytes;
@@ -160,7 +160,7 @@
         let holder = {
             let leases = self.announcements.leases.borrow();
             let last = leases.newest_holder();
-            select_holder(RANKING_KEY, last, &eligible).map(Arc::<str>::from)
+            choose_holder(RANKING_KEY, last, &eligible).map(Arc::<str>::from)
         };
         let is_own = holder.as_deref() == Some(&*self.members.own_name());
         self.follow.next_offset().filter(|_| is_own)
--- a/crates/borageshore_gateway/src/members/mod.rs
+++ b/crates/borageshore_gateway/src/members/mod.rs
@@ -227,7 +227,7 @@
     }
 
     /// HTTP addresses of up to `count` other eligible daemons, in an order that varies with time.
-    pub(crate) fn pick_eligible(&self, count: usize) -> Vec<Arc<str>> {
+    pub(crate) fn choose_eligible(&self, count: usize) -> Vec<Arc<str>> {
         let own_name = self.own_name();
         let table = self.table.borrow();
         let salt = self.clock.now_ms().to_string();
@@ -238,7 +238,7 @@
     }
 
     /// Peer addresses of up to `count` other daemons, in an order that varies with time.
-    pub(crate) fn pick_peer_addresses(&self, count: usize) -> Vec<Arc<str>> {
+    pub(crate) fn choose_peer_addresses(&self, count: usize) -> Vec<Arc<str>> {
         let own = self.own.borrow();
         let peers = self.table.borrow().peer_addresses(&own.name, &own.zone);
         let salt = self.clock.now_us().to_string();
--- a/crates/borageshore_gateway/src/quarantine/reporting.rs
+++ b/crates/borageshore_gateway/src/quarantine/reporting.rs
@@ -142,7 +142,7 @@
                 if reports.is_empty() && cleared.is_empty() {
                     break;
                 }
-                let peers = self.members.pick_peer_addresses(PEER_FANOUT);
+                let peers = self.members.choose_peer_addresses(PEER_FANOUT);
                 // Clearances are sent last, as they overrule crash reports that were sent before.
                 if !reports.is_empty() {
                     post_to_peers(&http, &peers, CRASHES_PATH, &encode_reports(&reports)).await;
--- a/crates/borageshore_gateway/src/server.rs
+++ b/crates/borageshore_gateway/src/server.rs
@@ -244,7 +244,7 @@
         if !is_refused || head.headers.contains_key(FORWARDED_HEADER) {
             return response;
         }
-        let peers = self.members.pick_eligible(MAX_SUBMIT_PEERS);
+        let peers = self.members.choose_eligible(MAX_SUBMIT_PEERS);
         match self.peers.submit(&peers, head, body).await {
             SubmitOutcome::Accepted(accepted) => {
                 log::info!(submission = &*id; "submission accepted by a peer");
--- a/crates/borageshore_gateway/src/true_time.rs
+++ b/crates/borageshore_gateway/src/true_time.rs
@@ -88,7 +88,7 @@
     }
 
     async fn samples(&self) -> Vec<ClockSample> {
-        let peers = self.members.pick_peer_addresses(PEERS_ASKED);
+        let peers = self.members.choose_peer_addresses(PEERS_ASKED);
         let asked = join_all(peers.iter().map(|peer| self.ask(peer))).await;
         asked.into_iter().flatten().collect()
     }
--- a/crates/borageshore_membership/src/gossip.rs
+++ b/crates/borageshore_membership/src/gossip.rs
@@ -52,14 +52,14 @@
             .values()
             .filter(reachable)
             .partition(|member| member.entry.zone == *own_zone);
-        let mut targets = pick_addresses(&same_zone, ZONE_FANOUT, seed);
-        targets.extend(pick_addresses(
+        let mut targets = choose_addresses(&same_zone, ZONE_FANOUT, seed);
+        targets.extend(choose_addresses(
             &other_zones,
             REMOTE_FANOUT,
             seed.rotate_left(32),
         ));
         // Contacting seeds lets a restarted or isolated daemon find the others again.
-        if let Some(address) = pick_seed(&self.seeds, seed)
+        if let Some(address) = choose_seed(&self.seeds, seed)
             && (targets.is_empty() || seed.is_multiple_of(8))
             && *address != self.own.gossip_address
         {
@@ -130,7 +130,7 @@
     }
 }
 
-fn pick_addresses(members: &[&Member], count: usize, seed: u64) -> Vec<Arc<str>> {
+fn choose_addresses(members: &[&Member], count: usize, seed: u64) -> Vec<Arc<str>> {
     if members.is_empty() {
         return Vec::new();
     }
@@ -141,7 +141,7 @@
         .collect()
 }
 
-fn pick_seed(seeds: &[Arc<str>], seed: u64) -> Option<&Arc<str>> {
+fn choose_seed(seeds: &[Arc<str>], seed: u64) -> Option<&Arc<str>> {
     if seeds.is_empty() {
         None
     } else {
