--- a/crates/borageshore_diagnostics/src/rate_limit.rs
+++ b/crates/borageshore_diagnostics/src/rate_limit.rs
@@ -41,9 +41,9 @@
 impl LogRateLimiter {
     /// Decides whether to write a line at `now_ms`. A tenth of the burst is reserved for faults.
     pub fn on_line(&mut self, now_ms: u64, is_fault: bool) -> LineDecision {
-        let passed_ms = now_ms.saturating_sub(self.refilled_at_ms);
+        let elapsed_ms = now_ms.saturating_sub(self.refilled_at_ms);
         self.refilled_at_ms = now_ms;
-        let refill = passed_ms.saturating_mul(SUSTAINED_LINES_PER_S);
+        let refill = elapsed_ms.saturating_mul(SUSTAINED_LINES_PER_S);
         self.millitokens = (self.millitokens + refill).min(BURST_LINES * 1_000);
         let reserve = if is_fault { 0 } else { BURST_LINES * 100 };
         if self.millitokens < reserve + 1_000 {
--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -125,9 +125,9 @@
     ///
     /// The daemon reports readiness without this wait, as other daemons wait for it after a full stop.
     async fn wait_until_known(&self) {
-        let left_ms = MAX_START_WAIT_MS.saturating_sub(self.clock.now_ms());
-        if !self.is_known.get() && left_ms > 0 {
-            within_ms(left_ms, self.became_known.notified()).await;
+        let remaining_ms = MAX_START_WAIT_MS.saturating_sub(self.clock.now_ms());
+        if !self.is_known.get() && remaining_ms > 0 {
+            within_ms(remaining_ms, self.became_known.notified()).await;
         }
     }
 
@@ -155,10 +155,10 @@
         // Guards against a busy loop: a trial that cannot be claimed stays due.
         sleep_ms(held.retry_after_ms.min(CLAIM_TIMEOUT_MS).min(max_wait_ms)).await;
         loop {
-            let left_ms = until_ms.saturating_sub(self.clock.now_ms());
+            let remaining_ms = until_ms.saturating_sub(self.clock.now_ms());
             match self.decision(&content) {
-                HoldDecision::Held { retry_after_ms } if left_ms > 0 => {
-                    within_ms(retry_after_ms.min(left_ms), self.changed.notified()).await;
+                HoldDecision::Held { retry_after_ms } if remaining_ms > 0 => {
+                    within_ms(retry_after_ms.min(remaining_ms), self.changed.notified()).await;
                 }
                 _ => return,
             }
--- a/crates/borageshore_gateway/src/rewards.rs
+++ b/crates/borageshore_gateway/src/rewards.rs
@@ -98,12 +98,12 @@
             let permit = match quarantine.admit(|| scoring.content()).await {
                 Ok(permit) => permit,
                 Err(held) => {
-                    let left_ms = give_up_ms.saturating_sub(self.parts.clock.now_ms());
-                    if left_ms == 0 {
+                    let remaining_ms = give_up_ms.saturating_sub(self.parts.clock.now_ms());
+                    if remaining_ms == 0 {
                         return Reward::Failed;
                     }
                     log::info!(call = &*call.id, content:% = scoring.content(), again_ms = held.retry_after_ms; "reward call held back");
-                    quarantine.wait(scoring.content(), held, left_ms).await;
+                    quarantine.wait(scoring.content(), held, remaining_ms).await;
                     continue;
                 }
             };
--- a/crates/borageshore_gateway/src/usage/counter.rs
+++ b/crates/borageshore_gateway/src/usage/counter.rs
@@ -74,8 +74,8 @@
         self.is_writing.get() || self.counts.borrow().is_dirty()
     }
 
-    fn add(&self, organisation: &Arc<str>, begun_at_ms: u64) {
-        let window = Window::at(begun_at_ms, self.timing.window_ms);
+    fn add(&self, organisation: &Arc<str>, started_at_ms: u64) {
+        let window = Window::at(started_at_ms, self.timing.window_ms);
         self.counts.borrow_mut().add(window, organisation, 1);
         self.counted.notify_one();
     }
@@ -179,9 +179,10 @@
 
 impl Drop for RequestUsage {
     fn drop(&mut self) {
-        let begun_at_ms = self.attempts.borrow().iter().flatten().min().copied();
-        if let (Some((counter, organisation)), Some(begun_at_ms)) = (&self.counted, begun_at_ms) {
-            counter.add(organisation, begun_at_ms);
+        let started_at_ms = self.attempts.borrow().iter().flatten().min().copied();
+        if let (Some((counter, organisation)), Some(started_at_ms)) = (&self.counted, started_at_ms)
+        {
+            counter.add(organisation, started_at_ms);
         }
     }
 }
--- a/crates/borageshore_standins/src/platform/plain.rs
+++ b/crates/borageshore_standins/src/platform/plain.rs
@@ -167,7 +167,7 @@
         if expected != &**shared.instance.borrow() {
             return status(421);
         }
-        let time_left_ms =
+        let remaining_ms =
             header(request.headers(), "x-deadline-ms").and_then(|ms| ms.parse::<u64>().ok());
         let caller = RecordedCaller::from_headers(request.headers());
         let Ok(body) = read_body(request.into_body(), limits()).await else {
@@ -193,10 +193,10 @@
             .entry(id.clone())
             .or_default()
             .push(caller);
-        if let Some(time_left_ms) = time_left_ms {
+        if let Some(remaining_ms) = remaining_ms {
             let mut deadlines = shared.deadlines.borrow_mut();
             let deadline_ms = deadlines.entry(id.clone()).or_default();
-            *deadline_ms = now_ms.saturating_add(time_left_ms).max(*deadline_ms);
+            *deadline_ms = now_ms.saturating_add(remaining_ms).max(*deadline_ms);
         }
         shared.running.set(shared.running.get() + 1);
         let _running = RunningGuard(shared);
