--- a/crates/borageshore_gateway/src/ledger_view.rs
+++ b/crates/borageshore_gateway/src/ledger_view.rs
@@ -160,7 +160,7 @@
             changed.await;
         }
         self.loading.borrow_mut().push(id.clone());
-        let _loading = Loading { view: self, id };
+        let _loading = LoadGuard { view: self, id };
         self.wait_until_started(&follower).await && self.load_records(id).await
     }
 
@@ -259,12 +259,12 @@
 }
 
 /// Marks a submission as being loaded.
-struct Loading<'v> {
+struct LoadGuard<'v> {
     view: &'v LedgerView,
     id: &'v Arc<str>,
 }
 
-impl Drop for Loading<'_> {
+impl Drop for LoadGuard<'_> {
     fn drop(&mut self) {
         self.view
             .loading
--- a/crates/borageshore_gateway/src/rewards.rs
+++ b/crates/borageshore_gateway/src/rewards.rs
@@ -182,7 +182,7 @@
         }
     }
 
-    async fn slot(&self, service: &Arc<str>) -> Slot<'_> {
+    async fn slot(&self, service: &Arc<str>) -> RewardSlot<'_> {
         loop {
             let slot_freed = self.slot_freed.notified();
             if let Some(slot) = self.try_slot(service) {
@@ -192,7 +192,7 @@
         }
     }
 
-    fn try_slot(&self, service: &Arc<str>) -> Option<Slot<'_>> {
+    fn try_slot(&self, service: &Arc<str>) -> Option<RewardSlot<'_>> {
         let limit = (self.parts.endpoints.slots_of(service) * SLOTS_PERCENT / 100).max(1);
         let mut in_flight = self.in_flight.borrow_mut();
         let count = in_flight.get_or_insert_with(service.clone(), || 0);
@@ -200,7 +200,7 @@
             return None;
         }
         *count += 1;
-        Some(Slot {
+        Some(RewardSlot {
             rewards: self,
             service: service.clone(),
         })
@@ -208,12 +208,12 @@
 }
 
 /// A slot of a service, released on drop.
-struct Slot<'r> {
+struct RewardSlot<'r> {
     rewards: &'r Rewards,
     service: Arc<str>,
 }
 
-impl Drop for Slot<'_> {
+impl Drop for RewardSlot<'_> {
     fn drop(&mut self) {
         if let Some(count) = self.rewards.in_flight.borrow_mut().get_mut(&self.service) {
             *count -= 1;
--- a/crates/borageshore_rollout/src/controller.rs
+++ b/crates/borageshore_rollout/src/controller.rs
@@ -85,7 +85,7 @@
 }
 
 #[derive(Debug)]
-struct Slot {
+struct SampleSlot {
     id: Arc<str>,
     running: u32,
     attempts: u32,
@@ -102,7 +102,7 @@
 
 #[derive(Debug)]
 struct Group {
-    slots: Vec<Slot>,
+    slots: Vec<SampleSlot>,
 }
 
 impl Group {
@@ -240,9 +240,9 @@
         }
     }
 
-    fn open_slot(&self, group: u64, index: u64, now_ms: u64) -> Slot {
+    fn open_slot(&self, group: u64, index: u64, now_ms: u64) -> SampleSlot {
         let id = format!("{}.{}.{group}.{index}", self.id_prefix, self.epoch).into();
-        Slot {
+        SampleSlot {
             id,
             running: 0,
             attempts: 0,
@@ -260,7 +260,7 @@
         (percentile * STRAGGLER_FACTOR).max(STRAGGLER_MIN_MS)
     }
 
-    fn slot_mut(&mut self, group: u64, id: &str) -> Option<&mut Slot> {
+    fn slot_mut(&mut self, group: u64, id: &str) -> Option<&mut SampleSlot> {
         self.groups
             .get_mut(&group)?
             .slots
