--- a/crates/borageshore_batch/src/order_lease.rs
+++ b/crates/borageshore_batch/src/order_lease.rs
@@ -4,23 +4,23 @@
 
 use borageshore_duty::DutyLeases;
 
-use crate::{incarnation::endpoint_id, swaps::SwapRound};
+use crate::{instance::endpoint_id, swaps::SwapRound};
 
 /// The last holder that sent orders to each engine, from the rounds in the store.
 ///
 /// Engines accept orders from any holder, so orders of two holders to one engine must be a lease apart. Leases are
-/// kept by endpoint id, not by incarnation: an order sent before a restart may still arrive after it.
+/// kept by endpoint id, not by instance: an order sent before a restart may still arrive after it.
 #[derive(Debug)]
 pub struct OrderLeases {
     duties: DutyLeases,
 }
 
 impl OrderLeases {
-    /// Creates the table of a process that starts to read rounds at `now_ms`. `wait_ms` is the lease plus the longest
+    /// Creates the table of a process that starts to read rounds at `now_ms`. `takeover_delay_ms` is the lease plus the longest
     /// time from the announcement of an order to its arrival. The clock must count time spent suspended.
-    pub fn open(now_ms: u64, wait_ms: u64) -> Self {
+    pub fn open(now_ms: u64, takeover_delay_ms: u64) -> Self {
         Self {
-            duties: DutyLeases::open(now_ms, wait_ms),
+            duties: DutyLeases::open(now_ms, takeover_delay_ms),
         }
     }
 
@@ -44,12 +44,12 @@
 
     /// The subjects that `holder` may not act on at `now_ms`, engines by endpoint id, for
     /// [`SwapRound::others_ordered`].
-    pub fn ordered_by_others(&self, holder: &str, now_ms: u64) -> Vec<Arc<str>> {
+    pub fn held_by_others(&self, holder: &str, now_ms: u64) -> Vec<Arc<str>> {
         self.duties.held_by_others(holder, now_ms)
     }
 
     /// Resets the table after rounds were missed.
-    pub fn begin_again(&mut self, now_ms: u64) {
+    pub fn reset(&mut self, now_ms: u64) {
         self.duties.reset(now_ms);
     }
 
--- a/crates/borageshore_daemon/src/control.rs
+++ b/crates/borageshore_daemon/src/control.rs
@@ -83,8 +83,8 @@
     let SettingsRecord::Change(change) = &envelope.body else {
         return;
     };
-    let wall_ms = jiff::Timestamp::now().as_millisecond() as u64;
-    let lag_ms = wall_ms.saturating_sub(record.at_ms);
+    let unix_ms = jiff::Timestamp::now().as_millisecond() as u64;
+    let lag_ms = unix_ms.saturating_sub(record.at_ms);
     let SettingsChange { actor, reason, .. } = change;
     log::info!(
         "processed settings record {} by {actor}, {lag_ms} ms after it was appended: {reason}",
@@ -230,9 +230,9 @@
         let jobs = fold
             .tree()
             .nodes_of_kind(NodeKind::Job)
-            .map(|job| jobs::shard_of(job));
+            .map(|job| jobs::shard_of_job(job));
         let services = fold.tree().nodes_of_kind(NodeKind::Service);
-        jobs.chain(services.map(|service| swaps::shard_of(service)))
+        jobs.chain(services.map(|service| swaps::shard_of_service(service)))
             .collect()
     })
 }
@@ -296,7 +296,7 @@
             training_slots: (slots * percent).div_ceil(100),
             queue_limit_requests: daemon.setting(&service, "queue_limit_requests"),
         };
-        daemon.gate(&service).set_limits(limits);
+        daemon.admission_queue(&service).set_limits(limits);
     }
     daemon
         .retry_budget
--- a/crates/borageshore_daemon/src/generation.rs
+++ b/crates/borageshore_daemon/src/generation.rs
@@ -9,8 +9,8 @@
 };
 
 use crate::{
+    admission::AdmissionRequest,
     daemon::Daemon,
-    gate::GateRequest,
     platform::engine::{ChunkStream, Engine, EngineChunk, EngineRequest},
 };
 
@@ -143,15 +143,15 @@
 async fn acquire_slot(
     daemon: &Rc<Daemon>,
     generation: &Generation,
-) -> Result<crate::gate::Slot, GenerationFailure> {
-    let request = GateRequest {
+) -> Result<crate::admission::Slot, GenerationFailure> {
+    let request = AdmissionRequest {
         node: generation.node.clone(),
         importance: daemon.setting(&generation.node, "importance"),
         workload: generation.workload,
         deadline_ms: generation.deadline_ms,
     };
     let acquired = daemon
-        .gate(&generation.service)
+        .admission_queue(&generation.service)
         .acquire(daemon, request)
         .await;
     acquired.map_err(|refusal| GenerationFailure {
@@ -259,11 +259,11 @@
     loop {
         match chunks.next_chunk(chunk_timeout_ms).await {
             Err(error) => {
-                daemon.http.discard_idle(&address);
+                daemon.http.discard_idle_connections(&address);
                 return AttemptEnd::Failed(error);
             }
             Ok(None) => {
-                return AttemptEnd::Failed(CallError::NoAnswer("the stream ended early".into()));
+                return AttemptEnd::Failed(CallError::NoResponse("the stream ended early".into()));
             }
             Ok(Some(chunk)) => {
                 if let Some(end) = on_chunk(daemon, generation, chunk, produced, sink).await {
--- a/crates/borageshore_daemon/src/stream.rs
+++ b/crates/borageshore_daemon/src/stream.rs
@@ -369,7 +369,7 @@
     let mut proposer = stream.proposer.borrow_mut();
     match appended {
         Ok(_) => proposer.on_acknowledged(),
-        Err(LogError::Refused(reason)) => {
+        Err(LogError::NotDone(reason)) => {
             log::debug!(
                 "append to stream {} refused, retrying later: {reason}",
                 stream.name
@@ -381,7 +381,7 @@
                 "append to stream {} has an unknown outcome, checking in the log: {reason}",
                 stream.name
             );
-            proposer.on_lost_answer();
+            proposer.on_unknown();
         }
     }
 }
--- a/crates/borageshore_daemon/src/swaps.rs
+++ b/crates/borageshore_daemon/src/swaps.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     daemon::Daemon,
-    platform::engine::{Engine, EngineOrder, EngineReport, OrderAnswer},
+    platform::engine::{Engine, EngineOrder, EngineReport, OrderResponse},
 };
 
 /// Interval between reads of the replicas' versions while all are up to date.
@@ -22,7 +22,7 @@
 const WATCH_TIMEOUT_MS: u64 = 5_000;
 
 /// Name of the lease shard of a service's weights.
-pub(crate) fn shard_of(service: &str) -> Arc<str> {
+pub(crate) fn shard_of_service(service: &str) -> Arc<str> {
     format!("weights/{service}").into()
 }
 
@@ -45,16 +45,16 @@
 /// Orders engines to load the target versions, for the services whose weights this daemon owns.
 pub(crate) async fn swap_loop(daemon: Rc<Daemon>) {
     loop {
-        let mut progress = Progress::Settled;
+        let mut progress = SwapProgress::Settled;
         for service in owned_services(&daemon) {
-            if swap_service(&daemon, &service).await == Progress::Swapping {
-                progress = Progress::Swapping;
+            if swap_service(&daemon, &service).await == SwapProgress::Swapping {
+                progress = SwapProgress::Swapping;
             }
         }
         match progress {
             // A new version arrives as a settings change, which ends the wait early.
-            Progress::Settled => daemon.settings.wait_progress(SETTLED_TICK_MS).await,
-            Progress::Swapping => sleep_ms(SWAPPING_TICK_MS).await,
+            SwapProgress::Settled => daemon.settings.wait_progress(SETTLED_TICK_MS).await,
+            SwapProgress::Swapping => sleep_ms(SWAPPING_TICK_MS).await,
         }
     }
 }
@@ -63,7 +63,7 @@
     let agent = daemon.lease_agent.borrow();
     daemon
         .leases
-        .with_fold(|table| agent.epoch(table, &shard_of(service), daemon.now_ms()))
+        .with_fold(|table| agent.epoch(table, &shard_of_service(service), daemon.now_ms()))
 }
 
 fn owned_services(daemon: &Daemon) -> Vec<Arc<str>> {
@@ -100,17 +100,17 @@
 
 /// Whether all replicas that answered serve their target versions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Progress {
+enum SwapProgress {
     Settled,
     Swapping,
 }
 
-async fn swap_service(daemon: &Rc<Daemon>, service: &Arc<str>) -> Progress {
+async fn swap_service(daemon: &Rc<Daemon>, service: &Arc<str>) -> SwapProgress {
     let targets = targets(daemon, service);
     if targets.is_empty() {
-        return Progress::Settled;
+        return SwapProgress::Settled;
     }
-    let mut progress = Progress::Settled;
+    let mut progress = SwapProgress::Settled;
     let replicas = read_replicas(daemon, service).await;
     for target in targets {
         let views: Vec<ReplicaView> = replicas
@@ -121,7 +121,7 @@
             .iter()
             .any(|view| view.version.is_some_and(|version| version < target.version))
         {
-            progress = Progress::Swapping;
+            progress = SwapProgress::Swapping;
         }
         for name in plan_swaps(&views, target.version, target.limits) {
             let Some(replica) = replicas.iter().find(|replica| replica.name == name) else {
@@ -236,7 +236,7 @@
         epoch,
     };
     match daemon.engine.order(&replica.address, &order).await {
-        Ok(OrderAnswer::Accepted) => {
+        Ok(OrderResponse::Accepted) => {
             log::info!(
                 "{} is loading weights version {} of job {}",
                 replica.name,
@@ -244,7 +244,7 @@
                 target.job
             );
         }
-        Ok(OrderAnswer::StaleEpoch) => {
+        Ok(OrderResponse::StaleEpoch) => {
             log::info!(
                 "{} rejected an order for {service}: epoch {epoch} is out of date",
                 replica.name
--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -105,7 +105,7 @@
         route: &Route,
         body: Bytes,
     ) -> EdgeResponse {
-        let started_ms = self.clock.now_ms();
+        let started_at_ms = self.clock.now_ms();
         let wait_ms = head.deadline_ms.min(route.timeout_ms);
         let deadline = Deadline::after(self.clock, wait_ms.saturating_sub(RESPONSE_MARGIN_MS));
         let outbound = OutboundRequest {
@@ -134,7 +134,7 @@
         let mut outcome = CallOutcome::default();
         let attempts = self.run_attempts(route, service, &call, &permit, deadline, &mut outcome);
         let endpoint_response = attempts.await.or(outcome.error_response.take());
-        let took_ms = self.clock.now_ms() - started_ms;
+        let took_ms = self.clock.now_ms() - started_at_ms;
         self.instruments.record_ms("call", took_ms);
         let response = match endpoint_response {
             Some(endpoint_response) => forwarded_response(endpoint_response),
@@ -312,7 +312,7 @@
 ) -> Option<EndpointResponse> {
     let event = match &result {
         Ok(_) => AttemptEvent::Answered,
-        Err(AttemptError::Lost(_) | AttemptError::Broken(_)) => AttemptEvent::Lost,
+        Err(AttemptError::Unknown(_) | AttemptError::Broken(_)) => AttemptEvent::Lost,
         Err(AttemptError::NotSent(_) | AttemptError::Refused { .. }) => AttemptEvent::Refused,
     };
     outcome.attempts.on_event(number, event);
--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -4,7 +4,7 @@
 use std::{cell::RefCell, rc::Rc, sync::Arc};
 
 use borageshore_batch::{ModelVersion, OrderLeases, SwapRound};
-use borageshore_duty::{DutyTiming, SendWindow, select_holder};
+use borageshore_duty::{DutyTiming, SendWindow, choose_holder};
 use borageshore_net::boot_time_ms;
 use borageshore_platform::{KeyedRecord, StoreError, Topic};
 use bytes::Bytes;
@@ -12,7 +12,7 @@
 
 use crate::{
     endpoints::Endpoints,
-    follow::{Fold, FollowSpec, Follower, ONLY_PARTITION},
+    follow::{FollowSpec, Follower, ONLY_PARTITION, RecordView},
     members::Members,
     store_transport::Store,
     usage::{ReportRecord, USAGE_SUBJECT, UsageReports},
@@ -27,7 +27,7 @@
 /// The margin for the latency of a call and the delay of a successor's reads.
 const MARGIN_MS: u64 = 300;
 
-/// Folds the announcements; the same on all daemons.
+/// The announcements that have been read; the same on all daemons.
 #[derive(Debug)]
 struct Announcements {
     endpoints: Rc<Endpoints>,
@@ -65,7 +65,7 @@
     }
 }
 
-impl Fold for Announcements {
+impl RecordView for Announcements {
     fn apply(&self, records: &[KeyedRecord]) {
         for record in records {
             let Some(value) = &record.value else {
@@ -83,7 +83,7 @@
     }
 
     fn on_gap(&self) {
-        self.leases.borrow_mut().begin_again(boot_time_ms());
+        self.leases.borrow_mut().reset(boot_time_ms());
     }
 }
 
@@ -160,7 +160,7 @@
         let holder = {
             let leases = self.announcements.leases.borrow();
             let last = leases.newest_holder();
-            select_holder(RANKING_KEY, last, &eligible).map(Arc::<str>::from)
+            choose_holder(RANKING_KEY, last, &eligible).map(Arc::<str>::from)
         };
         let is_own = holder.as_deref() == Some(&*self.members.own_name());
         self.follow.next_offset().filter(|_| is_own)
@@ -182,7 +182,7 @@
     /// The subjects that other holders may be acting on.
     pub(crate) fn held_by_others(&self) -> Vec<Arc<str>> {
         let leases = self.announcements.leases.borrow();
-        leases.ordered_by_others(&self.members.own_name(), boot_time_ms())
+        leases.held_by_others(&self.members.own_name(), boot_time_ms())
     }
 
     /// Announces a round of orders.
--- a/crates/borageshore_gateway/src/endpoints/listing.rs
+++ b/crates/borageshore_gateway/src/endpoints/listing.rs
@@ -6,7 +6,7 @@
 use borageshore_routing::{EntryEffect, LoadReport};
 
 use super::{Endpoints, target};
-use crate::follow::Fold;
+use crate::follow::RecordView;
 
 /// How long entries that lapsed around a store outage are kept: live endpoints are listed again within this time.
 const LAPSE_GRACE_MS: u64 = 2_300;
@@ -25,7 +25,7 @@
             EntryEffect::Restarted => {
                 let old_address = known.as_ref().map_or("", |known| &*known.listing.address);
                 log::info!(id = &**id, started_at_ms = entry.started_at_ms; "endpoint started again");
-                self.client.drop_idle_connections(old_address);
+                self.client.discard_idle_connections(old_address);
                 if let Some(known) = &known {
                     self.note_ended(&known.listing);
                 }
@@ -94,25 +94,25 @@
         self.changed.notify_waiters();
     }
 
-    fn on_removed(&self, instance: &Arc<str>) {
+    fn on_removed(&self, id: &Arc<str>) {
         let now_ms = self.clock.now_ms();
         let grace_until_ms = self.outage_ended_at_ms.get().map(|at| at + LAPSE_GRACE_MS);
         match grace_until_ms {
             Some(until_ms) if now_ms < until_ms => {
-                log::info!(instance = &**instance, until_ms; "endpoint entry expired around a store outage; keeping the endpoint for a grace period");
-                self.lapsed.borrow_mut().insert(instance.clone(), until_ms);
+                log::info!(instance = &**id, until_ms; "endpoint entry expired around a store outage; keeping the endpoint for a grace period");
+                self.lapsed.borrow_mut().insert(id.clone(), until_ms);
             }
-            _ => self.remove(instance),
+            _ => self.remove(id),
         }
     }
 
-    fn remove(&self, instance: &Arc<str>) {
-        let known = self.registry.borrow().get(instance).cloned();
+    fn remove(&self, id: &Arc<str>) {
+        let known = self.registry.borrow().get(id).cloned();
         if let Some(known) = &known {
             self.note_ended(&known.listing);
         }
-        if self.registry.borrow_mut().remove(instance) {
-            log::info!(instance = &**instance; "endpoint gone");
+        if self.registry.borrow_mut().remove(id) {
+            log::info!(instance = &**id; "endpoint gone");
             self.has_changed_entries.set(true);
         }
     }
@@ -120,10 +120,10 @@
     /// Removes the ids that are missing from the first batch after a gap, which holds the newest record of each key.
     fn remove_unconfirmed(&self, newest: &[KeyedRecord]) {
         let unconfirmed = self.unconfirmed.take().unwrap_or_default();
-        let is_listed = |instance: &Arc<str>| newest.iter().any(|record| record.key == *instance);
-        for instance in unconfirmed {
-            if !is_listed(&instance) {
-                self.on_removed(&instance);
+        let is_listed = |id: &Arc<str>| newest.iter().any(|record| record.key == *id);
+        for id in unconfirmed {
+            if !is_listed(&id) {
+                self.on_removed(&id);
             }
         }
     }
@@ -132,21 +132,21 @@
     pub(crate) fn expire_lapsed(&self) {
         let now_ms = self.clock.now_ms();
         let mut gone = Vec::new();
-        self.lapsed.borrow_mut().retain(|instance, until_ms| {
+        self.lapsed.borrow_mut().retain(|id, until_ms| {
             let is_over = now_ms >= *until_ms;
             if is_over {
-                gone.push(instance.clone());
+                gone.push(id.clone());
             }
             !is_over
         });
-        for instance in gone {
-            self.remove(&instance);
+        for id in gone {
+            self.remove(&id);
         }
         self.rebuild_table();
     }
 }
 
-impl Fold for Endpoints {
+impl RecordView for Endpoints {
     fn apply(&self, records: &[KeyedRecord]) {
         for record in records {
             let Some(value) = &record.value else {
--- a/crates/borageshore_gateway/src/lifecycle.rs
+++ b/crates/borageshore_gateway/src/lifecycle.rs
@@ -16,7 +16,7 @@
 use crate::{gateway::Gateway, members::Members};
 
 /// The interval at which signals and the drain are polled.
-const POLL_MS: u64 = 100;
+const POLL_INTERVAL_MS: u64 = 100;
 /// The polling interval while the daemon starts, shorter so that it becomes ready soon.
 const STARTING_POLL_MS: u64 = 20;
 /// The time before the end of the grace period at which idle connections are closed.
@@ -66,7 +66,7 @@
     pub(crate) fn poll_ms(&self) -> u64 {
         match self.state() {
             PresenceState::Starting => STARTING_POLL_MS,
-            _ => POLL_MS,
+            _ => POLL_INTERVAL_MS,
         }
     }
 
@@ -138,26 +138,26 @@
 /// and closes idle connections near the end of the grace period.
 pub(crate) async fn drain(gateway: &Gateway, servers: &[HttpServer], timing: DrainTiming) {
     gateway.enter_draining();
-    let started_ms = gateway.now_ms();
-    let close_idle_at_ms = started_ms + timing.grace_ms.saturating_sub(CLOSE_MARGIN_MS);
+    let started_at_ms = gateway.now_ms();
+    let close_idle_at_ms = started_at_ms + timing.grace_ms.saturating_sub(CLOSE_MARGIN_MS);
     while gateway.now_ms() < close_idle_at_ms {
-        sleep_ms(POLL_MS).await;
+        sleep_ms(POLL_INTERVAL_MS).await;
     }
     for server in servers {
         server.stop_gracefully();
     }
-    let end_ms = started_ms + timing.grace_ms.saturating_sub(EXIT_MARGIN_MS);
-    let listed_until_ms = started_ms + UNLIST_DELAY_MS + timing.address_retention_ms;
+    let end_ms = started_at_ms + timing.grace_ms.saturating_sub(EXIT_MARGIN_MS);
+    let listed_until_ms = started_at_ms + UNLIST_DELAY_MS + timing.address_retention_ms;
     let is_needed = || gateway.now_ms() < listed_until_ms || !gateway.is_idle();
     while gateway.now_ms() < end_ms && is_needed() {
-        sleep_ms(POLL_MS).await;
+        sleep_ms(POLL_INTERVAL_MS).await;
     }
     for server in servers {
         server.close();
     }
     within_ms(CLOSE_TIMEOUT_MS, wait_for_connections(servers)).await;
     within_ms(LEAVE_TIMEOUT_MS, gateway.leave()).await;
-    log::info!(took_ms = gateway.now_ms() - started_ms, is_idle = gateway.is_idle(); "daemon stopped");
+    log::info!(took_ms = gateway.now_ms() - started_at_ms, is_idle = gateway.is_idle(); "daemon stopped");
 }
 
 /// Waits until no connection is open.
--- a/crates/borageshore_gateway/src/members/mod.rs
+++ b/crates/borageshore_gateway/src/members/mod.rs
@@ -17,7 +17,7 @@
 use borageshore_platform::KeyedRecord;
 use tokio::sync::Notify;
 
-use crate::{follow::Fold, store_transport::FailoverTransport};
+use crate::{follow::RecordView, store_transport::FailoverTransport};
 
 /// The prefix of a suspicion's key; the name of the suspected daemon follows.
 const SUSPICION_PREFIX: &str = "suspect/";
@@ -226,7 +226,7 @@
     }
 
     /// HTTP addresses of up to `count` other eligible daemons, in an order that varies with time.
-    pub(crate) fn pick_eligible(&self, count: usize) -> Vec<Arc<str>> {
+    pub(crate) fn choose_eligible(&self, count: usize) -> Vec<Arc<str>> {
         let own_name = self.own_name();
         let table = self.table.borrow();
         let salt = self.clock.now_ms().to_string();
@@ -237,11 +237,11 @@
     }
 
     /// Peer addresses of up to `count` other daemons, in an order that varies with time.
-    pub(crate) fn pick_peer_addresses(&self, count: usize) -> Vec<Arc<str>> {
+    pub(crate) fn choose_peer_addresses(&self, count: usize) -> Vec<Arc<str>> {
         let own = self.own.borrow();
-        let relays = self.table.borrow().peer_addresses(&own.name, &own.zone);
+        let peers = self.table.borrow().peer_addresses(&own.name, &own.zone);
         let salt = self.clock.now_us().to_string();
-        let ranked = rank_by_rendezvous(&salt, relays.iter().map(|relay| &**relay));
+        let ranked = rank_by_rendezvous(&salt, peers.iter().map(|peer| &**peer));
         ranked.into_iter().take(count).map(Into::into).collect()
     }
 
@@ -320,7 +320,7 @@
     }
 }
 
-impl Fold for Members {
+impl RecordView for Members {
     fn apply(&self, records: &[KeyedRecord]) {
         for record in records {
             self.on_own_record(record);
--- a/crates/borageshore_gateway/src/orderer.rs
+++ b/crates/borageshore_gateway/src/orderer.rs
@@ -8,7 +8,7 @@
 };
 use borageshore_net::{Clock, sleep_ms, within_ms};
 use borageshore_platform::{
-    EndpointClient, EndpointTarget, EngineReport, OrderAnswer, VersionOrder,
+    EndpointClient, EndpointTarget, EngineReport, OrderResponse, VersionOrder,
 };
 use futures_util::future::{join_all, select};
 
@@ -21,13 +21,13 @@
 };
 
 /// The interval at which engines with pending orders are polled; their reports are 100 to 200 ms old.
-const POLL_MS: u64 = 80;
+const POLL_INTERVAL_MS: u64 = 80;
 /// The delay of the first poll after an order, a little less than the 0.9 s that a load takes.
 const FIRST_POLL_MS: u64 = 800;
 /// An order that its engine has not carried out within this time is dropped and may be sent again.
 const ORDER_TIMEOUT_MS: u64 = 2_600;
 /// The longest pause between two rounds without pending orders.
-const IDLE_MS: u64 = 1_000;
+const MAX_IDLE_PAUSE_MS: u64 = 1_000;
 
 #[derive(Debug, Clone)]
 struct SentOrder {
@@ -73,9 +73,9 @@
                 None => false,
             };
             if is_busy {
-                sleep_ms(POLL_MS).await;
+                sleep_ms(POLL_INTERVAL_MS).await;
             } else {
-                within_ms(IDLE_MS, select(named, round)).await;
+                within_ms(MAX_IDLE_PAUSE_MS, select(named, round)).await;
             }
         }
     }
@@ -239,7 +239,7 @@
             epoch = order.epoch, answer:? = answer;
             "load order issued to an engine"
         );
-        if let Ok(OrderAnswer::Rejected(_)) = answer {
+        if let Ok(OrderResponse::Rejected(_)) = answer {
             self.pending.borrow_mut().remove(&instance);
             self.parts.endpoints.on_load_done(&instance);
         }
--- a/crates/borageshore_gateway/src/peers.rs
+++ b/crates/borageshore_gateway/src/peers.rs
@@ -18,9 +18,9 @@
 /// The connect timeout; peers are a few ms away.
 const CONNECT_TIMEOUT_MS: u64 = 200;
 /// The time that a response may take beyond the wait that the caller asked for.
-const ANSWER_SLACK_MS: u64 = 600;
+const RESPONSE_SLACK_MS: u64 = 600;
 /// How long a peer that did not respond is avoided. Longer than it takes to detect its death, about a second.
-const AVOID_MS: u64 = 2_000;
+const AVOIDANCE_MS: u64 = 2_000;
 
 /// The time that a peer may take to write a submission to the store.
 const SUBMIT_TIMEOUT_MS: u64 = 1_000;
@@ -86,7 +86,7 @@
                 // The peer refused it, so no part of it runs.
                 Ok((StatusCode::SERVICE_UNAVAILABLE | StatusCode::UNAUTHORIZED, _))
                 | Err(CallError::NotSent(_)) => {}
-                Ok(_) | Err(CallError::NoAnswer(_) | CallError::Disconnected(_)) => {
+                Ok(_) | Err(CallError::NoResponse(_) | CallError::Disconnected(_)) => {
                     return SubmitOutcome::Unknown;
                 }
             }
@@ -124,7 +124,7 @@
         request.headers_mut().insert(forwarded, 1.into());
         let timeouts = Timeouts {
             connect_ms: CONNECT_TIMEOUT_MS,
-            first_byte_ms: wait_ms + ANSWER_SLACK_MS,
+            first_byte_ms: wait_ms + RESPONSE_SLACK_MS,
         };
         let called = self.http.call(address, request, timeouts).await;
         let (status, body) = called.inspect_err(|error| self.avoid(address, error))?;
@@ -135,7 +135,7 @@
 
     fn avoid(&self, address: &Arc<str>, error: &CallError) {
         log::info!(peer = &**address, error:% = error; "call to peer failed; avoiding it for a while");
-        let until_ms = self.clock.now_ms() + AVOID_MS;
+        let until_ms = self.clock.now_ms() + AVOIDANCE_MS;
         let mut avoided = self.avoided_until_ms.borrow_mut();
         avoided.insert(address.clone(), until_ms);
     }
--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -19,8 +19,8 @@
 use borageshore_net::{Clock, sleep_ms, within_ms};
 use borageshore_platform::KeyedRecord;
 use borageshore_routing::{
-    AbandonedAttempts, Crash, CrashEffect, CrashReport, CrashReports, Fingerprint,
-    Quarantine as Table, Verdict,
+    AbandonedAttempts, Crash, CrashEffect, CrashReport, CrashReports, Fingerprint, HoldDecision,
+    Quarantine as Table,
 };
 use bytes::Bytes;
 use tokio::sync::Notify;
@@ -32,7 +32,7 @@
     sent::SentRequest,
     trials::Permit,
 };
-use crate::{endpoints::Endpoints, follow::Fold, members::Members, store_transport::Store};
+use crate::{endpoints::Endpoints, follow::RecordView, members::Members, store_transport::Store};
 
 /// How long a caller waits for a trial claim to be stored and read back.
 const CLAIM_TIMEOUT_MS: u64 = 400;
@@ -126,9 +126,9 @@
     /// The daemon reports readiness without this wait, because other daemons wait for it to be ready after a stop of
     /// all daemons.
     async fn wait_until_known(&self) {
-        let left_ms = MAX_START_WAIT_MS.saturating_sub(self.clock.now_ms());
-        if !self.is_known.get() && left_ms > 0 {
-            within_ms(left_ms, self.became_known.notified()).await;
+        let remaining_ms = MAX_START_WAIT_MS.saturating_sub(self.clock.now_ms());
+        if !self.is_known.get() && remaining_ms > 0 {
+            within_ms(remaining_ms, self.became_known.notified()).await;
         }
     }
 
@@ -143,10 +143,10 @@
             return Ok(Permit { trial: None });
         }
         let content = content();
-        match self.verdict(&content) {
-            Verdict::Allowed => Ok(Permit { trial: None }),
-            Verdict::Held { retry_after_ms } => Err(Held { retry_after_ms }),
-            Verdict::TrialDue => self.claim(content).await,
+        match self.decision(&content) {
+            HoldDecision::Allowed => Ok(Permit { trial: None }),
+            HoldDecision::Held { retry_after_ms } => Err(Held { retry_after_ms }),
+            HoldDecision::TrialDue => self.claim(content).await,
         }
     }
 
@@ -156,10 +156,10 @@
         // Guards against a busy loop: a trial that cannot be claimed stays due.
         sleep_ms(held.retry_after_ms.min(CLAIM_TIMEOUT_MS).min(max_wait_ms)).await;
         loop {
-            let left_ms = until_ms.saturating_sub(self.clock.now_ms());
-            match self.verdict(&content) {
-                Verdict::Held { retry_after_ms } if left_ms > 0 => {
-                    within_ms(retry_after_ms.min(left_ms), self.changed.notified()).await;
+            let remaining_ms = until_ms.saturating_sub(self.clock.now_ms());
+            match self.decision(&content) {
+                HoldDecision::Held { retry_after_ms } if remaining_ms > 0 => {
+                    within_ms(retry_after_ms.min(remaining_ms), self.changed.notified()).await;
                 }
                 _ => return,
             }
@@ -171,7 +171,7 @@
     where
         Content: FnOnce() -> Fingerprint,
     {
-        self.table.borrow().is_empty() || self.verdict(&content()) == Verdict::Allowed
+        self.table.borrow().is_empty() || self.decision(&content()) == HoldDecision::Allowed
     }
 
     /// Watches for endpoints that end without notice; requests whose attempts were abandoned there shortly before are
@@ -220,11 +220,11 @@
             return;
         }
         let content = content();
-        let was_held = self.verdict(&content) != Verdict::Allowed;
+        let was_held = self.decision(&content) != HoldDecision::Allowed;
         let Some(mut crashes) = self.table.borrow_mut().on_success(&content) else {
             return;
         };
-        let unwritten = self.reports.borrow_mut().drop_content(&content);
+        let unwritten = self.reports.borrow_mut().remove_content(&content);
         let is_announced = |crash: &Crash| {
             let announced = self.announced_to_peers.borrow();
             let mut announced = announced.iter().filter(|report| report.content == content);
@@ -264,8 +264,8 @@
         self.start_unix_ms + self.clock.now_ms()
     }
 
-    fn verdict(&self, content: &Fingerprint) -> Verdict {
-        self.table.borrow().verdict(content, self.unix_ms())
+    fn decision(&self, content: &Fingerprint) -> HoldDecision {
+        self.table.borrow().decision(content, self.unix_ms())
     }
 
     fn on_crash(&self, report: CrashReport) -> CrashEffect {
@@ -276,7 +276,7 @@
         let effect = self.table.borrow_mut().on_crash(content, crash);
         if effect == CrashEffect::Held {
             let crashes = self.table.borrow().crashes(&content);
-            log::warn!(content:%, instance = &*instance, crashes, verdict:? = self.verdict(&content); "request held back for crashing endpoints");
+            log::warn!(content:%, instance = &*instance, crashes, verdict:? = self.decision(&content); "request held back for crashing endpoints");
             self.instruments.count("quarantine", "held");
         }
         if effect != CrashEffect::Known {
@@ -323,12 +323,12 @@
 
     /// Applies a clearance from another daemon; returns whether the request was suspected here.
     fn clear(&self, content: &Fingerprint) -> bool {
-        self.reports.borrow_mut().drop_content(content);
+        self.reports.borrow_mut().remove_content(content);
         self.table.borrow_mut().on_success(content).is_some()
     }
 }
 
-impl Fold for Quarantine {
+impl RecordView for Quarantine {
     fn apply(&self, records: &[KeyedRecord]) {
         if self.has_gap.take() {
             // Keys that were removed during the gap are missing from the newest records.
--- a/crates/borageshore_gateway/src/quarantine/sent.rs
+++ b/crates/borageshore_gateway/src/quarantine/sent.rs
@@ -84,7 +84,7 @@
                 self.quarantine
                     .on_broken(content, &self.instance, self.trial.is_some());
             }
-            AttemptError::Lost(_) => self.record_abandoned(),
+            AttemptError::Unknown(_) => self.record_abandoned(),
             AttemptError::NotSent(_) | AttemptError::Refused { .. } => {}
         }
     }
--- a/crates/borageshore_gateway/src/rewards.rs
+++ b/crates/borageshore_gateway/src/rewards.rs
@@ -98,12 +98,12 @@
             let permit = match quarantine.admit(|| scoring.content()).await {
                 Ok(permit) => permit,
                 Err(held) => {
-                    let left_ms = give_up_ms.saturating_sub(self.parts.clock.now_ms());
-                    if left_ms == 0 {
+                    let remaining_ms = give_up_ms.saturating_sub(self.parts.clock.now_ms());
+                    if remaining_ms == 0 {
                         return Reward::Failed;
                     }
                     log::info!(call = &*call.id, content:% = scoring.content(), again_ms = held.retry_after_ms; "reward call waits: its request is held back for crashing endpoints");
-                    quarantine.wait(scoring.content(), held, left_ms).await;
+                    quarantine.wait(scoring.content(), held, remaining_ms).await;
                     continue;
                 }
             };
@@ -182,7 +182,7 @@
         }
     }
 
-    async fn slot(&self, service: &Arc<str>) -> Slot<'_> {
+    async fn slot(&self, service: &Arc<str>) -> RewardSlot<'_> {
         loop {
             let slot_freed = self.slot_freed.notified();
             if let Some(slot) = self.try_slot(service) {
@@ -192,7 +192,7 @@
         }
     }
 
-    fn try_slot(&self, service: &Arc<str>) -> Option<Slot<'_>> {
+    fn try_slot(&self, service: &Arc<str>) -> Option<RewardSlot<'_>> {
         let limit = (self.parts.endpoints.slots_of(service) * SLOTS_PERCENT / 100).max(1);
         let mut in_flight = self.in_flight.borrow_mut();
         let count = in_flight.get_or_insert_with(service.clone(), || 0);
@@ -200,7 +200,7 @@
             return None;
         }
         *count += 1;
-        Some(Slot {
+        Some(RewardSlot {
             rewards: self,
             service: service.clone(),
         })
@@ -208,12 +208,12 @@
 }
 
 /// A slot of a service, released on drop.
-struct Slot<'r> {
+struct RewardSlot<'r> {
     rewards: &'r Rewards,
     service: Arc<str>,
 }
 
-impl Drop for Slot<'_> {
+impl Drop for RewardSlot<'_> {
     fn drop(&mut self) {
         if let Some(count) = self.rewards.in_flight.borrow_mut().get_mut(&self.service) {
             *count -= 1;
--- a/crates/borageshore_gateway/src/submissions.rs
+++ b/crates/borageshore_gateway/src/submissions.rs
@@ -75,7 +75,7 @@
             log::info!(submission = &*id; "submission accepted before");
             return accepted_response();
         }
-        let started_ms = self.clock.now_ms();
+        let started_at_ms = self.clock.now_ms();
         let items = submission.items.len();
         let slots = self.endpoints.slots_of(service);
         let indexed = self.index.add(&submission, service, slots).await;
@@ -86,7 +86,7 @@
         };
         match appended {
             Ok(()) => {
-                let took_ms = self.clock.now_ms() - started_ms;
+                let took_ms = self.clock.now_ms() - started_at_ms;
                 self.instruments.count("submission", "accepted");
                 self.instruments.record_ms("accept", took_ms);
                 log::info!(submission = &*id, items, took_ms; "submission accepted");
@@ -103,7 +103,7 @@
         log::warn!(submission = id, error:% = error; "submission not accepted");
         self.instruments.count("submission", "not_accepted");
         match error {
-            StoreError::Uncertain(why) => {
+            StoreError::Unknown(why) => {
                 let fault = Fault::new(ResultCode::AcceptanceUnknown, why.clone());
                 refusal(&fault, None)
             }
@@ -251,7 +251,7 @@
             Err(error) => {
                 log::warn!(submission = &**id, error:% = error; "submission not ended");
                 match error {
-                    StoreError::Uncertain(_) => {
+                    StoreError::Unknown(_) => {
                         refusal(&Fault::new(ResultCode::EndUnknown, &**id), None)
                     }
                     _ => view_too_old(id),
--- a/crates/borageshore_gateway/src/usage/records.rs
+++ b/crates/borageshore_gateway/src/usage/records.rs
@@ -52,7 +52,7 @@
     taken: Vec<u64>,
 }
 
-/// The state of reports, folded from their announcements.
+/// The state of reports according to their announcements.
 #[derive(Debug, Default)]
 pub(crate) struct UsageReports {
     reports: RefCell<Reports>,
@@ -82,7 +82,7 @@
     pub(crate) fn on_removed(&self, key: &str) {
         let number = key.strip_prefix(REPORT_PREFIX);
         if let Some(window) = number.and_then(|number| number.parse().ok()) {
-            self.reports.borrow_mut().forget(Window(window));
+            self.reports.borrow_mut().remove(Window(window));
         }
     }
 
--- a/crates/borageshore_routing/src/quarantine.rs
+++ b/crates/borageshore_routing/src/quarantine.rs
@@ -21,10 +21,10 @@
 /// that keeps crashing endpoints to one trial a day.
 const HOLD_STEPS_MS: [u64; 6] = [1_000, 10_000, 600_000, HOUR_MS, 6 * HOUR_MS, 24 * HOUR_MS];
 const HOUR_MS: u64 = 3_600_000;
-/// Time after the last crash at which a suspected request is forgotten. Callers repeat a failed request
+/// Time after the last crash at which a suspicion expires. Callers repeat a failed request
 /// within minutes.
 const SUSPICION_MS: u64 = HOUR_MS;
-/// Time after the end of its hold at which a held request that was not sent again is forgotten. The software that it
+/// Time after the end of its hold at which the entry of a request that was not sent again expires. The software that it
 /// crashed is assumed to be replaced by then.
 const HELD_RETENTION_MS: u64 = 24 * HOUR_MS;
 /// Time after which a trial without a result is over. Longer than any call may take.
@@ -55,7 +55,7 @@
 
 /// Whether a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum HoldDecision {
     /// It may be sent.
     Allowed,
     /// It is held and may not be sent.
@@ -83,7 +83,7 @@
     /// The crashes of different endpoints since the last success.
     crashes: Vec<Crash>,
     trials: u64,
-    /// When the last trial began or ended.
+    /// When the last trial started or ended.
     last_trial_ms: u64,
     /// The earliest time of the next trial.
     no_trial_before_ms: u64,
@@ -133,8 +133,8 @@
 struct Trial {
     content: Fingerprint,
     claim: Arc<str>,
-    began_ms: u64,
-    /// When the trial before this one began or ended.
+    started_at_ms: u64,
+    /// When the trial before this one started or ended.
     previous_trial_ms: u64,
 }
 
@@ -197,21 +197,21 @@
     }
 
     /// Returns whether a request may be sent now.
-    pub fn verdict(&self, content: &Fingerprint, now_ms: u64) -> Verdict {
+    pub fn decision(&self, content: &Fingerprint, now_ms: u64) -> HoldDecision {
         let entry = self.entries.get(content);
         let held_until_ms =
             entry.map(|entry| entry.held_until_ms(self.shared_trials(content, entry)));
         let Some(until_ms) = held_until_ms.flatten() else {
-            return Verdict::Allowed;
+            return HoldDecision::Allowed;
         };
         // A trial in progress, also that of another request, delays all others.
         let trial = self
             .trial
             .as_ref()
-            .map_or(0, |trial| trial.began_ms + TRIAL_TIMEOUT_MS);
+            .map_or(0, |trial| trial.started_at_ms + TRIAL_TIMEOUT_MS);
         match until_ms.max(trial).checked_sub(now_ms) {
-            Some(retry_after_ms) if retry_after_ms > 0 => Verdict::Held { retry_after_ms },
-            _ => Verdict::TrialDue,
+            Some(retry_after_ms) if retry_after_ms > 0 => HoldDecision::Held { retry_after_ms },
+            _ => HoldDecision::TrialDue,
         }
     }
 
@@ -223,14 +223,14 @@
 
     /// Records that a daemon claims trial `number` of a request. The first of several claims wins.
     pub fn on_claim(&mut self, content: Fingerprint, claim: Arc<str>, number: u64, now_ms: u64) {
-        if self.verdict(&content, now_ms) != Verdict::TrialDue {
+        if self.decision(&content, now_ms) != HoldDecision::TrialDue {
             return;
         }
         let entry = self.entries.get(&content);
         self.trial = Some(Trial {
             content,
             claim,
-            began_ms: now_ms,
+            started_at_ms: now_ms,
             previous_trial_ms: entry.map_or(0, |entry| entry.last_trial_ms),
         });
         self.count_trial(&content, number, now_ms);
--- a/crates/borageshore_soak/src/traffic.rs
+++ b/crates/borageshore_soak/src/traffic.rs
@@ -194,7 +194,7 @@
                 Ok((head.status, body.to_bytes()))
             }
             Some(Err(error)) => Err(response_body_error(&error)),
-            None => Err(CallError::NoAnswer("the response body timed out".into())),
+            None => Err(CallError::NoResponse("the response body timed out".into())),
         }
     }
 
--- a/crates/borageshore_usage/tests/usage.rs
+++ b/crates/borageshore_usage/tests/usage.rs
@@ -34,9 +34,9 @@
     // Guards against underbilling when the store applies a daemon's older total after a newer one.
     a_total_that_comes_late_takes_nothing_back => {
         let mut totals = Totals::default();
-        let author: Arc<str> = "vm-1.5".into();
-        totals.merge(Window(3), &author, &counts(&[("mill", 7), ("farm", 1)]));
-        totals.merge(Window(3), &author, &counts(&[("mill", 5)]));
+        let incarnation: Arc<str> = "vm-1.5".into();
+        totals.merge(Window(3), &incarnation, &counts(&[("mill", 7), ("farm", 1)]));
+        totals.merge(Window(3), &incarnation, &counts(&[("mill", 5)]));
         totals.merge(Window(3), &"vm-1.6".into(), &counts(&[("mill", 2)]));
         assert_eq!(listed(&totals.window_total(Window(3))), [("farm".into(), 1), ("mill".into(), 9)]);
         assert!(totals.window_total(Window(4)).is_empty());
@@ -52,7 +52,7 @@
         let again = own.take_dirty();
         assert_eq!(again.len(), 1);
         assert_eq!(again[0].1.get("mill"), Some(&2));
-        own.forget_before(Window(4));
+        own.expire_before(Window(4));
         own.mark_dirty([Window(3)]);
         assert!(!own.is_dirty());
     }
@@ -87,7 +87,7 @@
     }
 
     // Guards against unbounded memory in daemons that only read the reports of another holder.
-    a_report_is_forgotten_once_its_record_is_removed => {
+    a_report_is_removed_with_its_record => {
         let mut reports = Reports::default();
         for window in 1..=3 {
             reports.on_finalized(Window(window), &counts(&[("mill", 1)]));
@@ -95,7 +95,7 @@
         }
         let old = reports.windows_before(Window(3));
         assert_eq!(old, [Window(1), Window(2)]);
-        old.into_iter().for_each(|window| reports.forget(window));
+        old.into_iter().for_each(|window| reports.remove(window));
         assert_eq!(reports.accepted_from(Window(0)), [Window(3)]);
         assert!(reports.windows_before(Window(3)).is_empty());
     }
@@ -114,15 +114,15 @@
                     incarnations[incarnation].add(Window(1), &"mill".into(), u64::from(*count));
                     unpublished[incarnation] += u64::from(*count);
                 } else {
-                    let author: Arc<str> = format!("vm.{incarnation}").into();
+                    let name: Arc<str> = format!("vm.{incarnation}").into();
                     let totals = incarnations[incarnation].take_dirty();
-                    records.extend(totals.into_iter().map(|(window, counts)| (window, author.clone(), counts)));
+                    records.extend(totals.into_iter().map(|(window, counts)| (window, name.clone(), counts)));
                     published += std::mem::take(&mut unpublished[incarnation]);
                 }
             }
             let mut totals = Totals::default();
-            for (window, author, counts) in records.iter().chain(records.iter().rev()) {
-                totals.merge(*window, author, counts);
+            for (window, name, counts) in records.iter().chain(records.iter().rev()) {
+                totals.merge(*window, name, counts);
             }
             assert_eq!(totals.window_total(Window(1)).get("mill").copied().unwrap_or(0), published);
         });
