--- a/crates/borageshore_daemon/src/addresses.rs
+++ b/crates/borageshore_daemon/src/addresses.rs
@@ -19,9 +19,8 @@
 
 /// The address list for a caller, as JSON.
 ///
-/// Guards against keys that outlive their daemon: a caller may ask a draining daemon for its next
-/// list. With that daemon's own key prefix, its calls would end with an unknown outcome once the
-/// daemon has stopped, so a draining daemon returns the list of a peer instead.
+/// A draining daemon returns the list of a peer: with the key prefix of the draining daemon, calls
+/// that the caller makes after the daemon has stopped would end with an unknown outcome.
 pub(crate) async fn for_caller(daemon: &Rc<Daemon>, caller: &str) -> String {
     if daemon.phase() != Phase::Draining {
         return local_address_list(daemon, caller);
--- a/crates/borageshore_daemon/src/admin.rs
+++ b/crates/borageshore_daemon/src/admin.rs
@@ -20,10 +20,10 @@
     jobs,
 };
 
-/// Timeout for the verdict on a settings change; its outcome is then reported as unknown.
+/// Timeout for the verdict on a settings change, after which its outcome is reported as unknown.
 const VERDICT_TIMEOUT_MS: u64 = 15_000;
 const VERDICT_POLL_MS: u64 = 100;
-/// Attempts to publish a weights version when concurrent changes cause revision conflicts.
+/// Attempts to publish a weight version when concurrent changes cause revision conflicts.
 const PUBLISH_ATTEMPTS: u32 = 5;
 
 /// The token of the `authorization: Bearer` header, or an empty slice if there is none.
@@ -66,8 +66,8 @@
     }
 }
 
-/// Lists the values set at each node. Unset ones are included, since setting them again needs
-/// their revision.
+/// Lists the keys of each node with their values. Unset keys are included, since setting them again
+/// requires their revision.
 fn get_settings(daemon: &Daemon) -> Answer {
     let nodes = daemon.settings.with_fold(|fold| {
         let tree = fold.tree();
@@ -137,8 +137,8 @@
     Answer::json(&entries)
 }
 
-/// Appends a change and waits for the verdict of the fold; a change that was only sent is not
-/// reported as accepted.
+/// Appends a change and waits until the fold accepts or rejects it, since an appended change can
+/// still be rejected.
 async fn change_settings(daemon: &Rc<Daemon>, change: SettingsChange) -> Answer {
     if let Err(fault) = daemon.settings.with_fold(|fold| fold.check(&change)) {
         return Answer::fault(&fault, Outcome::NotRun);
@@ -173,7 +173,7 @@
     ))
 }
 
-/// Sets the target weights version of a job, unless the current target is the same or newer.
+/// Sets the target weight version of a job, unless the current target is the same or newer.
 pub(crate) async fn publish_weights(daemon: &Rc<Daemon>, job: &str, version: u64) -> Answer {
     let is_job = daemon
         .settings
--- a/crates/borageshore_daemon/src/calls.rs
+++ b/crates/borageshore_daemon/src/calls.rs
@@ -82,7 +82,7 @@
     forward(daemon, &call, &prefix).await
 }
 
-/// Runs a call whose key this incarnation owns, or returns the answer of its earlier run.
+/// Runs a call whose key this incarnation owns, or returns the answer of an earlier run.
 async fn run_once(daemon: &Rc<Daemon>, call: &ServiceCall, prefix: &KeyPrefix) -> CallAnswer {
     loop {
         let decision = daemon
@@ -261,7 +261,7 @@
     }
 }
 
-/// Runs a call at an endpoint and retries at others where a repetition is safe.
+/// Runs a call at an endpoint and retries it at others if repeating it is safe.
 async fn run(daemon: &Rc<Daemon>, call: &ServiceCall) -> CallAnswer {
     let request = AdmissionRequest {
         node: call.node.clone(),
--- a/crates/borageshore_daemon/src/control.rs
+++ b/crates/borageshore_daemon/src/control.rs
@@ -27,12 +27,12 @@
 const REPORT_MAX_AGE_MS: u64 = 1_000;
 /// Interval at which load reports are requested.
 const REPORT_TICK_MS: u64 = 500;
-/// Report requests per tick. Bounds the load, which must not grow with the number of endpoints;
-/// busy endpoints attach reports to their answers.
+/// Maximum number of report requests per tick, so that the load does not grow with the number of
+/// endpoints; busy endpoints attach reports to their answers.
 const REPORTS_PER_TICK: usize = 4;
-/// Daemons of a zone that observe the same endpoint of a large deployment.
+/// Number of daemons in a zone that observe each endpoint of a large deployment.
 const OBSERVERS_PER_ENDPOINT: usize = 8;
-/// Daemons that may claim a shard, in rendezvous order; the others do not compete for it.
+/// Number of daemons, the first in rendezvous order, that may claim a shard.
 const CANDIDATES_PER_SHARD: usize = 4;
 
 /// Starts all control tasks.
@@ -57,8 +57,8 @@
     monoio::spawn(swaps::swap_loop(daemon.clone()));
 }
 
-/// Selects where to read a stream from, by the relay tree of the zone; after a failure without peers
-/// in the zone, by the tree of all zones.
+/// Selects where to read a stream from, by the relay tree of the zone. After a failed read, a daemon
+/// without peers in its zone uses the tree of all zones.
 fn stream_source(daemon: &Daemon, failures: u32) -> Source {
     let membership = daemon.membership.borrow();
     let now_ms = daemon.now_ms();
@@ -311,8 +311,8 @@
     }
 }
 
-/// Proposes due snapshots if this daemon is first in rendezvous order, so that a snapshot precedes
-/// every record that the log's retention keeps.
+/// Proposes due snapshots if this daemon is first in rendezvous order. Followers need a snapshot
+/// once the log's retention has removed the oldest records.
 fn snapshot_if_due(daemon: &Rc<Daemon>) {
     let membership = daemon.membership.borrow();
     let names = membership.usable(daemon.now_ms()).map(|entry| &*entry.name);
--- a/crates/borageshore_daemon/src/edge/generate.rs
+++ b/crates/borageshore_daemon/src/edge/generate.rs
@@ -193,7 +193,7 @@
                         detail: &failure.fault.detail,
                     };
                     let _ = self.write(&line).await;
-                    // Without this, the body would end as if it were complete.
+                    // Without an abort, the truncated body would look complete to the caller.
                     self.sender.abort(std::io::Error::other(
                         "generation failed after the response had started",
                     ));
--- a/crates/borageshore_daemon/src/generation.rs
+++ b/crates/borageshore_daemon/src/generation.rs
@@ -58,7 +58,7 @@
     fn on_restart(&mut self);
 }
 
-/// The reader of the answer is gone.
+/// The error of a sink that accepts no more tokens.
 #[derive(Debug)]
 pub(crate) struct SinkClosed;
 
@@ -77,8 +77,8 @@
     Failed(CallError),
 }
 
-/// Generates the complete answer; after a failed attempt, another engine resumes after the last
-/// valid token.
+/// Generates the complete answer; after a failed attempt, the next one resumes after the last valid
+/// token.
 pub(crate) async fn generate<Sink>(
     daemon: &Rc<Daemon>,
     generation: &Generation,
@@ -291,8 +291,8 @@
 
 /// Processes one chunk; returns how the attempt ended, or `None` if it continues.
 ///
-/// Guards against late and misrouted chunks: one of another request, or with an unexpected index,
-/// is dropped and counted, and never becomes part of this answer.
+/// Guards against late and misrouted chunks: a chunk of another request, or one with an unexpected
+/// index, is dropped and counted.
 async fn on_chunk<Sink>(
     daemon: &Daemon,
     generation: &Generation,
--- a/crates/borageshore_daemon/src/jobs.rs
+++ b/crates/borageshore_daemon/src/jobs.rs
@@ -174,8 +174,8 @@
         });
 }
 
-/// Returns the target version and the oldest version still served; starts a watch of the engines for
-/// a new target.
+/// Returns the target version and the oldest version still served; starts a task that watches the
+/// engines when the target increases.
 fn watched_versions(daemon: &Rc<Daemon>, runtime: &Rc<JobRuntime>) -> WeightVersions {
     let target = daemon.setting(&runtime.job, "weights_version");
     let previous = runtime.versions.get();
@@ -185,7 +185,7 @@
         monoio::spawn(async move {
             let on_version = |oldest_served| {
                 let current = runtime.versions.get();
-                // Ignores the watch of a previous target.
+                // Ignores a watch of an earlier target.
                 if current.target == target {
                     runtime.versions.set(WeightVersions {
                         oldest_served,
--- a/crates/borageshore_daemon/src/lib.rs
+++ b/crates/borageshore_daemon/src/lib.rs
@@ -1,4 +1,5 @@
-//! The daemon: an event loop that connects the decision crates to sockets, timers and the platform.
+//! The daemon: an event loop that connects the crates with the decision logic to sockets, timers and
+//! the platform.
 //!
 //! [`Daemon::spawn`] returns a running daemon; [`Daemon::run_until_stopped`] completes after its
 //! graceful stop. Each module under `platform` is the client of one external system, so that a change
--- a/crates/borageshore_daemon/src/stream.rs
+++ b/crates/borageshore_daemon/src/stream.rs
@@ -123,7 +123,7 @@
         self.proposer.borrow().is_pending(sequence)
     }
 
-    /// Waits until records were applied, but at most `timeout_ms`.
+    /// Waits until records are applied, but at most `timeout_ms`.
     pub(crate) async fn wait_progress(&self, timeout_ms: u64) {
         within_ms(timeout_ms, self.progressed.notified()).await;
     }
@@ -216,7 +216,7 @@
         if self.offsets().0 <= from_offset {
             self.wait_progress(request.wait_ms.clamp(0, FOLLOW_WAIT_MS as i64) as u64)
                 .await;
-            // Batches records that arrive shortly after each other.
+            // Collects records that arrive shortly after each other into one reply.
             sleep_ms(RELAY_BATCH_MS).await;
         }
         let (applied, _) = self.offsets();
--- a/crates/borageshore_daemon/src/swaps.rs
+++ b/crates/borageshore_daemon/src/swaps.rs
@@ -18,7 +18,8 @@
 const SWAPPING_TICK_MS: u64 = 20;
 /// Interval at which the owner of a job reads the versions of its engines during a swap.
 const WATCH_TICK_MS: u64 = 50;
-/// Timeout of that watch; generation ahead is then no longer limited by engines that are behind.
+/// Timeout of that watch, after which samples for later steps are generated even if engines are
+/// behind.
 const WATCH_TIMEOUT_MS: u64 = 5_000;
 
 /// Name of the lease shard of a service's weights.
@@ -26,7 +27,7 @@
     format!("weights/{service}").into()
 }
 
-/// The weights version of a job that its service's engines should load.
+/// The weight version of a job that its service's engines should load.
 #[derive(Debug, Clone)]
 struct Target {
     job: Arc<str>,
--- a/crates/borageshore_daemon/tests/streams.rs
+++ b/crates/borageshore_daemon/tests/streams.rs
@@ -130,8 +130,8 @@
         }
     };
 
-    // An engine stops sending while its connections stay open. The chunk timeout detects it, and
-    // the other engine completes the answer from the last received token on.
+    // An engine stops sending while its connections stay open. The chunk timeout detects this, and
+    // the other engine resumes after the last received token.
     stalled_engine_is_left: |fixture| {
         fixture.switch(0, EngineSwitches { stall_ms: 60_000, ..EngineSwitches::default() }).await;
         for number in 0..6 {
