--- a/crates/borageshore_rollout/src/controller.rs
+++ b/crates/borageshore_rollout/src/controller.rs
@@ -1,4 +1,4 @@
-//! The owner's side of a job: which samples to generate and which to deliver.
+//! The controller of a job, run by its owner: selects the samples to generate and to deliver.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 const STRAGGLER_MIN_MS: u64 = 1_000;
 /// The straggler threshold as a multiple of the job's 95th percentile of durations.
 const STRAGGLER_FACTOR: u64 = 2;
-/// The number of durations from which the percentile is used.
+/// The minimum number of recorded durations for the percentile to be used.
 const STRAGGLER_MIN_DURATIONS: u64 = 20;
 /// The maximum number of attempts that run for one sample at once.
 const MAX_CONCURRENT_ATTEMPTS: u32 = 2;
@@ -45,10 +45,10 @@
     pub oldest_served: u64,
 }
 
-/// An attempt at a sample, to be started.
+/// An order to start an attempt at a sample.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SampleOrder {
-    /// The name of the sample.
+    /// The id of the sample.
     pub id: Arc<str>,
     /// The group of the sample.
     pub group: u64,
@@ -61,7 +61,7 @@
 pub enum PullDecision {
     /// Deliver these samples.
     Deliver(Delivery),
-    /// Append this to the ledger and call again once it is folded.
+    /// Append this to the ledger and call again once it is applied.
     Append(LedgerRecord),
     /// Call again later: no complete group is ready, or a ledger record is still pending.
     Wait,
@@ -74,7 +74,7 @@
 pub struct JobCounts {
     /// Samples generated.
     pub generated: u64,
-    /// Samples that were finished again or are no longer needed.
+    /// Results dropped because their sample had already finished or is no longer needed.
     pub repeated: u64,
     /// Samples dropped because of the staleness bound.
     pub stale: u64,
@@ -120,7 +120,7 @@
     groups: SortedMap<u64, Group>,
     /// Numbered samples that the trainer has not confirmed, by number.
     unconfirmed: SortedMap<u64, FinishedSample>,
-    /// Samples whose numbers are not folded from the ledger yet.
+    /// Samples whose number assignment has not been applied to the ledger yet.
     assigning: SortedMap<Arc<str>, FinishedSample>,
     durations_ms: Histogram<u64>,
     counts: JobCounts,
@@ -130,7 +130,7 @@
 }
 
 impl JobController {
-    /// Opens a controller for an accepted claim. Sample names begin with `id_prefix` and `epoch`, a
+    /// Opens a controller for an accepted claim. Sample ids begin with `id_prefix` and `epoch`, a
     /// combination that must never have been used before.
     pub fn open(id_prefix: Arc<str>, epoch: u64) -> Self {
         Self {
@@ -324,7 +324,7 @@
         pull: PullView,
         now_ms: u64,
     ) -> PullDecision {
-        // A pull may follow a publication before the next tick; its samples count after the publication.
+        // If no tick has processed a publication yet, it still counts as earlier than the samples of this pull.
         self.cadence.on_target_version(pull.target_version, plan);
         if pull.seen_epoch > self.epoch {
             return PullDecision::Refuse(ResultCode::StaleEpoch);
@@ -474,7 +474,7 @@
     }
 }
 
-/// The number of steps between the trainer's last two publications of weights, to predict the next ones.
+/// Predicts publications of weights from the number of steps between the trainer's last two.
 #[derive(Debug, Default)]
 struct Cadence {
     target_version: u64,
--- a/crates/borageshore_rollout/src/ledger.rs
+++ b/crates/borageshore_rollout/src/ledger.rs
@@ -23,7 +23,7 @@
         confirmed: u64,
         /// The number of the first sample; the others are consecutive.
         first_number: u64,
-        /// The names of the samples, in order.
+        /// The ids of the samples, in order.
         sample_ids: Vec<Arc<str>>,
     },
     /// The state before an offset.
@@ -65,9 +65,10 @@
         assigned.filter(move |(number, _)| *number > cursor)
     }
 
-    /// Guards against an owner that lost its lease during a pause and still assigns numbers: its epoch
-    /// is lower than its successor's and its first number may already be assigned, so every fold
-    /// ignores the record and the old owner never sees it applied.
+    /// Assigns consecutive numbers to samples.
+    ///
+    /// Guards against an owner that lost its lease during a pause and still assigns numbers: a record
+    /// with another epoch, or whose first number is not the next one, is ignored.
     fn assign(&mut self, epoch: u64, confirmed: u64, first_number: u64, sample_ids: &[Arc<str>]) {
         if epoch != self.epoch || first_number != self.last_number + 1 {
             return;
--- a/crates/borageshore_rollout/src/sample.rs
+++ b/crates/borageshore_rollout/src/sample.rs
@@ -16,7 +16,7 @@
 /// A finished sample.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Sample {
-    /// The name of the sample, unique over all owners of the job.
+    /// The id of the sample, unique over all owners of the job.
     pub id: Arc<str>,
     /// The group, whose samples share one prompt.
     pub group: u64,
--- a/crates/borageshore_rollout/src/swap.rs
+++ b/crates/borageshore_rollout/src/swap.rs
@@ -22,7 +22,7 @@
     pub minimum_serving_percent: u64,
 }
 
-/// Selects the replicas to order to the target version now, oldest version first.
+/// Selects the replicas to order to load the target version now, oldest version first.
 ///
 /// Level-triggered: the plan depends only on reported state, so a replica whose order was lost, refused
 /// or interrupted still reports an old version and is ordered again.
