--- a/crates/borageshore_lease/src/agent.rs
+++ b/crates/borageshore_lease/src/agent.rs
@@ -9,7 +9,7 @@
 
 /// The largest difference between the rates of two clocks, in percent.
 const CLOCK_RATE_BOUND_PERCENT: u64 = 2;
-/// The part of the margin that covers late timers, whatever the TTL.
+/// The constant part of the margin, which covers late timers.
 const MARGIN_FLOOR_MS: u64 = 100;
 /// How often a lease is renewed within one TTL.
 const RENEWALS_PER_TTL: u64 = 3;
@@ -18,7 +18,7 @@
 /// A longer gap between two answers of the log counts as an outage. Exceeds the poll interval of an
 /// idle log, also when it is read through a relay.
 const CONTACT_GAP_MS: u64 = 2_500;
-/// A claim that has not come back from the log after this time is sent again.
+/// A claim that has not been read back from the log after this time is proposed again.
 const CLAIM_RETRY_MS: u64 = 3_000;
 
 /// The safety margin of a lease: the holder stops this long before the TTL ends, and a successor waits
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Starts the TTL of sessions that were restored from a snapshot, so that their renewals were not read.
+    /// Starts the TTL of sessions restored from a snapshot, whose renewals were not read.
     fn track_sessions(&mut self, table: &LeaseTable, now_ms: u64) {
         for (name, session) in table.sessions() {
             let offset = session.renewed_offset;
--- a/crates/borageshore_lease/src/lib.rs
+++ b/crates/borageshore_lease/src/lib.rs
@@ -1,7 +1,7 @@
 //! Leases on shards of work, with epochs as fencing tokens.
 //!
 //! Records of the `leases` stream are folded into a [`LeaseTable`]. A shard's epoch follows from the
-//! offset of the accepted claim and is the fencing token of all that its owner orders. A
+//! offset of the accepted claim and is the fencing token in the orders of its owner. A
 //! [`LeaseAgent`] in each daemon decides when to renew, when to claim and whether the daemon may act.
 //!
 //! ```
