--- a/crates/borageshore_settings/src/change.rs
+++ b/crates/borageshore_settings/src/change.rs
@@ -36,7 +36,7 @@
 pub enum SettingsRecord {
     /// A proposed change.
     Change(SettingsChange),
-    /// The state below an offset, for readers that start after the oldest records were removed.
+    /// The state before an offset, for readers that start after the oldest records were removed.
     Snapshot {
         /// The first offset that the snapshot does not cover.
         next_offset: u64,
--- a/crates/borageshore_settings/src/fold.rs
+++ b/crates/borageshore_settings/src/fold.rs
@@ -19,7 +19,7 @@
 const MAX_SNAPSHOT_AUDIT_ENTRIES: usize = 50;
 /// How long an unset key is kept, so that a change concurrent with the unset is rejected.
 const UNSET_TTL_MS: u64 = 86_400_000;
-/// The number of records between two expiries of unset keys.
+/// The number of records between two removals of expired unset keys.
 const EXPIRY_INTERVAL_RECORDS: u64 = 1_024;
 
 /// A serializable copy of the state of a [`SettingsFold`].
--- a/crates/borageshore_settings/src/validate.rs
+++ b/crates/borageshore_settings/src/validate.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// Keys that other nodes inherit from or refer to, so that an edit can invalidate those nodes.
+/// Keys whose edits can invalidate other nodes, which inherit from the edited node or refer to it.
 const STRUCTURAL_KEYS: &[&str] = &["kind", "parent", "scorer", "service"];
 
 /// Checks the nodes that a set of edits can have made invalid.
