--- a/crates/borageshore_access/src/decision.rs
+++ b/crates/borageshore_access/src/decision.rs
@@ -7,7 +7,7 @@
     organisations::{Organisation, Organisations},
 };
 
-/// Requests are denied only from a view that was requested within this time, so that a daemon with an older view does
+/// Requests are denied only by a view that was requested within this time, so that a daemon with an older view does
 /// not refuse a key that was just added.
 const MAX_DENIAL_AGE_MS: u64 = 300;
 
--- a/crates/borageshore_diagnostics/tests/rate_limit.rs
+++ b/crates/borageshore_diagnostics/tests/rate_limit.rs
@@ -8,7 +8,7 @@
         .count()
 }
 
-// A flood of failures must not flood the log; the next line written has the number of dropped ones.
+// Guards against a flood of log lines when many requests fail; the next written line has the number of dropped ones.
 #[test]
 fn a_flood_is_cut_and_counted() {
     let mut limiter = LogRateLimiter::default();
--- a/crates/borageshore_log/src/envelope.rs
+++ b/crates/borageshore_log/src/envelope.rs
@@ -11,7 +11,7 @@
 /// later.
 const WRITER_TTL_MS: u64 = 3_600_000;
 
-/// The number of admitted records between two expiries of inactive writers.
+/// The number of admitted records between two removals of inactive writers.
 const EXPIRY_INTERVAL_RECORDS: u64 = 1_024;
 
 /// A record body with the writer and sequence number that identify it.
@@ -21,7 +21,7 @@
     pub writer: Arc<str>,
     /// The writer's record number in this stream, from 1 without gaps.
     pub sequence: u64,
-    /// The proposal.
+    /// The content of the record.
     pub body: Body,
 }
 
--- a/crates/borageshore_log/src/proposer.rs
+++ b/crates/borageshore_log/src/proposer.rs
@@ -35,8 +35,8 @@
 enum Phase {
     Ready,
     InFlight,
-    /// The append's response was lost. Once the log is read up to `end_offset`, the first end seen
-    /// after the loss, the record has either been seen or is appended again.
+    /// The append's response was lost. `end_offset` is the first end of the log seen after that; once
+    /// the log is read up to it, records that were not found are appended again.
     AwaitingOutcome {
         end_offset: Option<u64>,
     },
