--- a/crates/borageshore_log/src/follower.rs
+++ b/crates/borageshore_log/src/follower.rs
@@ -42,7 +42,7 @@
 ///
 /// If the oldest records were removed, it buffers the records it reads until one contains a snapshot
 /// that covers the missing ones. Records that are read twice are skipped, so the state never goes
-/// back. After a gap it enters `Searching`, and its daemon is not ready meanwhile.
+/// back. After a gap it enters `Searching`; a starting daemon does not become ready meanwhile.
 #[derive(Debug)]
 pub struct Follower<State> {
     fold: State,
