--- a/crates/borageshore_lease/src/table.rs
+++ b/crates/borageshore_lease/src/table.rs
@@ -135,7 +135,7 @@
     /// Accepts a claim only if the shard's state is the one that the claimant observed.
     ///
     /// Guards against claims based on stale state: a newer renewal changes `renewed_offset`, and a
-    /// concurrent claim changes the epoch. The log's order decides, so all replicas agree.
+    /// concurrent claim changes the epoch. The log's order decides, so all daemons agree.
     fn claim(&mut self, session: &Arc<str>, claim: &ShardClaim, offset: u64) {
         if !self.sessions.contains_key(session) {
             return;
