--- a/crates/borageshore_daemon/src/stream.rs
+++ b/crates/borageshore_daemon/src/stream.rs
@@ -152,7 +152,7 @@
         self.propose(make_body(next_offset, snapshot));
     }
 
-    /// Applies a page of records and reports this daemon's own records in it to the proposer.
+    /// Applies a page of records and reports those written under the daemon's session to the proposer.
     fn on_page<Observe>(&self, daemon: &Daemon, page: LogPage, mut observe: Observe)
     where
         Observe: FnMut(&LogRecord, &Envelope<State::Body>),
