--- a/crates/borageshore_net/src/client.rs
+++ b/crates/borageshore_net/src/client.rs
@@ -69,8 +69,9 @@
 
 /// An HTTP client with a pool of idle connections per address.
 ///
-/// After a timeout, all idle connections to the address are discarded
-/// ([`HttpClient::discard_idle_connections`]), so that the next request does not reuse a dead one.
+/// If a request was sent and no valid response head arrives, [`HttpClient::call`] discards all idle
+/// connections to the address, so that the next request does not reuse a dead one; users of
+/// [`HttpClient::send`] do so with [`HttpClient::discard_idle_connections`].
 #[derive(Debug, Clone, Default)]
 pub struct HttpClient {
     idle: Rc<RefCell<SortedMap<Arc<str>, Vec<Connection>>>>,
--- a/crates/borageshore_net/src/server.rs
+++ b/crates/borageshore_net/src/server.rs
@@ -235,7 +235,8 @@
     if !shared.is_stopping.get() {
         match select(connection.as_mut(), stopping).await {
             Race::Left((ended, _)) => return ended.map_err(Into::into),
-            // Hyper closes a connection before its first request, which may already be in transit.
+            // A graceful shutdown makes hyper close a connection that has had no request yet, although
+            // its first one may already be in transit.
             Race::Right(_) if has_request.get() => connection.as_mut().graceful_shutdown(),
             Race::Right(_) => {}
         }
