--- a/crates/borageshore_daemon/src/stream.rs
+++ b/crates/borageshore_daemon/src/stream.rs
@@ -123,7 +123,7 @@
         self.proposer.borrow().is_pending(sequence)
     }
 
-    /// Waits until records were applied, but at most `timeout_ms`.
+    /// Waits until records are applied, but at most `timeout_ms`.
     pub(crate) async fn wait_progress(&self, timeout_ms: u64) {
         within_ms(timeout_ms, self.progressed.notified()).await;
     }
@@ -152,7 +152,7 @@
         self.propose(make_body(next_offset, snapshot));
     }
 
-    /// Applies a page of records and reports this daemon's own records in it to the proposer.
+    /// Applies a page of records and reports those written under the daemon's session to the proposer.
     fn on_page<Observe>(&self, daemon: &Daemon, page: LogPage, mut observe: Observe)
     where
         Observe: FnMut(&LogRecord, &Envelope<State::Body>),
@@ -216,7 +216,7 @@
         if self.offsets().0 <= from_offset {
             self.wait_progress(request.wait_ms.clamp(0, FOLLOW_WAIT_MS as i64) as u64)
                 .await;
-            // Batches records that arrive shortly after each other.
+            // Collects records that arrive shortly after each other into one reply.
             sleep_ms(RELAY_BATCH_MS).await;
         }
         let (applied, _) = self.offsets();
