--- a/crates/borageshore_batch/src/submission.rs
+++ b/crates/borageshore_batch/src/submission.rs
@@ -103,7 +103,7 @@
     pub score: Option<Arc<str>>,
 }
 
-/// A version of a model's weights, as announced by its trainer.
+/// A version of a model's weights, as published by its trainer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelVersion {
     /// The model.
--- a/crates/borageshore_batch/src/swaps.rs
+++ b/crates/borageshore_batch/src/swaps.rs
@@ -87,7 +87,7 @@
 /// The version of a model that its engines should load.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelTarget {
-    /// The model and its announced version.
+    /// The model and its published version.
     pub target: ModelVersion,
     /// The work requested by the model's newest submission.
     pub demand: Demand,
--- a/crates/borageshore_gateway/src/orderer.rs
+++ b/crates/borageshore_gateway/src/orderer.rs
@@ -66,7 +66,7 @@
 
     async fn run(self: Rc<Self>) {
         loop {
-            let named = pin!(self.parts.routes.version_named.notified());
+            let published = pin!(self.parts.routes.version_published.notified());
             let round = pin!(self.parts.duties.round_announced());
             let is_busy = match self.parts.duties.offset_if_holder() {
                 Some(at) => self.step(at).await,
@@ -75,7 +75,7 @@
             if is_busy {
                 sleep_ms(POLL_INTERVAL_MS).await;
             } else {
-                within_ms(MAX_IDLE_PAUSE_MS, select(named, round)).await;
+                within_ms(MAX_IDLE_PAUSE_MS, select(published, round)).await;
             }
         }
     }
@@ -132,11 +132,11 @@
         endpoints.with_versions(|versions| plan_round(&engines, versions, &models, limits))
     }
 
-    /// The target of each model that engines serve; version 0 if its trainer has not announced one.
+    /// The target of each model that engines serve; version 0 if its trainer has not published one.
     fn models(&self) -> Vec<ModelTarget> {
-        let named = self.parts.routes.named_versions();
+        let published = self.parts.routes.published_versions();
         let target = |model: Arc<str>| {
-            let version = named.iter().find(|named| named.model == model);
+            let version = published.iter().find(|published| published.model == model);
             ModelTarget {
                 demand: self.parts.index.demand_of(&model),
                 target: version
--- a/crates/borageshore_gateway/src/routes.rs
+++ b/crates/borageshore_gateway/src/routes.rs
@@ -17,16 +17,16 @@
 /// The largest priority value that engines accept; 0 is the highest priority.
 const MAX_PRIORITY: u64 = 9;
 
-/// The routes in force and the announced model versions.
+/// The routes in force and the published model versions.
 #[derive(Debug, Default)]
 pub(crate) struct Routes {
     table: RefCell<Rc<RouteTable>>,
     is_known: Cell<bool>,
     /// Whether a record since the routes in force could not be decoded: it may have changed keys.
     is_unreadable: Cell<bool>,
-    named_versions: RefCell<Vec<ModelVersion>>,
-    /// Notified when a trainer announces a version.
-    pub(crate) version_named: Notify,
+    published_versions: RefCell<Vec<ModelVersion>>,
+    /// Notified when a trainer publishes a version.
+    pub(crate) version_published: Notify,
 }
 
 impl Routes {
@@ -69,9 +69,9 @@
         self.table.borrow().names_service(service)
     }
 
-    /// The newest announced version of each model, ordered by model.
-    pub(crate) fn named_versions(&self) -> Vec<ModelVersion> {
-        self.named_versions.borrow().clone()
+    /// The newest published version of each model, ordered by model.
+    pub(crate) fn published_versions(&self) -> Vec<ModelVersion> {
+        self.published_versions.borrow().clone()
     }
 
     /// Applies routes, unless a newer version is already in force.
@@ -86,14 +86,14 @@
         *self.table.borrow_mut() = Rc::new(table);
     }
 
-    fn on_version_named(&self, named: ModelVersion) {
-        log::info!(model = &*named.model, version = named.version; "trainer published a model version");
-        let mut all = self.named_versions.borrow_mut();
-        match all.binary_search_by(|known| known.model.cmp(&named.model)) {
-            Ok(at) => all[at].version = all[at].version.max(named.version),
-            Err(at) => all.insert(at, named),
+    fn on_version_published(&self, published: ModelVersion) {
+        log::info!(model = &*published.model, version = published.version; "trainer published a model version");
+        let mut all = self.published_versions.borrow_mut();
+        match all.binary_search_by(|known| known.model.cmp(&published.model)) {
+            Ok(at) => all[at].version = all[at].version.max(published.version),
+            Err(at) => all.insert(at, published),
         }
-        self.version_named.notify_waiters();
+        self.version_published.notify_waiters();
     }
 }
 
@@ -102,7 +102,7 @@
         for record in records {
             match decode_operator_record(record) {
                 Some(Ok(OperatorRecord::Routes(table))) => self.set(table),
-                Some(Ok(OperatorRecord::Version(named))) => self.on_version_named(named),
+                Some(Ok(OperatorRecord::Version(version))) => self.on_version_published(version),
                 Some(Err(error)) => {
                     self.is_unreadable.set(true);
                     log::error!(key = &*record.key, error:% = error; "operator record cannot be decoded");
