--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -247,7 +247,7 @@
         let (target, in_flight) = match permit.is_trial() {
             true => self
                 .endpoints
-                .choose(service, &self.quarantine.crashed_lately())?,
+                .choose(service, &self.quarantine.recently_crashed())?,
             false => {
                 let untried = self.endpoints.choose(service, outcome.attempts.tried());
                 untried.or_else(|| self.endpoints.choose(service, &[]))?
--- a/crates/borageshore_gateway/src/endpoints/mod.rs
+++ b/crates/borageshore_gateway/src/endpoints/mod.rs
@@ -64,7 +64,7 @@
     /// Instances that ended while listed as live, since the last [`Self::take_ended`].
     ended: RefCell<Vec<Arc<str>>>,
     /// Notified when an instance is added to `ended`.
-    pub(crate) has_ended: Notify,
+    pub(crate) endpoint_ended: Notify,
     /// Notified when an endpoint may have become usable.
     pub(crate) changed: Notify,
 }
@@ -97,7 +97,7 @@
             outage_ended_at_ms: Cell::new(None),
             random: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
             ended: RefCell::default(),
-            has_ended: Notify::new(),
+            endpoint_ended: Notify::new(),
             changed: Notify::new(),
         })
     }
@@ -110,7 +110,7 @@
     fn note_ended(&self, listing: &EndpointListing) {
         if listing.state == EndpointState::Live {
             self.ended.borrow_mut().push(listing.name.clone());
-            self.has_ended.notify_one();
+            self.endpoint_ended.notify_one();
         }
     }
 
--- a/crates/borageshore_gateway/src/quarantine/mod.rs
+++ b/crates/borageshore_gateway/src/quarantine/mod.rs
@@ -178,7 +178,7 @@
     /// suspected.
     async fn follow_endpoint_ends(self: Rc<Self>, endpoints: Rc<Endpoints>) {
         loop {
-            endpoints.has_ended.notified().await;
+            endpoints.endpoint_ended.notified().await;
             for instance in endpoints.take_ended() {
                 let now_ms = self.unix_ms();
                 let suspects = self
@@ -186,14 +186,14 @@
                     .borrow_mut()
                     .on_endpoint_ended(&instance, now_ms);
                 for (content, is_trial) in suspects {
-                    self.on_broken(content, &instance, is_trial);
+                    self.on_crash_observed(content, &instance, is_trial);
                 }
             }
         }
     }
 
     /// Records that an endpoint crashed while it ran a request.
-    fn on_broken(&self, content: Fingerprint, instance: &Arc<str>, is_trial: bool) {
+    fn on_crash_observed(&self, content: Fingerprint, instance: &Arc<str>, is_trial: bool) {
         let crash = Crash {
             instance: instance.clone(),
             is_trial,
--- a/crates/borageshore_gateway/src/quarantine/sent.rs
+++ b/crates/borageshore_gateway/src/quarantine/sent.rs
@@ -82,7 +82,7 @@
             AttemptError::Broken(_) => {
                 let content = (self.content)();
                 self.quarantine
-                    .on_broken(content, &self.instance, self.trial.is_some());
+                    .on_crash_observed(content, &self.instance, self.trial.is_some());
             }
             AttemptError::Unknown(_) => self.record_abandoned(),
             AttemptError::NotSent(_) | AttemptError::Refused { .. } => {}
--- a/crates/borageshore_gateway/src/quarantine/trials.rs
+++ b/crates/borageshore_gateway/src/quarantine/trials.rs
@@ -121,8 +121,8 @@
     }
 
     /// The endpoints that crashed recently. A trial must avoid them, as another request may be crashing them.
-    pub(crate) fn crashed_lately(&self) -> Vec<Arc<str>> {
-        self.table.borrow().crashed_lately(self.unix_ms())
+    pub(crate) fn recently_crashed(&self) -> Vec<Arc<str>> {
+        self.table.borrow().recently_crashed(self.unix_ms())
     }
 
     /// Records the end of a trial of this daemon.
--- a/crates/borageshore_gateway/src/rewards.rs
+++ b/crates/borageshore_gateway/src/rewards.rs
@@ -138,7 +138,7 @@
         }
         let mut avoided: Vec<Arc<str>> = scoring.last_failed.take().into_iter().collect();
         if permit.is_trial() {
-            avoided.extend(parts.quarantine.crashed_lately());
+            avoided.extend(parts.quarantine.recently_crashed());
         }
         let (target, in_flight) = parts.endpoints.choose(service, &avoided)?;
         let deadline = Deadline::after(parts.clock, route.timeout_ms.min(TIMEOUT_MS));
--- a/crates/borageshore_routing/src/quarantine.rs
+++ b/crates/borageshore_routing/src/quarantine.rs
@@ -101,10 +101,10 @@
             return None;
         }
         let failed = self.failed_trials() - shared_trials;
-        let made = self
+        let counted_trials = self
             .trials
             .saturating_sub(shared_trials.min(MAX_UNCOUNTED_SHARED_TRIALS));
-        let step = (made.max(failed) + failed) as usize;
+        let step = (counted_trials.max(failed) + failed) as usize;
         let hold_ms = HOLD_STEPS_MS[step.min(HOLD_STEPS_MS.len() - 1)];
         let until_ms = self.last_crash_ms().max(self.last_trial_ms) + hold_ms;
         Some(until_ms.max(self.no_trial_before_ms))
@@ -311,7 +311,7 @@
     }
 
     /// The endpoints that crashed under any request within the last two seconds.
-    pub fn crashed_lately(&self, now_ms: u64) -> Vec<Arc<str>> {
+    pub fn recently_crashed(&self, now_ms: u64) -> Vec<Arc<str>> {
         let crashes = self.entries.values().flat_map(|entry| &entry.crashes);
         let lately = crashes.filter(|crash| now_ms < crash.at_ms + SAME_CRASH_MS);
         lately.map(|crash| crash.instance.clone()).collect()
--- a/crates/borageshore_routing/tests/quarantine.rs
+++ b/crates/borageshore_routing/tests/quarantine.rs
@@ -187,8 +187,8 @@
     // Guards against sending a trial to an endpoint that another request is crashing.
     endpoints_that_crashed_lately_are_known => {
         let quarantine = crashed(1, 1);
-        assert_eq!(quarantine.crashed_lately(1_500), [Arc::from("endpoint-1")]);
-        assert!(quarantine.crashed_lately(3_000).is_empty());
+        assert_eq!(quarantine.recently_crashed(1_500), [Arc::from("endpoint-1")]);
+        assert!(quarantine.recently_crashed(3_000).is_empty());
     }
 
     // Guards against trying two suspects at once: if both are on an endpoint that crashes, either may be the cause.
