--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -319,12 +319,12 @@
     let response = result.ok()?;
     if response.status.is_server_error() {
         // An error without a signature does not come from the endpoint itself.
-        if response.stamp.is_some() {
+        if response.signature.is_some() {
             outcome.error_response = Some(response);
         }
         return None;
     }
-    if response.status.is_success() && response.stamp.is_none() {
+    if response.status.is_success() && response.signature.is_none() {
         log::warn!(request = &*outbound.id; "dropping a successful response without a signature");
         return None;
     }
--- a/crates/borageshore_gateway/src/item/mod.rs
+++ b/crates/borageshore_gateway/src/item/mod.rs
@@ -131,7 +131,7 @@
         let mut score = None;
         if let Some(call) = &self.item.reward {
             match self.context.rewards.score(call, self.deadline_ms()).await {
-                Reward::Score(stamp) => score = Some(stamp),
+                Reward::Score(signature) => score = Some(signature),
                 Reward::Failed => {
                     cached.remove();
                     return self.given_up();
--- a/crates/borageshore_gateway/src/quarantine/sent.rs
+++ b/crates/borageshore_gateway/src/quarantine/sent.rs
@@ -52,7 +52,7 @@
     /// Records the result of a call.
     pub(crate) fn on_outcome(&mut self, result: &Result<EndpointResponse, AttemptError>) {
         match result {
-            Ok(answer) if answer.status.is_success() && answer.stamp.is_some() => self.on_success(),
+            Ok(res) if res.status.is_success() && res.signature.is_some() => self.on_success(),
             Ok(_) => self.on_end(),
             Err(error) => self.on_error(error),
         }
--- a/crates/borageshore_gateway/src/rewards.rs
+++ b/crates/borageshore_gateway/src/rewards.rs
@@ -162,7 +162,7 @@
                 if !status.is_success() {
                     scoring.last_failed = Some(target.instance);
                 }
-                Some(match response.stamp {
+                Some(match response.signature {
                     Some(score) if status.is_success() => Ok(score),
                     _ => Err(status.as_u16()),
                 })
--- a/crates/borageshore_soak/src/oracle.rs
+++ b/crates/borageshore_soak/src/oracle.rs
@@ -180,8 +180,8 @@
                 result.id, result.versions
             ));
         }
-        let stamp = PlatformService::stamp(&reward_id(&result.id));
-        if result.score.as_deref() != Some(&stamp) {
+        let signature = PlatformService::signature(&reward_id(&result.id));
+        if result.score.as_deref() != Some(&signature) {
             self.record_violation(format!("{id}: {} has the score of another call", result.id));
         }
     }
--- a/crates/borageshore_soak/src/traffic.rs
+++ b/crates/borageshore_soak/src/traffic.rs
@@ -206,7 +206,7 @@
             self.oracle
                 .record_violation(format!("call {id} got the response of another call"));
         }
-        if header("x-server-stamp") != Some(&PlatformService::stamp(id)) {
+        if header("x-server-stamp") != Some(&PlatformService::signature(id)) {
             self.oracle.record_violation(format!(
                 "call {id} got a success without the signature of its service"
             ));
--- a/crates/borageshore_standins/src/platform/plain.rs
+++ b/crates/borageshore_standins/src/platform/plain.rs
@@ -152,7 +152,7 @@
     }
 
     /// The signature of this service in the response to a call.
-    pub fn stamp(id: &str) -> String {
+    pub fn signature(id: &str) -> String {
         format!("stamp-{:016x}", hash(id))
     }
 }
@@ -211,7 +211,7 @@
         let load = format!("{},0,6", shared.running.get());
         for (name, value) in [
             ("x-request-id", echoed_id.to_owned()),
-            ("x-server-stamp", PlatformService::stamp(&id)),
+            ("x-server-stamp", PlatformService::signature(&id)),
             ("x-server-load", load),
         ] {
             headers.insert(name, value.parse().expect("plain text"));
