--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -57,7 +57,7 @@
 struct PendingCall {
     outbound: OutboundRequest,
     caller: AuthorizedCaller,
-    request_use: RequestUsage,
+    usage: RequestUsage,
     content: OnceCell<Fingerprint>,
 }
 
@@ -119,7 +119,7 @@
         };
         let call = PendingCall {
             outbound,
-            request_use: RequestUsage::begin(self.usage.as_ref(), caller.organisation()),
+            usage: RequestUsage::begin(self.usage.as_ref(), caller.organisation()),
             caller,
             content: OnceCell::new(),
         };
@@ -253,18 +253,18 @@
                 untried.or_else(|| self.endpoints.choose(service, &[]))?
             }
         };
-        let number = outcome.attempts.hand_over(target.instance.clone());
+        let number = outcome.attempts.add_sent(target.instance.clone());
         Some(async move {
             let outbound = &call.outbound;
             let content = || call.content();
             let mut sent = self
                 .quarantine
                 .track_send(content, &target.instance, permit);
-            let attempt = call.request_use.on_attempt();
+            let attempt = call.usage.on_attempt();
             let result = self.client.call(&target, outbound, deadline).await;
             sent.on_outcome(&result);
             if let Err(AttemptError::NotSent(_) | AttemptError::Refused { .. }) = &result {
-                call.request_use.on_not_run(attempt);
+                call.usage.on_not_run(attempt);
             }
             match &result {
                 Ok(response) => {
--- a/crates/borageshore_gateway/src/gateway.rs
+++ b/crates/borageshore_gateway/src/gateway.rs
@@ -255,7 +255,7 @@
             .map(|address| bind(address))
             .collect::<io::Result<Vec<HttpServer>>>()?;
         let peer_handler = PeerHandler {
-            path: transport,
+            store_transport: transport,
             quarantine,
             time,
         };
@@ -305,7 +305,7 @@
 
     /// Enters the ready state once routes, endpoints and the submission index have been read. The daemon stays ready
     /// during an outage of the store and serves from its last view.
-    pub(crate) fn follow_readiness(&self) {
+    pub(crate) fn update_readiness(&self) {
         let is_known = self.routes.is_known()
             && self.endpoints.is_known()
             && self.index.next_offset().is_some();
--- a/crates/borageshore_gateway/src/item/attempt.rs
+++ b/crates/borageshore_gateway/src/item/attempt.rs
@@ -175,14 +175,14 @@
                     .endpoints
                     .on_event_gap(&instance, now_us - before_us);
             }
-            if let Some(better) = self.better_place(&instance, event.id, request) {
+            if let Some(better) = self.better_slot(&instance, event.id, request) {
                 return AttemptOutcome::Move(better);
             }
         }
     }
 
     /// Takes a slot at a better engine if the current one is slow and moving is worthwhile.
-    fn better_place(
+    fn better_slot(
         &self,
         instance: &Arc<str>,
         events: u64,
--- a/crates/borageshore_gateway/src/lifecycle.rs
+++ b/crates/borageshore_gateway/src/lifecycle.rs
@@ -128,7 +128,7 @@
             if self.reload.swap(false, Ordering::Relaxed) {
                 gateway.reload();
             }
-            gateway.follow_readiness();
+            gateway.update_readiness();
             sleep_ms(gateway.poll_ms()).await;
         }
     }
--- a/crates/borageshore_gateway/src/store_transport.rs
+++ b/crates/borageshore_gateway/src/store_transport.rs
@@ -248,7 +248,7 @@
 /// clock requests.
 #[derive(Debug, Clone)]
 pub(crate) struct PeerHandler {
-    pub(crate) path: FailoverTransport,
+    pub(crate) store_transport: FailoverTransport,
     pub(crate) quarantine: Rc<Quarantine>,
     pub(crate) time: Rc<SharedTime>,
 }
@@ -275,11 +275,17 @@
         let Some(call) = StoreCall::from_peer(head.method, target, body) else {
             return status(StatusCode::NOT_FOUND);
         };
-        let now_ms = self.path.inner.clock.now_ms();
-        if !self.path.inner.failover.borrow().reaches_store(now_ms) {
+        let now_ms = self.store_transport.inner.clock.now_ms();
+        if !self
+            .store_transport
+            .inner
+            .failover
+            .borrow()
+            .reaches_store(now_ms)
+        {
             return status(StatusCode::SERVICE_UNAVAILABLE);
         }
-        match self.path.call_direct(&call).await {
+        match self.store_transport.call_direct(&call).await {
             Ok((answer, body)) => {
                 let mut response = Response::new(full_body(body));
                 *response.status_mut() = answer;
--- a/crates/borageshore_routing/src/request_attempts.rs
+++ b/crates/borageshore_routing/src/request_attempts.rs
@@ -13,7 +13,7 @@
 
 impl RequestAttempts {
     /// Adds an attempt that is about to be sent; returns its number.
-    pub fn hand_over(&mut self, endpoint: Arc<str>) -> usize {
+    pub fn add_sent(&mut self, endpoint: Arc<str>) -> usize {
         let mut attempt = Attempt::open();
         for event in [
             AttemptEvent::Start,
--- a/crates/borageshore_routing/tests/request_attempts.rs
+++ b/crates/borageshore_routing/tests/request_attempts.rs
@@ -5,7 +5,7 @@
 fn attempts(events: &[Option<AttemptEvent>]) -> RequestAttempts {
     let mut attempts = RequestAttempts::default();
     for (place, event) in events.iter().enumerate() {
-        let number = attempts.hand_over(format!("e{place}").into());
+        let number = attempts.add_sent(format!("e{place}").into());
         if let Some(event) = event {
             attempts.on_event(number, *event);
         }
