--- a/crates/borageshore_gateway/src/ledger_view.rs
+++ b/crates/borageshore_gateway/src/ledger_view.rs
@@ -110,21 +110,21 @@
     }
 
     /// Runs a function on the ledger.
-    pub(crate) fn with<Use, Made>(&self, make: Use) -> Made
+    pub(crate) fn with<Read, Output>(&self, read: Read) -> Output
     where
-        Use: FnOnce(&Ledger) -> Made,
+        Read: FnOnce(&Ledger) -> Output,
     {
-        make(&self.ledger.borrow())
+        read(&self.ledger.borrow())
     }
 
     /// Runs a function on a submission; `None` if its records are not all loaded.
-    pub(crate) fn with_loaded<Use, Made>(&self, id: &str, make: Use) -> Option<Made>
+    pub(crate) fn with_loaded<Read, Output>(&self, id: &str, read: Read) -> Option<Output>
     where
-        Use: FnOnce(&SubmissionState) -> Made,
+        Read: FnOnce(&SubmissionState) -> Output,
     {
         let ledger = self.ledger.borrow();
         let state = ledger.get(id).filter(|state| state.is_loaded())?;
-        Some(make(state))
+        Some(read(state))
     }
 
     /// Marks a submission's shard as in use, which keeps it followed.
