--- a/crates/borageshore_gateway/src/duties.rs
+++ b/crates/borageshore_gateway/src/duties.rs
@@ -72,11 +72,11 @@
                 self.usage.on_removed(&record.key);
                 continue;
             };
-            let taken = match UsageReports::decode(record) {
+            let applied = match UsageReports::decode(record) {
                 Some(report) => report.map(|report| self.on_report(&report)),
                 None => serde_json::from_slice(value).map(|round| self.on_round(round)),
             };
-            if let Err(error) = taken {
+            if let Err(error) = applied {
                 log::error!(key = &*record.key, error:% = error; "cannot decode an announcement; ignoring it");
             }
         }
--- a/crates/borageshore_gateway/src/usage/counter.rs
+++ b/crates/borageshore_gateway/src/usage/counter.rs
@@ -13,7 +13,7 @@
 use bytes::Bytes;
 use tokio::sync::Notify;
 
-use super::records::{Author, total_record};
+use super::records::{TotalWriter, total_record};
 use crate::{members::Members, store_transport::Store, true_time::SharedTime};
 
 /// The pause between two appends, per live daemon, so that all daemons together make at most 200 appends a second. A
@@ -109,13 +109,13 @@
         self.counts.borrow_mut().expire_before(oldest);
         let dirty = self.counts.borrow_mut().take_dirty();
         let (name, incarnation) = self.members.own_identity();
-        let author = Author {
+        let writer = TotalWriter {
             incarnation: format!("{name}.{incarnation}").into(),
             generation: self.generation.get(),
         };
         let records: Vec<(Arc<str>, Bytes)> = dirty
             .iter()
-            .map(|(window, counts)| total_record(*window, &author, counts))
+            .map(|(window, counts)| total_record(*window, &writer, counts))
             .collect();
         if records.is_empty() {
             return Ok(());
--- a/crates/borageshore_gateway/src/usage/records.rs
+++ b/crates/borageshore_gateway/src/usage/records.rs
@@ -10,24 +10,28 @@
 /// The prefix of a report's key; the window's number follows.
 const REPORT_PREFIX: &str = "usage/";
 
-/// The author of a total: a daemon incarnation (`name.number`) and its generation of appends.
+/// The writer of a total: a daemon incarnation (`name.number`) and its generation of appends.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Author {
+pub(super) struct TotalWriter {
     pub(super) incarnation: Arc<str>,
     pub(super) generation: u64,
 }
 
 /// Encodes a total as a record of the store.
-pub(super) fn total_record(window: Window, author: &Author, counts: &Counts) -> (Arc<str>, Bytes) {
-    let Author {
+pub(super) fn total_record(
+    window: Window,
+    writer: &TotalWriter,
+    counts: &Counts,
+) -> (Arc<str>, Bytes) {
+    let TotalWriter {
         incarnation: life,
         generation,
-    } = author;
+    } = writer;
     let key = format!("{}/{life}/{generation}", window.0);
     (key.into(), to_json(&to_pairs(counts)))
 }
 
-/// Parses the key of a total: its window and its author's incarnation.
+/// Parses the key of a total: its window and its writer's incarnation.
 pub(super) fn total_key(key: &str) -> Option<(Window, Arc<str>)> {
     let mut parts = key.split('/');
     let window = parts.next()?.parse().ok()?;
@@ -71,8 +75,8 @@
         let mut reports = self.reports.borrow_mut();
         let counts = from_pairs(record.counts.clone());
         reports.on_finalized(Window(record.window), &counts);
-        for taken in &record.taken {
-            reports.on_accepted(Window(*taken));
+        for accepted in &record.taken {
+            reports.on_accepted(Window(*accepted));
         }
     }
 
@@ -111,13 +115,13 @@
         first_retained: Window,
     ) -> Vec<(Arc<str>, Bytes)> {
         let reports = self.reports.borrow();
-        let taken = reports.accepted_from(first_retained);
+        let accepted = reports.accepted_from(first_retained);
         let record = ReportRecord {
             holder,
             others,
             window: window.0,
             counts: to_pairs(counts),
-            taken: taken.iter().map(|window| window.0).collect(),
+            taken: accepted.iter().map(|window| window.0).collect(),
         };
         let old = reports.windows_before(first_retained);
         let removals = old
