--- a/crates/borageshore_gateway/src/dispatch.rs
+++ b/crates/borageshore_gateway/src/dispatch.rs
@@ -103,7 +103,7 @@
             } else {
                 within_ms(RECHECK_INTERVAL_MS, changed).await;
             }
-            self.endpoints.expire_lapsed();
+            self.endpoints.remove_expired();
             self.assign_slots();
         }
     }
--- a/crates/borageshore_gateway/src/endpoints/listing.rs
+++ b/crates/borageshore_gateway/src/endpoints/listing.rs
@@ -8,8 +8,8 @@
 use super::{Endpoints, target};
 use crate::follow::RecordView;
 
-/// How long entries that lapsed around a store outage are kept: live endpoints are listed again within this time.
-const LAPSE_GRACE_MS: u64 = 2_300;
+/// How long entries that expired around a store outage are kept: live endpoints are listed again within this time.
+const EXPIRY_GRACE_MS: u64 = 2_300;
 /// A longer gap between two reads counts as a store outage; a read waits for 1.2 s at most.
 const OUTAGE_GAP_MS: u64 = 2_000;
 
@@ -36,7 +36,7 @@
             }
             EntryEffect::Foreign => return self.on_foreign(id, "its start time is missing"),
         }
-        self.lapsed.borrow_mut().remove(id);
+        self.expired.borrow_mut().remove(id);
         let instance = &entry.listing.name;
         for (model, version) in &entry.models {
             self.versions
@@ -51,9 +51,9 @@
             .set(self.has_changed_entries.get() || has_changed);
     }
 
-    /// Removes an id whose entry was overwritten by another writer, without the grace period of a lapsed entry.
+    /// Removes an id whose entry was overwritten by another writer, without the grace period of an expired entry.
     fn on_foreign(&self, id: &Arc<str>, why: &str) {
-        self.lapsed.borrow_mut().remove(id);
+        self.expired.borrow_mut().remove(id);
         if self.registry.borrow_mut().on_foreign(id) {
             log::warn!(id = &**id, why; "endpoint entry is invalid or from another writer; not using the endpoint");
             self.has_changed_entries.set(true);
@@ -96,11 +96,11 @@
 
     fn on_removed(&self, id: &Arc<str>) {
         let now_ms = self.clock.now_ms();
-        let grace_until_ms = self.outage_ended_at_ms.get().map(|at| at + LAPSE_GRACE_MS);
+        let grace_until_ms = self.outage_ended_at_ms.get().map(|at| at + EXPIRY_GRACE_MS);
         match grace_until_ms {
             Some(until_ms) if now_ms < until_ms => {
                 log::info!(instance = &**id, until_ms; "endpoint entry expired around a store outage; keeping the endpoint for a grace period");
-                self.lapsed.borrow_mut().insert(id.clone(), until_ms);
+                self.expired.borrow_mut().insert(id.clone(), until_ms);
             }
             _ => self.remove(id),
         }
@@ -128,11 +128,11 @@
         }
     }
 
-    /// Removes the lapsed entries whose grace period is over.
-    pub(crate) fn expire_lapsed(&self) {
+    /// Removes the expired entries whose grace period is over.
+    pub(crate) fn remove_expired(&self) {
         let now_ms = self.clock.now_ms();
         let mut gone = Vec::new();
-        self.lapsed.borrow_mut().retain(|id, until_ms| {
+        self.expired.borrow_mut().retain(|id, until_ms| {
             let is_over = now_ms >= *until_ms;
             if is_over {
                 gone.push(id.clone());
@@ -174,6 +174,6 @@
             self.outage_ended_at_ms.set(Some(now_ms));
         }
         self.last_read_at_ms.set(now_ms);
-        self.expire_lapsed();
+        self.remove_expired();
     }
 }
--- a/crates/borageshore_gateway/src/endpoints/mod.rs
+++ b/crates/borageshore_gateway/src/endpoints/mod.rs
@@ -48,8 +48,8 @@
     registry: RefCell<EndpointRegistry<EndpointEntry>>,
     /// After a gap in the records: ids that were known before it and may have been removed during it.
     unconfirmed: RefCell<Option<Vec<Arc<str>>>>,
-    /// Entries that lapsed during or shortly after a store outage, with the time at which they are removed.
-    lapsed: RefCell<SortedMap<Arc<str>, u64>>,
+    /// Entries that expired during or shortly after a store outage, with the time at which they are removed.
+    expired: RefCell<SortedMap<Arc<str>, u64>>,
     table: RefCell<EndpointTable>,
     /// Addresses of the instances in `table`.
     targets: RefCell<SortedMap<Arc<str>, EndpointTarget>>,
@@ -86,7 +86,7 @@
             client,
             registry: RefCell::default(),
             unconfirmed: RefCell::default(),
-            lapsed: RefCell::default(),
+            expired: RefCell::default(),
             table: RefCell::default(),
             targets: RefCell::default(),
             versions: RefCell::default(),
--- a/crates/borageshore_routing/src/abandoned_attempts.rs
+++ b/crates/borageshore_routing/src/abandoned_attempts.rs
@@ -5,7 +5,7 @@
 use crate::fingerprint::Fingerprint;
 
 /// How long an attempt is kept. Covers the 3.6 s (three heartbeats) until the entry of a crashed endpoint
-/// lapses, and the usual route timeout of 2 s for which the request may run before the crash.
+/// expires, and the usual route timeout of 2 s for which the request may run before the crash.
 const RETENTION_MS: u64 = 6_000;
 /// Capacity; the oldest attempts are dropped first.
 const MAX_ATTEMPTS: usize = 256;
--- a/crates/borageshore_routing/tests/registry.rs
+++ b/crates/borageshore_routing/tests/registry.rs
@@ -23,7 +23,7 @@
     }
 
     // Guards against using the load and weights of the previous incarnation after a crash and restart before
-    // the entry lapsed.
+    // the entry expired.
     a_restart_under_the_same_id_is_detected => {
         let mut registry = EndpointRegistry::default();
         registry.on_entry(&id(), Some(1_000), "first");
