--- a/crates/borageshore_membership/src/gossip.rs
+++ b/crates/borageshore_membership/src/gossip.rs
@@ -80,7 +80,7 @@
             }
         }
         let rotating = self
-            .rotated()
+            .rotated_members()
             .map(|member| member.entry.clone())
             .take(ROTATING_ENTRIES);
         message.entries.extend(rotating);
@@ -96,7 +96,7 @@
     }
 
     /// All members, starting at a position that advances with each message.
-    fn rotated(&self) -> impl Iterator<Item = &Member> {
+    fn rotated_members(&self) -> impl Iterator<Item = &Member> {
         let count = self.members.len();
         let start = if count == 0 { 0 } else { self.rotation % count };
         self.members
@@ -110,7 +110,7 @@
     where
         Wanted: Fn(&MemberEntry) -> bool,
     {
-        for member in self.rotated() {
+        for member in self.rotated_members() {
             if message.heartbeats.len() >= limit {
                 return;
             }
--- a/crates/borageshore_rollout/src/controller.rs
+++ b/crates/borageshore_rollout/src/controller.rs
@@ -124,7 +124,7 @@
     assigning: SortedMap<Arc<str>, FinishedSample>,
     durations_ms: Histogram<u64>,
     counts: JobCounts,
-    cadence: Cadence,
+    publication_interval: PublicationInterval,
     /// The newest version that produced a token of this job.
     newest_version_seen: u64,
 }
@@ -143,7 +143,7 @@
             durations_ms: Histogram::new_with_max(MAX_DURATION_MS, 2)
                 .expect("two significant digits are supported"),
             counts: JobCounts::default(),
-            cadence: Cadence::default(),
+            publication_interval: PublicationInterval::default(),
             newest_version_seen: 0,
         }
     }
@@ -188,14 +188,16 @@
         versions: WeightVersions,
         now_ms: u64,
     ) -> Vec<SampleOrder> {
-        self.cadence.on_target_version(versions.target, plan);
+        self.publication_interval
+            .on_target_version(versions.target, plan);
         self.open_groups(plan, now_ms);
         self.remove_soon_stale(plan, versions.target, now_ms);
         let straggler_threshold_ms = self.straggler_threshold_ms();
         let mut orders = Vec::new();
         for (position, (group, state)) in self.groups.iter_mut().enumerate() {
             let steps_before = position as u64 / plan.groups_per_step;
-            let expected_version = versions.target + self.cadence.publications_before(steps_before);
+            let expected_version =
+                versions.target + self.publication_interval.publications_before(steps_before);
             let would_be_stale = versions.oldest_served < versions.target
                 && versions.oldest_served + plan.staleness_bound.versions < expected_version;
             if would_be_stale {
@@ -325,7 +327,8 @@
         now_ms: u64,
     ) -> PullDecision {
         // A pull may follow a publication before the next tick; its samples count after the publication.
-        self.cadence.on_target_version(pull.target_version, plan);
+        self.publication_interval
+            .on_target_version(pull.target_version, plan);
         if pull.seen_epoch > self.epoch {
             return PullDecision::Refuse(ResultCode::StaleEpoch);
         }
@@ -413,7 +416,8 @@
                     .insert(slot.id, slot.done.expect("the group is complete"));
             }
         }
-        self.cadence.on_numbered(sample_ids.len() as u64);
+        self.publication_interval
+            .on_numbered(sample_ids.len() as u64);
         PullDecision::Append(LedgerRecord::Assign {
             epoch: self.epoch,
             confirmed: pull.cursor,
@@ -433,7 +437,8 @@
         let mut dropped = 0;
         for (position, (_, group)) in self.groups.iter_mut().enumerate() {
             let steps_before = position as u64 / plan.groups_per_step;
-            let expected_version = target_version + self.cadence.publications_before(steps_before);
+            let expected_version =
+                target_version + self.publication_interval.publications_before(steps_before);
             for slot in &mut group.slots {
                 let will_be_stale = slot.done.as_ref().is_some_and(|done| {
                     let age_ms = now_ms.saturating_sub(done.started_at_ms);
@@ -476,14 +481,14 @@
 
 /// The number of steps between the trainer's last two publications of weights, to predict the next ones.
 #[derive(Debug, Default)]
-struct Cadence {
+struct PublicationInterval {
     target_version: u64,
     samples_since: u64,
     steps_since: u64,
     steps_per_publication: Option<u64>,
 }
 
-impl Cadence {
+impl PublicationInterval {
     fn on_target_version(&mut self, target_version: u64, plan: &JobPlan) {
         let samples_per_step = plan.groups_per_step * plan.samples_per_group;
         self.steps_since = self.samples_since / samples_per_step;
