--- a/crates/borageshore_scenarios/tests/fuzz.rs
+++ b/crates/borageshore_scenarios/tests/fuzz.rs
@@ -51,7 +51,7 @@
     Generate(Who),
     Pull {
         who: Who,
-        fate: Fate,
+        outcome: ReplyOutcome,
     },
     /// Generation and two pulls at the member that may act for the job, if there is one.
     TrainerRound,
@@ -87,8 +87,8 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, TypeGenerator)]
-enum Fate {
-    Taken,
+enum ReplyOutcome {
+    Received,
     Lost,
 }
 
@@ -144,7 +144,7 @@
         Step::Generate(who) => {
             world.generate(who.name());
         }
-        Step::Pull { who, fate } => pull(world, *who, *fate),
+        Step::Pull { who, outcome } => pull(world, *who, *outcome),
         Step::Publish => world.target_version += 1,
         Step::EngineSwaps => world.engine_version = world.target_version,
     }
@@ -188,9 +188,9 @@
     );
 }
 
-fn pull(world: &mut World, who: Who, fate: Fate) {
+fn pull(world: &mut World, who: Who, outcome: ReplyOutcome) {
     if let PullReply::Delivered(delivery) = world.pull(who.name())
-        && fate == Fate::Taken
+        && outcome == ReplyOutcome::Received
     {
         world.accept(&delivery);
     }
@@ -207,9 +207,9 @@
     };
     let owner = Who(NAMES.iter().position(|name| name == owner).unwrap_or(0));
     world.generate(owner.name());
-    pull(world, owner, Fate::Taken);
+    pull(world, owner, ReplyOutcome::Received);
     world.advance(300);
-    pull(world, owner, Fate::Taken);
+    pull(world, owner, ReplyOutcome::Received);
 }
 
 #[test]
@@ -246,12 +246,12 @@
         Step::Generate(Who(0)),
         Step::Pull {
             who: Who(0),
-            fate: Fate::Taken,
+            outcome: ReplyOutcome::Received,
         },
         Step::Advance(1_000),
         Step::Pull {
             who: Who(0),
-            fate: Fate::Taken,
+            outcome: ReplyOutcome::Received,
         },
         Step::Call {
             who: Who(1),
--- a/crates/borageshore_scenarios/tests/scenarios.rs
+++ b/crates/borageshore_scenarios/tests/scenarios.rs
@@ -93,8 +93,8 @@
             "runs" => self.runs(next()?),
             "lose_run" => self.lose_run(),
             "generate" => self.generate(next()?),
-            "pull" => self.pull(next()?, Taken::Yes),
-            "pull_lost" => self.pull(next()?, Taken::No),
+            "pull" => self.pull(next()?, Received::Yes),
+            "pull_lost" => self.pull(next()?, Received::No),
             "trainer_back_to" => self.trainer_back_to(next()?.parse()?),
             "weights" => self.weights(next()?.parse()?),
             "order" => self.order(next()?, next()?.parse()?),
@@ -109,7 +109,7 @@
 }
 
 #[derive(Debug, PartialEq, Eq)]
-enum Taken {
+enum Received {
     Yes,
     No,
 }
@@ -356,10 +356,10 @@
         Ok(format!("{} samples\n", self.world.generate(name)))
     }
 
-    fn pull(&mut self, name: &str, taken: Taken) -> Output {
+    fn pull(&mut self, name: &str, received: Received) -> Output {
         match self.world.pull(name) {
             PullReply::Delivered(delivery) => {
-                if taken == Taken::Yes {
+                if received == Received::Yes {
                     self.world.accept(&delivery);
                 }
                 let samples = delivery
