--- a/crates/borageshore_batch/src/placement.rs
+++ b/crates/borageshore_batch/src/placement.rs
@@ -108,10 +108,10 @@
     item: RunningItem,
 ) -> Option<&'e EngineView> {
     let chosen = choose_engine(engines, request)?;
-    let pays = if item.events >= LONG_TEXT_EVENTS {
+    let is_worthwhile = if item.events >= LONG_TEXT_EVENTS {
         chosen.latency_percent * (100 + LONG_TEXT_GAIN_PERCENT) < item.latency_percent * 100
     } else {
         chosen.latency_percent * SHORT_TEXT_GAIN < item.latency_percent
     };
-    pays.then_some(chosen)
+    is_worthwhile.then_some(chosen)
 }
--- a/crates/borageshore_batch/src/swaps.rs
+++ b/crates/borageshore_batch/src/swaps.rs
@@ -159,8 +159,8 @@
     for (index, model) in models.iter().enumerate() {
         let models_after = models.len() - index - 1;
         let share = (engines_left * demand(model) + demand_left / 2) / demand_left.max(1);
-        let most = engines_left.saturating_sub(models_after);
-        let count = share.clamp(1.min(most), most);
+        let max_share = engines_left.saturating_sub(models_after);
+        let count = share.clamp(1.min(max_share), max_share);
         counts.push(count);
         engines_left -= count;
         demand_left -= demand(model);
--- a/crates/borageshore_duty/src/leases.rs
+++ b/crates/borageshore_duty/src/leases.rs
@@ -72,11 +72,11 @@
             // that it listed there, also after a restart; any other daemon may have missed an earlier action.
             None => {
                 let is_own = self.newest_holder.as_deref() == Some(holder);
-                let is_others = self
+                let is_held_by_others = self
                     .newest_held_by_others
                     .iter()
                     .any(|other| **other == *subject);
-                (is_own && !is_others) || has_passed(self.opened_at_ms)
+                (is_own && !is_held_by_others) || has_passed(self.opened_at_ms)
             }
         }
     }
--- a/crates/borageshore_gateway/src/quarantine/reporting.rs
+++ b/crates/borageshore_gateway/src/quarantine/reporting.rs
@@ -163,8 +163,8 @@
         self.peer_reports.borrow_mut().retain(of_others);
         let mut peer_clearances = self.peer_clearances.borrow_mut();
         peer_clearances.retain(|known| !contents.contains(known));
-        let room = MAX_PENDING_PEER_REPORTS.saturating_sub(peer_clearances.len());
-        peer_clearances.extend(contents.iter().take(room));
+        let remaining = MAX_PENDING_PEER_REPORTS.saturating_sub(peer_clearances.len());
+        peer_clearances.extend(contents.iter().take(remaining));
         self.peer_queue_changed.notify_one();
     }
 
--- a/crates/borageshore_routing/src/quarantine.rs
+++ b/crates/borageshore_routing/src/quarantine.rs
@@ -313,8 +313,8 @@
     /// The endpoints that crashed under any request within the last two seconds.
     pub fn recently_crashed(&self, now_ms: u64) -> Vec<Arc<str>> {
         let crashes = self.entries.values().flat_map(|entry| &entry.crashes);
-        let lately = crashes.filter(|crash| now_ms < crash.at_ms + SAME_CRASH_MS);
-        lately.map(|crash| crash.instance.clone()).collect()
+        let recent = crashes.filter(|crash| now_ms < crash.at_ms + SAME_CRASH_MS);
+        recent.map(|crash| crash.instance.clone()).collect()
     }
 
     /// The number of a request's failed trials in which another request crashed the same endpoint.
--- a/crates/borageshore_soak/src/oracle.rs
+++ b/crates/borageshore_soak/src/oracle.rs
@@ -101,11 +101,11 @@
     pub(crate) fn is_disturbed(&self, attempt: &str, at_ms: u64, before_ms: u64) -> bool {
         let daemon_by_attempt = self.daemon_by_attempt.borrow();
         let daemon = daemon_by_attempt.get(attempt).copied();
-        let is_then = |one: &Disturbance| {
-            let is_its = one.daemon.is_none() || daemon.is_none() || one.daemon == daemon;
-            is_its && one.from_ms <= at_ms && at_ms < one.until_ms.saturating_add(before_ms)
+        let overlaps = |one: &Disturbance| {
+            let affects_daemon = one.daemon.is_none() || daemon.is_none() || one.daemon == daemon;
+            affects_daemon && one.from_ms <= at_ms && at_ms < one.until_ms.saturating_add(before_ms)
         };
-        self.disturbances.borrow().iter().any(is_then)
+        self.disturbances.borrow().iter().any(overlaps)
     }
 
     pub(crate) fn violations(&self) -> Vec<String> {
--- a/crates/borageshore_soak/src/world.rs
+++ b/crates/borageshore_soak/src/world.rs
@@ -366,14 +366,14 @@
 /// Returns the largest number of events of one item that were generated more than once.
 fn max_regenerated_events(targets: &Targets) -> u64 {
     let runs = targets.engines.iter().flat_map(|(engine, _)| engine.runs());
-    let mut made: BTreeMap<String, u64> = BTreeMap::new();
+    let mut generated: BTreeMap<String, u64> = BTreeMap::new();
     for run in runs {
-        *made.entry(run.item).or_default() += run.events.len() as u64;
+        *generated.entry(run.item).or_default() += run.events.len() as u64;
     }
-    let remade = made
+    let regenerated = generated
         .iter()
-        .map(|(item, made)| made.saturating_sub(event_count(item)));
-    remade.max().unwrap_or(0)
+        .map(|(item, generated)| generated.saturating_sub(event_count(item)));
+    regenerated.max().unwrap_or(0)
 }
 
 fn runs_and_orders_after_restart(engine: &PlatformEngine) -> (usize, usize) {
--- a/crates/borageshore_standins/src/platform/engine.rs
+++ b/crates/borageshore_standins/src/platform/engine.rs
@@ -376,7 +376,7 @@
         });
         let cut_every = self.switches.get().cut_every;
         let is_cut = cut_every > 0 && (run_index as u64 + 1).is_multiple_of(cut_every);
-        let mut announced_version = self.version.get();
+        let mut sent_version = self.version.get();
         let started_at_ms = self.started_at_ms.get();
         for event in after_event + 1..=event_count(&item) {
             sleep_ms(self.switches.get().event_ms).await;
@@ -385,7 +385,7 @@
                 break;
             }
             let version = self.version.get();
-            let version_line = match std::mem::replace(&mut announced_version, version) != version {
+            let version_line = match std::mem::replace(&mut sent_version, version) != version {
                 true => format!("x-weight-versions: {version}\n"),
                 false => String::new(),
             };
