--- a/crates/borageshore_batch/tests/swaps.rs
+++ b/crates/borageshore_batch/tests/swaps.rs
@@ -52,8 +52,8 @@
             return loads;
         }
         assert!(round.len() <= 2);
-        for (engine, named) in round {
-            versions.observe(&engine, &named.model, named.version);
+        for (engine, target) in round {
+            versions.observe(&engine, &target.model, target.version);
             loads += 1;
         }
     }
@@ -142,7 +142,7 @@
     let count = |model: &str| {
         round
             .iter()
-            .filter(|(_, named)| &*named.model == model)
+            .filter(|(_, target)| &*target.model == model)
             .count()
     };
     assert_eq!((count("a"), count("b"), count("c")), (7, 1, 1));
--- a/crates/borageshore_gateway/src/endpoints/mod.rs
+++ b/crates/borageshore_gateway/src/endpoints/mod.rs
@@ -198,8 +198,8 @@
     /// The models that engines of services in use by a route serve, ordered by name.
     pub(crate) fn models(&self) -> Vec<Arc<str>> {
         let registry = self.registry.borrow();
-        let named = |entry: &&EndpointEntry| self.routes.names_service(&entry.listing.service);
-        let models = registry.values().filter(named);
+        let is_routed = |entry: &&EndpointEntry| self.routes.names_service(&entry.listing.service);
+        let models = registry.values().filter(is_routed);
         let models = models.flat_map(|entry| &entry.models);
         let mut models: Vec<Arc<str>> = models.map(|(model, _)| model.clone()).collect();
         models.sort_unstable();
