--- a/crates/borageshore_batch/src/swaps.rs
+++ b/crates/borageshore_batch/src/swaps.rs
@@ -87,7 +87,7 @@
 /// The version of a model that its engines should load.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ModelTarget {
-    /// The model and its announced version.
+    /// The model and its published version.
     pub target: ModelVersion,
     /// The work requested by the model's newest submission.
     pub demand: Demand,
@@ -159,8 +159,8 @@
     for (index, model) in models.iter().enumerate() {
         let models_after = models.len() - index - 1;
         let share = (engines_left * demand(model) + demand_left / 2) / demand_left.max(1);
-        let most = engines_left.saturating_sub(models_after);
-        let count = share.clamp(1.min(most), most);
+        let max_share = engines_left.saturating_sub(models_after);
+        let count = share.clamp(1.min(max_share), max_share);
         counts.push(count);
         engines_left -= count;
         demand_left -= demand(model);
--- a/crates/borageshore_gateway/src/calls.rs
+++ b/crates/borageshore_gateway/src/calls.rs
@@ -57,7 +57,7 @@
 struct PendingCall {
     outbound: OutboundRequest,
     caller: AuthorizedCaller,
-    request_use: RequestUsage,
+    usage: RequestUsage,
     content: OnceCell<Fingerprint>,
 }
 
@@ -119,7 +119,7 @@
         };
         let call = PendingCall {
             outbound,
-            request_use: RequestUsage::begin(self.usage.as_ref(), caller.organisation()),
+            usage: RequestUsage::begin(self.usage.as_ref(), caller.organisation()),
             caller,
             content: OnceCell::new(),
         };
@@ -247,24 +247,24 @@
         let (target, in_flight) = match permit.is_trial() {
             true => self
                 .endpoints
-                .choose(service, &self.quarantine.crashed_lately())?,
+                .choose(service, &self.quarantine.recently_crashed())?,
             false => {
                 let untried = self.endpoints.choose(service, outcome.attempts.tried());
                 untried.or_else(|| self.endpoints.choose(service, &[]))?
             }
         };
-        let number = outcome.attempts.hand_over(target.instance.clone());
+        let number = outcome.attempts.add_sent(target.instance.clone());
         Some(async move {
             let outbound = &call.outbound;
             let content = || call.content();
             let mut sent = self
                 .quarantine
                 .track_send(content, &target.instance, permit);
-            let attempt = call.request_use.on_attempt();
+            let attempt = call.usage.on_attempt();
             let result = self.client.call(&target, outbound, deadline).await;
             sent.on_outcome(&result);
             if let Err(AttemptError::NotSent(_) | AttemptError::Refused { .. }) = &result {
-                call.request_use.on_not_run(attempt);
+                call.usage.on_not_run(attempt);
             }
             match &result {
                 Ok(response) => {
@@ -319,12 +319,12 @@
     let response = result.ok()?;
     if response.status.is_server_error() {
         // An error without a signature does not come from the endpoint itself.
-        if response.stamp.is_some() {
+        if response.signature.is_some() {
             outcome.error_response = Some(response);
         }
         return None;
     }
-    if response.status.is_success() && response.stamp.is_none() {
+    if response.status.is_success() && response.signature.is_none() {
         log::warn!(request = &*outbound.id; "dropping a successful response without a signature");
         return None;
     }
--- a/crates/borageshore_gateway/src/endpoints/mod.rs
+++ b/crates/borageshore_gateway/src/endpoints/mod.rs
@@ -48,8 +48,8 @@
     registry: RefCell<EndpointRegistry<EndpointEntry>>,
     /// After a gap in the records: ids that were known before it and may have been removed during it.
     unconfirmed: RefCell<Option<Vec<Arc<str>>>>,
-    /// Entries that lapsed during or shortly after a store outage, with the time at which they are removed.
-    lapsed: RefCell<SortedMap<Arc<str>, u64>>,
+    /// Entries that expired during or shortly after a store outage, with the time at which they are removed.
+    expired: RefCell<SortedMap<Arc<str>, u64>>,
     table: RefCell<EndpointTable>,
     /// Addresses of the instances in `table`.
     targets: RefCell<SortedMap<Arc<str>, EndpointTarget>>,
@@ -64,7 +64,7 @@
     /// Instances that ended while listed as live, since the last [`Self::take_ended`].
     ended: RefCell<Vec<Arc<str>>>,
     /// Notified when an instance is added to `ended`.
-    pub(crate) has_ended: Notify,
+    pub(crate) endpoint_ended: Notify,
     /// Notified when an endpoint may have become usable.
     pub(crate) changed: Notify,
 }
@@ -86,7 +86,7 @@
             client,
             registry: RefCell::default(),
             unconfirmed: RefCell::default(),
-            lapsed: RefCell::default(),
+            expired: RefCell::default(),
             table: RefCell::default(),
             targets: RefCell::default(),
             versions: RefCell::default(),
@@ -97,7 +97,7 @@
             outage_ended_at_ms: Cell::new(None),
             random: RefCell::new(Pcg64Mcg::seed_from_u64(seed)),
             ended: RefCell::default(),
-            has_ended: Notify::new(),
+            endpoint_ended: Notify::new(),
             changed: Notify::new(),
         })
     }
@@ -110,7 +110,7 @@
     fn note_ended(&self, listing: &EndpointListing) {
         if listing.state == EndpointState::Live {
             self.ended.borrow_mut().push(listing.name.clone());
-            self.has_ended.notify_one();
+            self.endpoint_ended.notify_one();
         }
     }
 
@@ -198,8 +198,8 @@
     /// The models that engines of services in use by a route serve, ordered by name.
     pub(crate) fn models(&self) -> Vec<Arc<str>> {
         let registry = self.registry.borrow();
-        let named = |entry: &&EndpointEntry| self.routes.names_service(&entry.listing.service);
-        let models = registry.values().filter(named);
+        let is_routed = |entry: &&EndpointEntry| self.routes.names_service(&entry.listing.service);
+        let models = registry.values().filter(is_routed);
         let models = models.flat_map(|entry| &entry.models);
         let mut models: Vec<Arc<str>> = models.map(|(model, _)| model.clone()).collect();
         models.sort_unstable();
--- a/crates/borageshore_gateway/src/quarantine/sent.rs
+++ b/crates/borageshore_gateway/src/quarantine/sent.rs
@@ -52,7 +52,7 @@
     /// Records the result of a call.
     pub(crate) fn on_outcome(&mut self, result: &Result<EndpointResponse, AttemptError>) {
         match result {
-            Ok(answer) if answer.status.is_success() && answer.stamp.is_some() => self.on_success(),
+            Ok(res) if res.status.is_success() && res.signature.is_some() => self.on_success(),
             Ok(_) => self.on_end(),
             Err(error) => self.on_error(error),
         }
@@ -82,7 +82,7 @@
             AttemptError::Broken(_) => {
                 let content = (self.content)();
                 self.quarantine
-                    .on_broken(content, &self.instance, self.trial.is_some());
+                    .on_crash_observed(content, &self.instance, self.trial.is_some());
             }
             AttemptError::Unknown(_) => self.record_abandoned(),
             AttemptError::NotSent(_) | AttemptError::Refused { .. } => {}
