--- a/crates/borageshore_net/src/client.rs
+++ b/crates/borageshore_net/src/client.rs
@@ -123,7 +123,7 @@
         let stream = match connecting {
             Some(Ok(stream)) => stream,
             Some(Err(error)) => return Err(CallError::NotSent(error.to_string())),
-            None => return Err(CallError::NotSent("connection attempt timed out".into())),
+            None => return Err(CallError::NotSent("connecting took too long".into())),
         };
         let _ = stream.set_nodelay(true);
         let stream = stream
--- a/crates/borageshore_net/src/frame.rs
+++ b/crates/borageshore_net/src/frame.rs
@@ -20,7 +20,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             FrameError::Io(error) => write!(f, "{error}"),
-            FrameError::TooLarge(bytes) => write!(f, "a frame of {bytes} bytes exceeds the limit"),
+            FrameError::TooLarge(bytes) => write!(f, "a frame of {bytes} bytes is too large"),
         }
     }
 }
